--- a/crates/anvil_policy/examples/decision_time.rs
+++ b/crates/anvil_policy/examples/decision_time.rs
@@ -99,7 +99,7 @@
     let rule = AdmissionRule {
         longest_wait: Duration::from_hours(1),
         saturated_wait: Duration::from_hours(1),
-        most_waiting: 1 << 20,
+        max_waiting: 1 << 20,
         ..AdmissionRule::default()
     };
     let mut gate = Gate::new(rule).with_limit(1_000);
--- a/crates/anvil_policy/src/admission.rs
+++ b/crates/anvil_policy/src/admission.rs
@@ -1,46 +1,48 @@
-//! What is let in, what waits, and what is turned away.
+//! Admission control for one pool: whether a request runs, waits or is refused.
 //!
-//! *Answers:* a burst at ten times the rate, and saturation that lasts.
+//! *Load pattern:* bursts of ten times the usual rate, and sustained saturation.
 //!
-//! *Without it:* everything is let in, every queue grows until every caller has left, and the
-//! endpoints work for nobody. With a plain limit on the queue's length, one organisation fills
-//! it and the others are refused.
+//! *Without it:* every request is admitted, each queue grows until its callers have given up, and
+//! the endpoints work on answers that nobody reads. With only a limit on the queue length, one
+//! organisation fills the queue and all others are refused.
 //!
-//! *How:* the work that waits is measured in slot time, so the wait is the backlog divided by
-//! the slots ([`Gate::set_limit`]). A newcomer is refused at once when
-//! * it can't finish in time after the wait in its organisation's fair share, or
-//! * its organisation's backlog is larger than what is still free of the whole (a dynamic
-//!   threshold: one organisation alone fills half, two fill a third each, and a newcomer always
-//!   finds room).
+//! *Mechanism:* queued work is measured in slot time, so the expected wait is the backlog divided
+//! by the number of slots ([`Gate::set_limit`]). A new request is refused at once when
+//! * it can't finish before its deadline after waiting for its organisation's fair share, or
+//! * the backlog of its organisation exceeds the part of the whole that is still free. This is a
+//!   dynamic threshold: one organisation alone fills half, two fill a third each, and an
+//!   organisation without queued work always finds space.
 //!
-//! Because the whole backlog stays below the longest wait, everything that was let in can be
-//! served in time; [`crate::waiting`] keeps that promise.
+//! *Thresholds:* the whole backlog stays below the maximum wait, so that all admitted work can be
+//! served in time; [`crate::waiting`] orders the queue accordingly. The maximum wait is shorter
+//! during sustained saturation, when a long queue adds delay and no throughput; [`AdmissionRule`]
+//! has the reason for each value.
 
 use std::time::Duration;
 
 use anvil_world::prelude::*;
 
-use crate::deadline::{Outlook, come_back_after};
-use crate::waiting::{Lane, Ticket, Waiter, WaiterId, Waiting};
+use crate::deadline::{Forecast, retry_delay};
+use crate::waiting::{Lane, Ticket, WaitQueue, Waiter, WaiterId};
 
-/// Bounds of the waiting work.
+/// Bounds on queued work.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AdmissionRule {
-    /// Longest time that interactive work is let in to wait. Batch work may wait until its
-    /// deadline needs it to start. What was let in is not dropped after this time, if capacity
-    /// falls: it goes first, and is given up on only when it can't meet its deadline.
+    /// Maximum wait that is accepted for interactive work. Batch work may wait as long as it can
+    /// still finish before its deadline. Admitted work is not dropped after this time if capacity
+    /// falls: it is dispatched first, and is dropped only when it can no longer meet its deadline.
     pub longest_wait: Duration,
-    /// When the queue has not been empty for this long, the load is no burst but saturation.
+    /// A queue that has not been empty for this long indicates saturation rather than a burst.
     pub saturated_after: Duration,
-    /// Longest wait that is let in during saturation. A longer queue serves nobody more: as
-    /// many are turned away, and those who are served only wait longer.
+    /// Maximum wait that is accepted during saturation. A longer queue serves no more requests:
+    /// just as many are refused, and the others only wait longer.
     pub saturated_wait: Duration,
-    /// A wait is reckoned this many times as long as the backlog says. The rest is kept for
-    /// what the estimate can't know: a limit that falls, tokens that come slower under load, or
-    /// an endpoint lost, after the waiting were let in.
-    pub caution: f64,
-    /// Most requests that wait in one pool; bounds memory.
-    pub most_waiting: usize,
+    /// Factor by which the estimated wait exceeds what the backlog implies. The margin covers what
+    /// the estimate can't know when a request is admitted: a limit that falls later, tokens that
+    /// come more slowly under load, or a lost endpoint.
+    pub wait_safety_factor: f64,
+    /// Maximum number of queued requests in one pool; bounds memory.
+    pub max_waiting: usize,
 }
 
 impl Default for AdmissionRule {
@@ -49,35 +51,36 @@
             longest_wait: Duration::from_secs(30),
             saturated_after: Duration::from_secs(30),
             saturated_wait: Duration::from_secs(5),
-            caution: 1.33,
-            most_waiting: 4_096,
+            wait_safety_factor: 1.33,
+            max_waiting: 4_096,
         }
     }
 }
 
-/// What becomes of a request.
+/// Outcome of admission for one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// It goes now. The caller reports its end by [`Gate::finished`].
+    /// The request runs now. The caller reports its end with [`Gate::finished`].
     Go,
-    /// It waits; [`Gate::next`] or [`Gate::expired`] names it later.
+    /// The request is queued; [`Gate::next`] or [`Gate::expired`] returns it later.
     Wait(WaiterId),
-    /// It is turned away, now.
+    /// The request is refused now.
     Refuse(Refusal),
 }
 
-/// The door of one pool in one router. Short calls, to be made under a lock.
+/// Admission and queue of one pool in one router. All calls are short and are meant to be made
+/// under a lock.
 #[derive(Debug, Clone, Default)]
 pub struct Gate {
     rule: AdmissionRule,
-    waiting: Waiting,
+    waiting: WaitQueue,
     running: u32,
     limit: u32,
-    empty_at: Now,
+    last_empty_at: Now,
 }
 
 impl Gate {
-    /// A gate with these bounds and no slot yet.
+    /// Creates a gate with these bounds and no slots.
     pub fn new(rule: AdmissionRule) -> Self {
         Self {
             rule,
@@ -85,37 +88,37 @@
         }
     }
 
-    /// With this many slots.
+    /// Sets the initial number of slots.
     pub fn with_limit(mut self, limit: u32) -> Self {
         self.limit = limit;
         self
     }
 
-    /// Sets how many requests may run: what runs now and the pool's room
-    /// ([`crate::choice::Pool::room`]). Call it on a tick and after each load report.
+    /// Sets how many requests may run at a time: those that run now plus the pool's headroom
+    /// ([`crate::choice::Pool::room`]). To be called on a tick and after each load report.
     pub fn set_limit(&mut self, limit: u32) {
         self.limit = limit;
     }
 
-    /// Most requests that run at a time.
+    /// Maximum number of requests that run at a time.
     pub fn limit(&self) -> u32 {
         self.limit
     }
 
-    /// Requests that run.
+    /// Number of running requests.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Decides on a newcomer, at once.
+    /// Admits, queues or refuses a new request.
     pub fn offer(&mut self, now: Now, ticket: Ticket) -> Verdict {
         if self.waiting.is_empty() {
-            self.empty_at = now;
+            self.last_empty_at = now;
         }
         if let Some(refusal) = self.refusal(now, &ticket) {
             return Verdict::Refuse(refusal);
@@ -128,8 +131,8 @@
         Verdict::Wait(self.push(now, now, ticket, start_by))
     }
 
-    /// The next waiter whose turn it is, if a slot is free. Call it until it gives none, after
-    /// each [`Gate::finished`] and each [`Gate::set_limit`].
+    /// Dispatches the next queued request, if a slot is free. To be called until it returns `None`,
+    /// after each [`Gate::finished`] and each [`Gate::set_limit`].
     pub fn next(&mut self, now: Now) -> Option<Waiter> {
         if self.running >= self.limit {
             return None;
@@ -137,63 +140,63 @@
         let waiter = self.waiting.pop(now)?;
         self.running += 1;
         if self.waiting.is_empty() {
-            self.empty_at = now;
+            self.last_empty_at = now;
         }
         Some(waiter)
     }
 
-    /// A waiter that is given up on, and its final answer. Call it until it gives none, on a
-    /// tick; the caller is answered at once.
+    /// Removes a queued request that can no longer finish in time and returns it with its refusal.
+    /// To be called until it returns `None`, on a tick, so that the caller is answered at once.
     pub fn expired(&mut self, now: Now) -> Option<(Waiter, Refusal)> {
         let waiter = self.waiting.pop_expired(now)?;
-        let wait = self.outlook(now, &waiter.ticket).wait;
-        let refusal = Refusal::new(Reason::Overloaded).with_retry_after(come_back_after(wait));
+        let wait = self.forecast(now, &waiter.ticket).wait;
+        let refusal = Refusal::new(Reason::Overloaded).with_retry_after(retry_delay(wait));
         Some((waiter, refusal))
     }
 
-    /// Puts a request back that got its turn but found every endpoint full. It keeps its
-    /// arrival and deadline, and goes first when its time is short.
+    /// Queues a request again that was dispatched but found every endpoint full. It keeps its
+    /// arrival time and deadline, and is dispatched first when little time is left.
     pub fn put_back(&mut self, now: Now, waiter: &Waiter) -> WaiterId {
         self.running = self.running.saturating_sub(1);
         self.push(now, waiter.arrived, waiter.ticket.clone(), waiter.start_by)
     }
 
-    /// A request that ran has ended.
+    /// Records that a running request has ended.
     pub fn finished(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// A waiting request's caller has left.
+    /// Removes a queued request whose caller has disconnected; returns whether it was queued.
     pub fn cancel(&mut self, id: WaiterId) -> bool {
         self.waiting.remove(id).is_some()
     }
 
-    /// What a newcomer can expect, by what waits now.
-    pub fn outlook(&self, now: Now, ticket: &Ticket) -> Outlook {
-        Outlook {
+    /// Forecast for a new request, given the current backlog.
+    pub fn forecast(&self, now: Now, ticket: &Ticket) -> Forecast {
+        Forecast {
             wait: self.expected_wait(ticket),
             service: ticket.service,
             time_left: ticket.deadline.saturating_sub(now),
-            longest_wait: self.longest_wait(now, ticket),
+            max_wait: self.max_wait(now, ticket),
         }
     }
 
     fn refusal(&self, now: Now, ticket: &Ticket) -> Option<Refusal> {
-        let outlook = self.outlook(now, ticket);
-        if let Some(refusal) = outlook.refusal() {
+        let forecast = self.forecast(now, ticket);
+        if let Some(refusal) = forecast.refusal() {
             return Some(refusal);
         }
         let own = self.waiting.count(&ticket.organisation);
-        let free = self.rule.most_waiting.saturating_sub(self.waiting.len());
-        let excess = self.over_threshold(now, ticket);
+        let free = self.rule.max_waiting.saturating_sub(self.waiting.len());
+        let excess = self.threshold_excess(now, ticket);
         if own < free && excess.is_zero() {
             return None;
         }
-        let after = come_back_after(excess.max(outlook.wait));
+        let after = retry_delay(excess.max(forecast.wait));
         Some(Refusal::new(Reason::Overloaded).with_retry_after(after))
     }
 
-    /// The wait in the fair share of the newcomer's organisation in its lane.
+    /// Expected wait in the request's lane at the fair share of its organisation.
     fn expected_wait(&self, ticket: &Ticket) -> Duration {
         if self.waiting.is_empty() && self.running < self.limit {
             return Duration::ZERO;
@@ -202,48 +205,48 @@
         let (own, all) = self.waiting.backlog(lane, &ticket.organisation);
         let actives = self.waiting.active_weight(lane, ticket);
         let fair = own.saturating_mul(actives) / u64::from(ticket.weight.max(1));
-        self.time_for(lane, fair.min(all))
+        self.time_to_clear(lane, fair.min(all))
     }
 
-    /// How far the organisation's backlog is above what is free of the longest wait.
-    fn over_threshold(&self, now: Now, ticket: &Ticket) -> Duration {
+    /// Amount by which the organisation's backlog exceeds the free part of the maximum wait.
+    fn threshold_excess(&self, now: Now, ticket: &Ticket) -> Duration {
         let lane = ticket.lane();
         if lane == Lane::Batch {
             return Duration::ZERO;
         }
         let (own, all) = self.waiting.backlog(lane, &ticket.organisation);
-        let used = self.time_for(lane, own.saturating_add(all));
-        used.saturating_sub(self.longest_wait(now, ticket))
+        let used = self.time_to_clear(lane, own.saturating_add(all));
+        used.saturating_sub(self.max_wait(now, ticket))
     }
 
     /// Time in which a lane works off this much slot time, given in microseconds.
-    fn time_for(&self, lane: Lane, backlog: u64) -> Duration {
-        let lanes = u64::from(self.waiting.active_lanes(lane));
+    fn time_to_clear(&self, lane: Lane, backlog: u64) -> Duration {
+        let lanes = u64::from(self.waiting.active_lane_weight(lane));
         let part = backlog.saturating_mul(lanes) / u64::from(lane.weight());
-        // What runs, not the limit: the room of endpoints is seen by every router at once, so
-        // the limit says more than this router will get of it.
+        // The running requests count, not the limit: every router sees the same headroom of the
+        // endpoints, so the limit promises more than this router will get of it.
         let slots = self.running.min(self.limit).max(1);
-        Duration::from_micros(part / u64::from(slots)).mul_f64(self.rule.caution)
+        Duration::from_micros(part / u64::from(slots)).mul_f64(self.rule.wait_safety_factor)
     }
 
-    fn longest_wait(&self, now: Now, ticket: &Ticket) -> Duration {
+    fn max_wait(&self, now: Now, ticket: &Ticket) -> Duration {
         match ticket.lane() {
             Lane::Batch => ticket.deadline.saturating_sub(now),
-            Lane::Short | Lane::Long => self.longest_interactive(now),
+            Lane::Short | Lane::Long => self.max_interactive_wait(now),
         }
     }
 
-    fn longest_interactive(&self, now: Now) -> Duration {
+    fn max_interactive_wait(&self, now: Now) -> Duration {
         let rule = &self.rule;
-        if now.saturating_sub(self.empty_at) > rule.saturated_after {
+        if now.saturating_sub(self.last_empty_at) > rule.saturated_after {
             return rule.saturated_wait.min(rule.longest_wait);
         }
         rule.longest_wait
     }
 
     fn push(&mut self, now: Now, arrived: Now, ticket: Ticket, start_by: Now) -> WaiterId {
-        let longest = self.longest_wait(arrived, &ticket);
-        let promised = arrived.saturating_add(longest).min(start_by);
-        self.waiting.push(now, ticket, promised, start_by)
+        let max_wait = self.max_wait(arrived, &ticket);
+        let target_start = arrived.saturating_add(max_wait).min(start_by);
+        self.waiting.push(now, ticket, target_start, start_by)
     }
 }
--- a/crates/anvil_policy/src/copying.rs
+++ b/crates/anvil_policy/src/copying.rs
@@ -1,79 +1,87 @@
-//! When an engine copies what another one has read, in place of reading it anew.
+//! Whether an engine copies cached prompt tokens from another engine instead of prefilling them.
 //!
-//! *Answers:* prompts with long shared beginnings whose home is new, busy or gone: one subject that
-//! gets much of the traffic, engines replaced one after the other, an engine that crashed.
+//! *Load pattern:* prompts with long shared prefixes whose home engine is new, busy or gone: one
+//! prefix that gets much of the traffic, engines replaced one after the other, an engine that
+//! crashed.
 //!
-//! *Without it:* each engine that gets such a prompt reads all of its shared beginning again, though
-//! the engine beside it holds it. All first tokens behind that prompt wait, and organisations pay for
-//! work that was done.
+//! *Without it:* each engine that gets such a prompt prefills the whole shared prefix again,
+//! although another engine holds it. All first tokens behind that prompt are delayed, and
+//! organisations are charged for work that was already done.
 //!
-//! *How:* the router names one engine that is believed to hold more of the prompt than the chosen one. A
-//! wrong belief costs nothing but the attempt: what the source doesn't hold is read.
+//! *Mechanism:* the router names one engine that is assumed to hold more of the prompt than the
+//! chosen one. If the assumption is wrong, only the attempt is lost: tokens that the source doesn't
+//! hold are prefilled.
+//!
+//! *Thresholds:* copying must be much faster than prefill, because copies share links and are
+//! charged by their bytes, and it must save more than one step of an engine.
 
 use anvil_world::prelude::*;
 
 use crate::engine::{EngineRule, tokens_f64};
 
-/// How much faster copying must be than reading before it is done. Copies of all requests share two
-/// links, and each one is paid for by its bytes: at twice the speed, as with 256 KB a token, they cost
-/// what reading does; at twenty times, with 18 KB a token, a twelfth of it.
-const TIMES_FASTER: f64 = 4.0;
+/// Minimum speed of copying relative to prefill. Copies of all requests share two links, and each
+/// is charged by its bytes: at twice the speed (256 KB a token) a copy costs as much as prefill, at
+/// twenty times (18 KB a token) a twelfth of it.
+const MIN_SPEEDUP: f64 = 4.0;
 
-/// Fewest tokens that are copied: reading so few takes about one step of an engine (3 to 6 ms), and
-/// a copy is not begun sooner either.
-const LEAST_COPIED: Tokens = 256;
+/// Minimum number of tokens that are copied: prefilling so few takes about one step of an engine (3
+/// to 6 ms), and a copy doesn't start sooner than the next step either.
+const MIN_COPIED_TOKENS: Tokens = 256;
 
-/// What one engine lacks of a prompt, in tokens.
+/// Number of prompt tokens that one engine lacks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lacking {
-    /// By what this router has sent there itself.
+    /// Counting as cached only what this router has sent there itself.
     pub unsent: Tokens,
-    /// By that and by whether the engine is the home of the prompt's subject, to which other routers send it.
+    /// Counting also what the engine is assumed to hold as the home of the shared prefix, to which
+    /// other routers send it.
     pub believed: Tokens,
 }
 
-/// The engine from which the chosen one copies, with what that one lacks itself.
+/// The engine from which the chosen one copies, with the number of tokens that it lacks itself.
 ///
-/// What this router has sent goes before what a home is only presumed to hold: a home that is new holds
-/// nothing yet, and the engine that was the home before it still holds all.
+/// Prompts that this router has sent take precedence over what a home is assumed to hold: a new
+/// home holds nothing yet, and the engine that was the home before still holds everything.
 pub fn source<T: Copy>(chosen: Lacking, others: &[(T, Lacking)]) -> Option<(T, Tokens)> {
-    let holds = |lacks: fn(&Lacking) -> Tokens| {
-        let (engine, least) = others.iter().min_by_key(|(_, other)| lacks(other))?;
-        let worth = Copying::is_worth_it(lacks(&chosen), lacks(least));
-        worth.then(|| (*engine, lacks(least)))
+    let best_source = |lacks: fn(&Lacking) -> Tokens| {
+        let (engine, fewest) = others.iter().min_by_key(|(_, other)| lacks(other))?;
+        let worth = Copying::is_worthwhile(lacks(&chosen), lacks(fewest));
+        worth.then(|| (*engine, lacks(fewest)))
     };
-    holds(|lacking| lacking.unsent).or_else(|| holds(|lacking| lacking.believed))
+    best_source(|lacking| lacking.unsent).or_else(|| best_source(|lacking| lacking.believed))
 }
 
-/// How quickly the engines of one service copy from each other.
+/// Speed at which the engines of one service copy from each other.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Copying {
-    /// Tokens that go over an engine's link in a millisecond.
+    /// Tokens that an engine's link carries in a millisecond.
     pub tokens_per_ms: f64,
 }
 
 impl Copying {
-    /// By what one token takes in memory and what a link carries; `None` where reading is about as fast.
+    /// Computes the speed from the size of a token in memory and the bandwidth of a link; `None` if
+    /// copying is not much faster than prefill.
     pub fn between(bytes_per_token: f64, link_mbps: f64, rule: &EngineRule) -> Option<Self> {
         let bytes_per_ms = link_mbps * 1e6 / 8.0 / 1e3;
         let tokens_per_ms = bytes_per_ms / bytes_per_token;
-        let pays = tokens_per_ms.is_finite() && tokens_per_ms >= TIMES_FASTER * rule.read_per_ms;
+        let pays =
+            tokens_per_ms.is_finite() && tokens_per_ms >= MIN_SPEEDUP * rule.prefill_tokens_per_ms;
         pays.then_some(Self { tokens_per_ms })
     }
 
-    /// Whether a prompt of which `here` tokens are missing at the chosen engine is worth copying
-    /// from one where only `there` are.
-    pub fn is_worth_it(here: Tokens, there: Tokens) -> bool {
-        here >= there.saturating_add(LEAST_COPIED)
+    /// Whether it is worth copying, if the chosen engine lacks `here` tokens of the prompt and the
+    /// source lacks only `there`.
+    pub fn is_worthwhile(here: Tokens, there: Tokens) -> bool {
+        here >= there.saturating_add(MIN_COPIED_TOKENS)
     }
 
-    /// Tokens whose reading takes as long as getting `here` missing tokens ready, when all but
-    /// `there` of them can be copied.
+    /// Number of tokens whose prefill takes as long as getting `here` missing tokens ready, if all
+    /// but `there` of them can be copied.
     pub fn as_if_missing(&self, here: Tokens, there: Tokens, rule: &EngineRule) -> Tokens {
-        if !Self::is_worth_it(here, there) {
+        if !Self::is_worthwhile(here, there) {
             return here;
         }
-        let copied = tokens_f64(here - there) * rule.read_per_ms / self.tokens_per_ms;
+        let copied = tokens_f64(here - there) * rule.prefill_tokens_per_ms / self.tokens_per_ms;
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
--- a/crates/anvil_policy/src/crash.rs
+++ b/crates/anvil_policy/src/crash.rs
@@ -1,17 +1,23 @@
-//! Tells an endpoint that crashed from a connection that was lost, and under which requests it crashed.
+//! Distinguishes crashed endpoints from lost connections, and finds the requests that were in
+//! flight at a crash.
 //!
-//! *Answers:* endpoints that crash, one after the other, each with some hundred requests, beside networks that
-//! reset connections and endpoints that lose answers.
+//! *Load pattern:* endpoints that crash one after the other, each with some hundred requests in
+//! flight, while networks reset connections and endpoints lose answers.
 //!
-//! *Without it:* a lost answer says nothing of its cause. A request that makes its endpoint crash looks like its
-//! neighbours, and like one whose connection was reset.
+//! *Without it:* a lost answer doesn't show its cause. A request that crashes its endpoint looks
+//! like the other requests there, and like one whose connection was reset.
 //!
-//! *How:* requests whose answers were lost are kept for some seconds by endpoint, until there is evidence that
-//! the endpoint's process has ended: nobody listens at its address, another life answers there, or the platform
-//! no longer lists it although it wasn't leaving. A request that an endpoint has answered a moment before is
-//! not what others crash from: where a whole zone loses power, equal requests of many callers were under way at
-//! several endpoints. And a run that had some output when its endpoint crashed speaks less against its request than one
-//! that had none: it had begun without a crash.
+//! *Mechanism:* requests whose answers were lost are kept for some seconds by endpoint, until there
+//! is evidence that the endpoint's process has ended: connections to its address are refused,
+//! another incarnation answers there, or the platform no longer lists it although it wasn't
+//! leaving. A request that an endpoint has answered recently is not suspected of causing crashes:
+//! when a whole zone loses power, equal requests of many callers are in flight at several
+//! endpoints. A run that had produced output before the crash is weaker evidence against its
+//! request than one that had not, as it had started without a crash.
+//!
+//! *Thresholds:* lost answers and evidence are matched within some seconds, because a crashed
+//! endpoint stays listed that long; probes and memory are bounded where an endpoint loses thousands
+//! of answers.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -19,60 +25,62 @@
 use anvil_world::prelude::*;
 use anvil_world::suspect::CrashedRun;
 
-/// For how long evidence is waited for after a lost answer, and lost answers after evidence: a crashed endpoint
-/// stays on the platform's list for some seconds.
-const KEPT: Duration = Duration::from_secs(10);
-/// Least time between two looks at one endpoint.
-const BETWEEN_LOOKS: Duration = Duration::from_secs(1);
-/// Requests that are kept for one endpoint: more than it works on at once. Further ones are left out.
-const MOST_REQUESTS: usize = 256;
-
-/// For how long an answer speaks for equal requests. Later ones may meet other software.
-const ANSWER_HOLDS: Duration = Duration::from_secs(10);
-/// Answers that are remembered.
-const MOST_ANSWERS: usize = 4_096;
-
-/// How it showed that an endpoint's process has ended.
+/// How long lost answers wait for evidence of a crash, and evidence for lost answers: a crashed
+/// endpoint stays on the platform's list for some seconds.
+const RETENTION: Duration = Duration::from_secs(10);
+/// Minimum time between two probes of one endpoint.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum number of requests kept for one endpoint: more than it works on at a time. Further ones
+/// are ignored.
+const MAX_REQUESTS: usize = 256;
+
+/// How long an answer clears equal requests. Later ones may run on a different software version.
+const ANSWER_RETENTION: Duration = Duration::from_secs(10);
+/// Maximum number of answers that are remembered.
+const MAX_ANSWERS: usize = 4_096;
+
+/// Evidence that an endpoint's process has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Evidence {
-    /// Nobody listens at its address.
+    /// Connections to its address are refused.
     Refused,
-    /// Another life answers at its address.
+    /// Another incarnation answers at its address.
     Replaced,
     /// It is no longer listed, and wasn't leaving.
     Unlisted,
 }
 
-/// What a lost answer calls for.
+/// What the caller has to do about a lost answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lost {
-    /// Look whether the endpoint still listens.
+    /// Probe whether the endpoint still accepts connections.
     Look,
     /// Nothing; evidence may still come.
     Wait,
-    /// Its endpoint is known to have crashed.
+    /// Report the request: its endpoint is known to have crashed.
     Crashed,
 }
 
 /// Endpoints that lost answers or crashed within the last seconds.
 #[derive(Debug, Default)]
 pub struct CrashWatch {
-    endpoints: BTreeMap<InstanceId, Watched>,
-    answered: BTreeMap<RequestDigest, Now>,
-    /// The same, the oldest first; a request that was answered again stands in it again.
-    answers: VecDeque<(Now, RequestDigest)>,
+    endpoints: BTreeMap<InstanceId, EndpointLosses>,
+    answered_at: BTreeMap<RequestDigest, Now>,
+    /// The same answers, oldest first; a request that was answered again occurs again.
+    answer_order: VecDeque<(Now, RequestDigest)>,
 }
 
 #[derive(Debug)]
-struct Watched {
-    since: Now,
-    looked: Option<Now>,
+struct EndpointLosses {
+    updated_at: Now,
+    probed_at: Option<Now>,
     has_crashed: bool,
     requests: BTreeMap<RequestDigest, CrashedRun>,
 }
 
 impl CrashWatch {
-    /// A request's answer was lost at an endpoint, with its run as far as that.
+    /// Records that the answer to a request was lost at an endpoint, and whether its run had
+    /// produced output.
     pub fn lost(
         &mut self,
         now: Now,
@@ -80,88 +88,90 @@
         request: RequestDigest,
         run: CrashedRun,
     ) -> Lost {
-        self.forget(now);
-        if self.answered.contains_key(&request) {
+        self.prune(now);
+        if self.answered_at.contains_key(&request) {
             return Lost::Wait;
         }
-        let watched = self.watched(now, endpoint);
-        if watched.has_crashed {
+        let losses = self.losses(now, endpoint);
+        if losses.has_crashed {
             return Lost::Crashed;
         }
-        watched.since = now;
-        let known = watched.requests.get(&request).copied();
-        if known.is_some() || watched.requests.len() < MOST_REQUESTS {
+        losses.updated_at = now;
+        let known = losses.requests.get(&request).copied();
+        if known.is_some() || losses.requests.len() < MAX_REQUESTS {
             let run = known.map_or(run, |known| known.max(run));
-            watched.requests.insert(request, run);
+            losses.requests.insert(request, run);
         }
-        if watched.looked.is_some_and(|at| now < at + BETWEEN_LOOKS) {
+        if losses.probed_at.is_some_and(|at| now < at + PROBE_INTERVAL) {
             return Lost::Wait;
         }
-        watched.looked = Some(now);
+        losses.probed_at = Some(now);
         Lost::Look
     }
 
-    /// An endpoint has crashed. Returns the requests that were lost there, each of them once.
+    /// Records that an endpoint has crashed. Returns the requests whose answers were lost there,
+    /// each of them once.
     pub fn crashed(
         &mut self,
         now: Now,
         endpoint: &InstanceId,
     ) -> BTreeMap<RequestDigest, CrashedRun> {
-        self.forget(now);
-        let watched = self.watched(now, endpoint);
-        watched.has_crashed = true;
-        let mut requests = std::mem::take(&mut watched.requests);
-        requests.retain(|request, _| !self.answered.contains_key(request));
+        self.prune(now);
+        let losses = self.losses(now, endpoint);
+        losses.has_crashed = true;
+        let mut requests = std::mem::take(&mut losses.requests);
+        requests.retain(|request, _| !self.answered_at.contains_key(request));
         requests
     }
 
-    /// An endpoint answers: it lives, also where one of its name had crashed.
+    /// Records that an endpoint answers: it is alive, even if an endpoint of the same name has
+    /// crashed.
     pub fn lives(&mut self, endpoint: &str) {
-        if let Some(watched) = self.endpoints.get(endpoint)
-            && watched.has_crashed
+        if let Some(losses) = self.endpoints.get(endpoint)
+            && losses.has_crashed
         {
             self.endpoints.remove(endpoint);
         }
     }
 
-    /// Whether an endpoint has answered a request a moment before.
+    /// Whether an endpoint has answered a request recently.
     pub fn was_answered(&mut self, now: Now, request: RequestDigest) -> bool {
-        self.forget_answers(now);
-        self.answered.contains_key(&request)
+        self.prune_answers(now);
+        self.answered_at.contains_key(&request)
     }
 
-    /// An endpoint has answered a request.
+    /// Records that an endpoint has answered a request.
     pub fn answered(&mut self, now: Now, request: RequestDigest) {
-        self.answered.insert(request, now);
-        self.answers.push_back((now, request));
-        self.forget_answers(now);
+        self.answered_at.insert(request, now);
+        self.answer_order.push_back((now, request));
+        self.prune_answers(now);
     }
 
-    fn forget_answers(&mut self, now: Now) {
-        let is_over = |at: Now| now >= at + ANSWER_HOLDS;
-        while let Some((at, request)) = self.answers.front().copied()
-            && (is_over(at) || self.answers.len() > MOST_ANSWERS)
+    fn prune_answers(&mut self, now: Now) {
+        let is_expired = |at: Now| now >= at + ANSWER_RETENTION;
+        while let Some((at, request)) = self.answer_order.front().copied()
+            && (is_expired(at) || self.answer_order.len() > MAX_ANSWERS)
         {
-            self.answers.pop_front();
-            if self.answered.get(&request) == Some(&at) {
-                self.answered.remove(&request);
+            self.answer_order.pop_front();
+            if self.answered_at.get(&request) == Some(&at) {
+                self.answered_at.remove(&request);
             }
         }
     }
 
-    fn watched(&mut self, now: Now, endpoint: &InstanceId) -> &mut Watched {
-        let new = || Watched {
-            since: now,
-            looked: None,
+    fn losses(&mut self, now: Now, endpoint: &InstanceId) -> &mut EndpointLosses {
+        let new = || EndpointLosses {
+            updated_at: now,
+            probed_at: None,
             has_crashed: false,
             requests: BTreeMap::new(),
         };
         self.endpoints.entry(endpoint.clone()).or_insert_with(new)
     }
 
-    fn forget(&mut self, now: Now) {
-        self.forget_answers(now);
+    fn prune(&mut self, now: Now) {
+        self.prune_answers(now);
         self.endpoints
-            .retain(|_, watched| now < watched.since + KEPT);
+            .retain(|_, losses| now < losses.updated_at + RETENTION);
     }
 }
--- a/crates/anvil_policy/src/deadline.rs
+++ b/crates/anvil_policy/src/deadline.rs
@@ -1,61 +1,61 @@
-//! Whether work can still finish in time.
+//! Whether a request can still finish before its deadline.
 //!
-//! *Answers:* saturation, when the wait grows beyond what callers stay for.
+//! *Load pattern:* saturation, when the wait grows beyond the time that callers stay.
 //!
-//! *Without it:* endpoints work on answers whose callers have left, and goodput falls although
-//! every slot is busy. A caller who is told at once can come back, or ask somewhere else.
+//! *Without it:* endpoints work on answers whose callers have timed out, and goodput falls although
+//! every slot is busy. A caller who is refused at once can retry later or elsewhere.
 //!
-//! A refusal names the time to come back, and it is said at once: nothing is held until near its
-//! deadline so that the caller asks less often.
+//! *Mechanism:* a refusal carries the time after which to retry, and is returned at once: no
+//! request is held until near its deadline to make its caller ask less often.
 
 use std::time::Duration;
 
 use anvil_world::prelude::*;
 
-/// Shortest time to come back that is ever named. A shorter one would only bring the same
-/// request again before one run has ended.
-pub const SHORTEST_RETRY: Duration = Duration::from_millis(250);
+/// Minimum retry time in a refusal. With a shorter one the same request would return before a
+/// single run has ended.
+pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// What is expected of a request, if it is let in.
+/// What a request can expect, if it is admitted.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Outlook {
-    /// Time until its turn.
+pub struct Forecast {
+    /// Expected wait until it is dispatched.
     pub wait: Duration,
-    /// Time that it then takes.
+    /// Expected service time after that.
     pub service: Duration,
     /// Time left until its deadline.
     pub time_left: Duration,
-    /// Longest time that it may wait for its turn.
-    pub longest_wait: Duration,
+    /// Maximum time that it may wait for dispatch.
+    pub max_wait: Duration,
 }
 
-impl Outlook {
+impl Forecast {
     /// Longest wait after which it would still finish in time.
-    pub fn spare(&self) -> Duration {
+    pub fn max_feasible_wait(&self) -> Duration {
         let spare = self.time_left.saturating_sub(self.service);
-        spare.min(self.longest_wait)
+        spare.min(self.max_wait)
     }
 
-    /// The refusal, when it can't finish in time.
+    /// The refusal, if it can't finish in time.
     pub fn refusal(&self) -> Option<Refusal> {
         if self.service > self.time_left {
-            // No time to come back is named: with the same deadline a retry can't help.
+            // No retry time is given: with the same deadline a retry can't succeed either.
             return Some(Refusal::new(Reason::DeadlineTooClose));
         }
-        let excess = self.wait.checked_sub(self.spare())?;
+        let excess = self.wait.checked_sub(self.max_feasible_wait())?;
         if excess.is_zero() {
             return None;
         }
-        let reason = if self.spare() < self.longest_wait {
+        let reason = if self.max_feasible_wait() < self.max_wait {
             Reason::DeadlineTooClose
         } else {
             Reason::Overloaded
         };
-        Some(Refusal::new(reason).with_retry_after(come_back_after(excess)))
+        Some(Refusal::new(reason).with_retry_after(retry_delay(excess)))
     }
 }
 
-/// When to come back, if the wait is this much too long now.
-pub fn come_back_after(excess: Duration) -> Duration {
-    excess.max(SHORTEST_RETRY)
+/// Time after which to retry, if the expected wait is too long by `excess`.
+pub fn retry_delay(excess: Duration) -> Duration {
+    excess.max(MIN_RETRY_AFTER)
 }
--- a/crates/anvil_policy/src/endpoint.rs
+++ b/crates/anvil_policy/src/endpoint.rs
@@ -1,8 +1,13 @@
 //! What one router knows of one endpoint.
 //!
-//! Two things are known, and neither is the truth: the endpoint's last report, which lags, and
-//! this router's own count, which does not see other routers. [`EndpointState::pressure`] joins
-//! them. All fields that change are atomics, so that a request reads them without a lock.
+//! *Load pattern:* many routers that send work to the same endpoints between two load reports.
+//!
+//! *Without it:* a router that relies on the last report sees an endpoint as empty that it has just
+//! filled, and one that relies on its own count doesn't see the work of other routers.
+//!
+//! *Mechanism:* neither source is exact: the endpoint's last report lags, and this router's own
+//! count doesn't include other routers. [`EndpointState::pressure`] combines them. All fields that
+//! change are atomics, so that a request reads them without a lock.
 
 use std::sync::atomic::{AtomicBool, AtomicI32, AtomicU32, Ordering};
 
@@ -11,73 +16,75 @@
 /// Full share of new work, in thousandths.
 pub const FULL_SHARE: u32 = 1_000;
 
-/// An endpoint that holds a prefix takes one more for each so many of its limit.
-const OVER_FOR_HELD: u32 = 2;
+/// An endpoint that holds a request's prefix may exceed its limit by the limit divided by this.
+const CACHED_PREFIX_DIVISOR: u32 = 2;
 
-/// One report of an endpoint's load, as its sidecar passed it on.
+/// Load of an endpoint, as reported by its sidecar.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Runs in the endpoint, of all routers.
+    /// Runs in progress at the endpoint, from all routers.
     pub running: u32,
-    /// Runs that wait in the endpoint, of all routers.
+    /// Runs queued inside the endpoint, from all routers.
     pub queued: u32,
-    /// Runs it can work on side by side.
+    /// Number of runs it can work on at a time.
     pub slots: u32,
-    /// Tokens a second that it makes for all its runs; 0 when it doesn't say.
+    /// Tokens a second that it generates for all its runs; 0 if not reported.
     pub tokens_per_second: u32,
-    /// Whether it takes no new work.
+    /// Whether it is draining and accepts no new work.
     pub leaving: bool,
 }
 
-/// One endpoint as this router sees it. Shared between the pools of all models that it holds.
+/// State of an endpoint as this router sees it. Shared between the pools of all models that the
+/// endpoint holds.
 #[derive(Debug)]
 pub struct EndpointState {
-    /// The sidecar's instance.
+    /// The instance of its sidecar.
     pub id: InstanceId,
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: Zone,
     in_flight: AtomicU32,
     reported: AtomicU32,
-    since_report: AtomicI32,
-    before_report: AtomicI32,
+    net_since_report: AtomicI32,
+    net_before_report: AtomicI32,
     slots: AtomicU32,
     limit: AtomicU32,
-    parts: AtomicU32,
+    guarantee_divisor: AtomicU32,
     share: AtomicU32,
     leaving: AtomicBool,
 }
 
 impl EndpointState {
-    /// An endpoint without a report yet: empty, with this many slots and a full share.
+    /// Creates an endpoint without a report yet: empty, with this many slots and a full share.
     pub fn new(id: InstanceId, zone: Zone, slots: u32) -> Self {
         Self {
             id,
             zone,
             in_flight: AtomicU32::new(0),
             reported: AtomicU32::new(0),
-            since_report: AtomicI32::new(0),
-            before_report: AtomicI32::new(0),
+            net_since_report: AtomicI32::new(0),
+            net_before_report: AtomicI32::new(0),
             slots: AtomicU32::new(slots),
             limit: AtomicU32::new(slots.max(1)),
-            parts: AtomicU32::new(u32::MAX),
+            guarantee_divisor: AtomicU32::new(u32::MAX),
             share: AtomicU32::new(FULL_SHARE),
             leaving: AtomicBool::new(false),
         }
     }
 
-    /// Takes in a report; [`crate::health::Health::report`] does it and moves the limit.
+    /// Applies a load report. Called by [`crate::health::Health::report`], which also adjusts the
+    /// limit.
     ///
-    /// What this router started and ended since the report before is forgotten, because the new
-    /// one counts it. A report that `lags` was made about one interval ago and doesn't: then the
-    /// last interval is kept once more. Without this an endpoint that has just been filled looks
-    /// empty again with each report, and answers that end sooner than reports come make the
-    /// whole pool swing.
+    /// Runs that this router started and ended since the previous report are no longer added,
+    /// because the new report counts them. A report that `lags` was made about one interval ago and
+    /// doesn't count them, so the last interval is kept for one more report. Without this, an
+    /// endpoint that has just been filled looks empty again after each report, and with answers
+    /// shorter than the report interval the load of the whole pool oscillates.
     pub fn report(&self, load: &LoadReport, lags: bool) {
         let runs = load.running.saturating_add(load.queued);
         self.reported.store(runs, Ordering::Relaxed);
-        let since = self.since_report.swap(0, Ordering::Relaxed);
-        let missed = if lags { since } else { 0 };
-        self.before_report.store(missed, Ordering::Relaxed);
+        let since = self.net_since_report.swap(0, Ordering::Relaxed);
+        let uncounted = if lags { since } else { 0 };
+        self.net_before_report.store(uncounted, Ordering::Relaxed);
         self.slots.store(load.slots, Ordering::Relaxed);
         if load.slots < self.limit.load(Ordering::Relaxed) {
             self.limit.store(load.slots.max(1), Ordering::Relaxed);
@@ -88,45 +95,45 @@
     /// Counts a run that this router sends there.
     pub fn start(&self) {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        self.since_report.fetch_add(1, Ordering::Relaxed);
+        self.net_since_report.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts the end of a run that [`EndpointState::start`] counted.
+    /// Counts the end of a run that was counted by [`EndpointState::start`].
     pub fn finish(&self) {
-        // A count that never falls below nothing: a doubled `finish` must not wrap round and
-        // close the endpoint for good.
-        let less = |n: u32| Some(n.saturating_sub(1));
+        // The count saturates at zero: a duplicate `finish` must not wrap around, which would close
+        // the endpoint for good.
+        let decrement = |n: u32| Some(n.saturating_sub(1));
         let _ = self
             .in_flight
-            .try_update(Ordering::Relaxed, Ordering::Relaxed, less);
-        self.since_report.fetch_sub(1, Ordering::Relaxed);
+            .try_update(Ordering::Relaxed, Ordering::Relaxed, decrement);
+        self.net_since_report.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Runs that this router has there.
+    /// Number of runs that this router has there.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Runs there by the last report alone.
+    /// Number of runs there by the last report alone.
     pub fn reported(&self) -> u32 {
         self.reported.load(Ordering::Relaxed)
     }
 
-    /// Runs there, of all routers, as far as this one can tell: the last report, corrected by
-    /// what this router did since, and never less than what it has there itself.
+    /// Estimated number of runs there, from all routers: the last report, corrected by what this
+    /// router started and ended since, and at least the number of its own runs.
     pub fn pressure(&self) -> u32 {
         let reported = self.reported.load(Ordering::Relaxed);
-        let since =
-            self.since_report.load(Ordering::Relaxed) + self.before_report.load(Ordering::Relaxed);
+        let since = self.net_since_report.load(Ordering::Relaxed)
+            + self.net_before_report.load(Ordering::Relaxed);
         reported.saturating_add_signed(since).max(self.in_flight())
     }
 
-    /// Runs it works on side by side, by its own word.
+    /// Number of runs it works on at a time, as reported.
     pub fn slots(&self) -> u32 {
         self.slots.load(Ordering::Relaxed)
     }
 
-    /// Most runs of all routers that it is given; see [`crate::limit`].
+    /// Maximum number of runs from all routers that it is given; see [`crate::limit`].
     pub fn limit(&self) -> u32 {
         self.limit.load(Ordering::Relaxed)
     }
@@ -136,15 +143,17 @@
         self.limit.store(limit.max(1), Ordering::Relaxed);
     }
 
-    /// Sets how many routers share the endpoint. Each may always have its part of half the
-    /// limit there, whatever the report says, and at least one run.
+    /// Sets how many routers share the endpoint. Each may always use its part of half the limit,
+    /// whatever the report says, and at least one run.
     ///
-    /// Without it a router that starts while all slots are taken would see no room for ever:
-    /// the routers that hold the slots see their own runs end first and take them again. Half
-    /// of the limit, not all of it: parts that are all taken would leave nothing to the reports.
+    /// Without this a router that starts while all slots are taken would never see headroom: the
+    /// routers that hold the slots see their own runs end first and take the slots again. The
+    /// guaranteed part is taken from half of the limit, because guaranteeing all of it would leave
+    /// no slots to be assigned by the reports.
     pub fn set_routers(&self, routers: u32) {
-        let parts = routers.max(1).saturating_mul(2);
-        self.parts.store(parts, Ordering::Relaxed);
+        let guarantee_divisor = routers.max(1).saturating_mul(2);
+        self.guarantee_divisor
+            .store(guarantee_divisor, Ordering::Relaxed);
     }
 
     /// Share of new work that it is given, in thousandths; see [`crate::ejection`].
@@ -157,52 +166,57 @@
         self.share.store(share.min(FULL_SHARE), Ordering::Relaxed);
     }
 
-    /// Whether it takes no new work.
+    /// Whether it is draining and accepts no new work.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Marks it as leaving, when the platform's list knows before its own report.
+    /// Marks it as draining, when the platform's list shows this before its own report does.
     pub fn set_leaving(&self, leaving: bool) {
         self.leaving.store(leaving, Ordering::Relaxed);
     }
 
-    /// Runs that this router may add now.
+    /// Number of runs that this router may add now.
     pub fn room(&self) -> u32 {
-        self.room_within(self.limit_now()).max(self.own_room())
-    }
-
-    /// Runs that this router may add now, if the endpoint holds their prefix: a little over the
-    /// limit, because a cached prefix is work saved. The whole is bounded by [`Self::balance`].
-    pub fn room_for_held(&self) -> u32 {
-        let limit = self.limit_now();
-        // Above its slots the run would wait inside the engine, for longer than a prefix saves.
-        let over = (limit + limit / OVER_FOR_HELD).min(self.slots());
-        self.room_within(over.max(limit)).max(self.own_room())
-    }
-
-    /// Runs below the limit; negative when above it, but by no more than held prefixes allow:
-    /// an endpoint that is overfull for another reason, because it is leaving or its limit was
-    /// cut, must not close the others.
-    pub fn balance(&self) -> i64 {
-        let limit = i64::from(self.limit_now());
-        let over = limit / i64::from(OVER_FOR_HELD);
-        (limit - i64::from(self.pressure())).max(-over)
-    }
-
-    /// Runs that this router may add whatever the report says.
-    pub fn own_room(&self) -> u32 {
-        let limit = self.limit_now();
-        let part = limit / self.parts.load(Ordering::Relaxed);
+        self.headroom_within(self.effective_limit())
+            .max(self.guaranteed_headroom())
+    }
+
+    /// Number of runs that this router may add now, if the endpoint holds their prefix: it may
+    /// exceed the limit a little, because a cached prefix saves work. [`Self::signed_headroom`]
+    /// bounds the total.
+    pub fn headroom_for_cached(&self) -> u32 {
+        let limit = self.effective_limit();
+        // Above its slots the run would be queued inside the engine for longer than a cached prefix
+        // saves.
+        let extended_limit = (limit + limit / CACHED_PREFIX_DIVISOR).min(self.slots());
+        self.headroom_within(extended_limit.max(limit))
+            .max(self.guaranteed_headroom())
+    }
+
+    /// Headroom below the limit; negative above the limit, but by no more than cached prefixes
+    /// allow. An endpoint that is overfull for another reason, because it is draining or its limit
+    /// was cut, must not use up the headroom of the others.
+    pub fn signed_headroom(&self) -> i64 {
+        let limit = i64::from(self.effective_limit());
+        let max_excess = limit / i64::from(CACHED_PREFIX_DIVISOR);
+        (limit - i64::from(self.pressure())).max(-max_excess)
+    }
+
+    /// Number of runs that this router may add whatever the report says.
+    pub fn guaranteed_headroom(&self) -> u32 {
+        let limit = self.effective_limit();
+        let part = limit / self.guarantee_divisor.load(Ordering::Relaxed);
         part.max(1).min(limit).saturating_sub(self.in_flight())
     }
 
-    fn room_within(&self, limit: u32) -> u32 {
+    fn headroom_within(&self, limit: u32) -> u32 {
         limit.saturating_sub(self.pressure())
     }
 
-    /// The limit for now: nothing when it takes no work, and a part while its share is a part.
-    fn limit_now(&self) -> u32 {
+    /// The limit that applies now: zero if it accepts no work, and reduced in proportion to its
+    /// share.
+    fn effective_limit(&self) -> u32 {
         if self.is_leaving() || self.share() == 0 {
             return 0;
         }
--- a/crates/anvil_policy/src/engine.rs
+++ b/crates/anvil_policy/src/engine.rs
@@ -1,17 +1,20 @@
-//! Where a prompt goes among model engines that nobody stands beside.
+//! Chooses among model engines without a sidecar, by expected time to the first token.
 //!
-//! *Answers:* prompts with long shared beginnings on engines that keep what they have read, seen
-//! by many routers that each know only their own part of the load.
+//! *Load pattern:* prompts with long shared prefixes on engines that cache what they have
+//! prefilled, sent by many routers that each know only their own part of the load.
 //!
-//! *Without it:* by least load alone, every engine reads every shared beginning anew. Reading is
+//! *Without it:* by lowest load alone, every engine prefills every shared prefix again. Prefill is
 //! most of an engine's work (6,300 shared tokens of a 9,190 token prompt), so the whole pool is
-//! filled with work that had been done already, and first tokens come late.
+//! busy with work that was done before, and first tokens come late.
 //!
-//! *How:* the engine with the least expected time to the first token wins. That time counts the
-//! prompts that wait there to be read, and the tokens of this one that the engine has not read.
-//! Each shared beginning has a home that all routers compute alike ([`home_rank`]), so that they
-//! agree without a word to each other; a home that is busy is passed over exactly when reading
-//! the beginning elsewhere is faster.
+//! *Mechanism:* the engine with the lowest expected time to the first token is chosen. That time
+//! includes the prompts queued there for prefill, and the tokens of this prompt that the engine has
+//! not cached. Each shared prefix has a home engine that all routers compute in the same way
+//! ([`home_rank`]), so that they agree without communication. A busy home is skipped exactly when
+//! prefilling the prefix elsewhere is faster.
+//!
+//! *Thresholds:* the speed assumed of an engine is in [`EngineRule`]; cooldowns after failures are
+//! short, so that an endpoint that has recovered is not left idle while the others are full.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,60 +25,60 @@
 /// How fast engines work, as the routers assume it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineRule {
-    /// Prompt tokens that an engine reads in a millisecond when it does little else.
-    pub read_per_ms: f64,
-    /// Tokens that one prompt waiting in an engine has left to be read, on average; for prompts of
-    /// other routers, of which only the number is known.
-    pub waiting_prompt: Tokens,
-    /// Time that a batch with no place left adds, over an empty one.
-    pub when_full: Duration,
-    /// Added for an engine in another availability zone: the way there and back.
+    /// Prompt tokens that an engine prefills in a millisecond when it does little else.
+    pub prefill_tokens_per_ms: f64,
+    /// Mean number of tokens left to prefill of a prompt that is queued in an engine; for prompts
+    /// of other routers, of which only the number is known.
+    pub queued_prompt_tokens: Tokens,
+    /// Time that a full batch adds, compared to an empty one.
+    pub full_penalty: Duration,
+    /// Network round trip to an engine in another availability zone.
     pub other_zone: Duration,
-    /// Parts of prompts that are remembered of one engine. The oldest go first.
-    pub remembered: usize,
-    /// After this time an engine is no longer believed to keep a part.
-    pub believed_for: Duration,
+    /// Prompt parts that are remembered for one engine. The oldest are evicted.
+    pub max_parts: usize,
+    /// After this time an engine is no longer assumed to hold a part.
+    pub assume_cached_for: Duration,
 }
 
 impl Default for EngineRule {
-    /// The rate is an engine's own (39 tokens a millisecond) less a fifth for the tokens that it
-    /// makes meanwhile; the other figures are means over prompts of 700 to 9,200 tokens.
+    /// The rate is that of an engine (39 tokens a millisecond) less a fifth for the tokens that it
+    /// generates meanwhile; the other values are means over prompts of 700 to 9,200 tokens.
     fn default() -> Self {
         Self {
-            read_per_ms: 31.0,
-            waiting_prompt: 2_500,
-            when_full: Duration::from_millis(400),
+            prefill_tokens_per_ms: 31.0,
+            queued_prompt_tokens: 2_500,
+            full_penalty: Duration::from_millis(400),
             other_zone: Duration::from_millis(2),
-            remembered: 512,
-            believed_for: Duration::from_mins(2),
+            max_parts: 512,
+            assume_cached_for: Duration::from_mins(2),
         }
     }
 }
 
 impl EngineRule {
-    /// Time that reading so many tokens takes.
-    pub fn reading(&self, tokens: Tokens) -> Duration {
-        Duration::from_secs_f64(tokens_f64(tokens) / self.read_per_ms / 1e3)
+    /// Time to prefill this number of tokens.
+    pub fn prefill_time(&self, tokens: Tokens) -> Duration {
+        Duration::from_secs_f64(tokens_f64(tokens) / self.prefill_tokens_per_ms / 1e3)
     }
 }
 
-/// What one router knows of one engine or plain endpoint.
+/// What one router knows of the load and cache of one engine or plain endpoint.
 #[derive(Debug, Clone, Default)]
 pub struct EndpointLoad {
-    /// Requests of this router there.
+    /// Requests of this router in flight there.
     pub running: u32,
-    /// Tokens of this router's prompts there that have not been answered by a first token.
+    /// Prompt tokens of this router's requests there that have not received their first token.
     pub unread: Tokens,
-    /// Last word of the endpoint itself.
+    /// Last load report of the endpoint itself.
     report: Option<Report>,
-    /// When a part of a prompt was last read there, by part.
+    /// When each prompt part was last prefilled there.
     parts: BTreeMap<u64, Now>,
-    /// Part of its newest answers that were its own failures.
-    bad_part: f64,
-    /// Failures in a row.
+    /// Rate of failures of the endpoint itself among its recent answers.
+    failure_rate: f64,
+    /// Consecutive failures.
     failures: u32,
-    /// Gets no work before this.
-    shut_until: Now,
+    /// End of the cooldown: it gets no work before this time.
+    cooldown_until: Now,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -84,120 +87,121 @@
     running: u32,
     waiting: u32,
     slots: u32,
-    own: u32,
+    own_running: u32,
 }
 
-/// What is to be placed.
+/// A prompt for which an engine is to be chosen.
 #[derive(Debug, Clone, Copy)]
 pub struct Prompt<'a> {
-    /// Parts in order with their tokens; the last one is the request's own.
+    /// Parts in order with their tokens; the last one is specific to the request.
     pub parts: &'a [(u64, Tokens)],
 }
 
 impl Prompt<'_> {
-    /// All tokens.
+    /// Total number of tokens.
     pub fn tokens(&self) -> Tokens {
         self.parts.iter().map(|(_, tokens)| tokens).sum()
     }
 
-    /// The deepest shared part: what the prompt is about.
+    /// The last shared part, which identifies the shared prefix of the prompt.
     pub fn subject(&self) -> Option<u64> {
         let shared = self.parts.len().checked_sub(2)?;
         Some(self.parts[shared].0)
     }
 }
 
-/// Weight of the newest answer among bad ones: an endpoint that fails four in ten is set apart from
-/// one that fails one in seven after some ten answers.
-const NEWEST_ANSWER: f64 = 1.0 / 8.0;
-/// First pause after a failure. One lost connection costs a moment, not the endpoint.
-const FIRST_SHUT: Duration = Duration::from_millis(250);
-/// Longest pause. An endpoint that is back gets a trial at least so often.
-const LONGEST_SHUT: Duration = Duration::from_secs(2);
-/// A report older than this says nothing any more.
-const REPORT_HOLDS: Duration = Duration::from_secs(2);
+/// Weight of the newest answer in the failure rate: after about ten answers, an endpoint that fails
+/// four in ten is distinguished from one that fails one in seven.
+const ANSWER_WEIGHT: f64 = 1.0 / 8.0;
+/// Cooldown after the first failure. Short, so that a single lost connection doesn't take an
+/// endpoint out of use.
+const FIRST_COOLDOWN: Duration = Duration::from_millis(250);
+/// Maximum cooldown. An endpoint that has recovered gets a request at least this often.
+const MAX_COOLDOWN: Duration = Duration::from_secs(2);
+/// Load reports older than this are ignored.
+const REPORT_TTL: Duration = Duration::from_secs(2);
 
 impl EndpointLoad {
-    /// A request goes there.
+    /// Records that a request is sent there.
     pub fn start(&mut self, now: Now, rule: &EngineRule, prompt: &Prompt<'_>, unread: Tokens) {
         self.running += 1;
         self.unread += unread;
         for (part, _) in prompt.parts {
             self.parts.insert(*part, now);
         }
-        if self.parts.len() > 2 * rule.remembered {
-            self.forget_oldest(rule.remembered);
+        if self.parts.len() > 2 * rule.max_parts {
+            self.forget_oldest(rule.max_parts);
         }
     }
 
-    /// The first token has come, or the request has ended before it.
+    /// Records that the first token has come, or that the request has ended before it.
     pub fn read(&mut self, unread: Tokens) {
         self.unread = self.unread.saturating_sub(unread);
     }
 
-    /// A request has ended.
+    /// Records that a request has ended.
     pub fn end(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// The endpoint says how busy it is.
+    /// Applies a load report of the endpoint.
     pub fn heard(&mut self, now: Now, running: u32, waiting: u32, slots: u32) {
         self.report = Some(Report {
             at: now,
             running,
             waiting,
             slots,
-            own: self.running,
+            own_running: self.running,
         });
     }
 
-    /// A request was answered; `badly` when the answer is the endpoint's own failure.
-    pub fn answered(&mut self, badly: bool) {
+    /// Records an answer; `is_failure` if it is a failure of the endpoint itself. Ends the cooldown.
+    pub fn answered(&mut self, is_failure: bool) {
         self.failures = 0;
-        self.shut_until = Duration::ZERO;
-        let newest = f64::from(u8::from(badly));
-        self.bad_part += NEWEST_ANSWER * (newest - self.bad_part);
+        self.cooldown_until = Duration::ZERO;
+        let newest = f64::from(u8::from(is_failure));
+        self.failure_rate += ANSWER_WEIGHT * (newest - self.failure_rate);
     }
 
-    /// Time by which its bad answers set it back: what the next try elsewhere costs, as often as
-    /// it will be needed.
-    pub fn set_back(&self, next_try: Duration) -> Duration {
-        next_try.mul_f64(self.bad_part)
+    /// Expected cost of its failures: the time of another attempt elsewhere, multiplied by the
+    /// failure rate.
+    pub fn set_back(&self, next_attempt: Duration) -> Duration {
+        next_attempt.mul_f64(self.failure_rate)
     }
 
-    /// A connection or an answer was lost.
+    /// Records a lost connection or answer, and starts a cooldown.
     pub fn failed(&mut self, now: Now) {
         self.failures = self.failures.saturating_add(1);
-        let doubled = 2_u32.saturating_pow(self.failures.min(8) - 1);
-        self.shut_until = now + FIRST_SHUT.saturating_mul(doubled).min(LONGEST_SHUT);
+        let factor = 2_u32.saturating_pow(self.failures.min(8) - 1);
+        self.cooldown_until = now + FIRST_COOLDOWN.saturating_mul(factor).min(MAX_COOLDOWN);
     }
 
-    /// The endpoint had no room: it gets nothing for a moment.
+    /// Records that the endpoint had no free slot: it is on cooldown for at least this long.
     pub fn was_full(&mut self, now: Now, pause: Duration) {
-        self.shut_until = self.shut_until.max(now + pause);
+        self.cooldown_until = self.cooldown_until.max(now + pause);
     }
 
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Whether it is passed over for now.
+    /// Whether it is on cooldown.
     pub fn is_shut(&self, now: Now) -> bool {
-        now < self.shut_until
+        now < self.cooldown_until
     }
 
-    /// Requests there, of all routers, as far as this one can tell.
+    /// Estimated number of requests there, from all routers.
     pub fn busy(&self, now: Now) -> u32 {
         let Some(report) = self.fresh_report(now) else {
             return self.running;
         };
         let all = report.running.saturating_add(report.waiting);
-        let others = all.saturating_sub(report.own);
+        let others = all.saturating_sub(report.own_running);
         others.saturating_add(self.running)
     }
 
-    /// What is known of it, for a log line.
+    /// Summary of what is known of it, for a log line.
     pub fn grounds(&self, now: Now) -> String {
         let own = self.running;
         let Some(report) = &self.report else {
@@ -208,26 +212,27 @@
         format!("{own} own, {running} running and {waiting} waiting {age} ms ago")
     }
 
-    /// Places there, as the endpoint said or else as listed.
+    /// Slots of the endpoint, as reported or else as listed.
     pub fn slots(&self, listed: u32) -> u32 {
         self.report.map_or(listed, |report| report.slots.max(1))
     }
 
     fn fresh_report(&self, now: Now) -> Option<&Report> {
-        let fresh = |report: &&Report| now < report.at + REPORT_HOLDS;
+        let fresh = |report: &&Report| now < report.at + REPORT_TTL;
         self.report.as_ref().filter(fresh)
     }
 
-    /// Tokens of a prompt that it has not read yet. A part counts as kept only behind parts that
-    /// are kept too.
+    /// Tokens of a prompt that it still has to prefill. A part counts as cached only if all parts
+    /// before it are cached. `home` tells whether the engine is the home of the prompt's shared
+    /// prefix, and so is assumed to hold it.
     pub fn missing(&self, now: Now, rule: &EngineRule, prompt: &Prompt<'_>, home: bool) -> Tokens {
         let shared = prompt.parts.len().saturating_sub(1);
         let mut missing = prompt.tokens();
         for (at, (part, tokens)) in prompt.parts.iter().enumerate() {
             let seen = self.parts.get(part);
-            let recorded = seen.is_some_and(|seen| now < *seen + rule.believed_for);
-            let kept = recorded || (home && at < shared);
-            if !kept {
+            let recently_sent = seen.is_some_and(|seen| now < *seen + rule.assume_cached_for);
+            let is_cached = recently_sent || (home && at < shared);
+            if !is_cached {
                 break;
             }
             missing = missing.saturating_sub(*tokens);
@@ -235,29 +240,31 @@
         missing
     }
 
-    /// Expected time to the first token of a prompt of which so much is missing there.
+    /// Expected time to the first token of a prompt with this number of missing tokens.
     pub fn expected(&self, now: Now, rule: &EngineRule, missing: Tokens, slots: u32) -> Duration {
-        let others = self.others_unread(now, rule);
-        let reading = rule.reading(self.unread + others + missing);
-        let full = f64::from(self.busy(now)) / f64::from(self.slots(slots).max(1));
-        reading + rule.when_full.mul_f64(full * full)
+        let others = self.others_queued_tokens(now, rule);
+        let prefill_time = rule.prefill_time(self.unread + others + missing);
+        let fullness = f64::from(self.busy(now)) / f64::from(self.slots(slots).max(1));
+        prefill_time + rule.full_penalty.mul_f64(fullness * fullness)
     }
 
-    /// Tokens of other routers' prompts that wait there: those of the last report, less what the
-    /// engine has read since.
-    fn others_unread(&self, now: Now, rule: &EngineRule) -> Tokens {
+    /// Tokens of other routers' prompts that are queued there: those of the last report, less what
+    /// the engine has prefilled since.
+    fn others_queued_tokens(&self, now: Now, rule: &EngineRule) -> Tokens {
         let Some(report) = self.fresh_report(now) else {
             return 0;
         };
-        let waited = Tokens::from(report.waiting) * rule.waiting_prompt;
-        let since = now.saturating_sub(report.at).as_secs_f64() * 1e3;
+        let queued_tokens = Tokens::from(report.waiting) * rule.queued_prompt_tokens;
+        let elapsed_ms = now.saturating_sub(report.at).as_secs_f64() * 1e3;
         #[expect(
             clippy::cast_possible_truncation,
             clippy::cast_sign_loss,
             reason = "a few seconds at some tokens a millisecond"
         )]
-        let read = (since * rule.read_per_ms) as Tokens;
-        waited.saturating_sub(self.unread).saturating_sub(read)
+        let prefilled = (elapsed_ms * rule.prefill_tokens_per_ms) as Tokens;
+        queued_tokens
+            .saturating_sub(self.unread)
+            .saturating_sub(prefilled)
     }
 
     fn forget_oldest(&mut self, keep: usize) {
@@ -273,8 +280,9 @@
     tokens as f64
 }
 
-/// How well an endpoint suits a subject: the highest one is its home. All routers compute the
-/// same, and an endpoint that comes or goes moves only the subjects that it gains or loses.
-pub fn home_rank(subject: u64, endpoint: &str) -> u64 {
-    xxh3_64_with_seed(endpoint.as_bytes(), subject)
+/// Rank of an endpoint for a shared prefix: the one with the highest rank is its home (rendezvous
+/// hashing). All routers compute the same rank, and when an endpoint comes or goes, only the
+/// prefixes that it gains or loses move.
+pub fn home_rank(shared_prefix: u64, endpoint: &str) -> u64 {
+    xxh3_64_with_seed(endpoint.as_bytes(), shared_prefix)
 }
--- a/crates/anvil_policy/src/estimate.rs
+++ b/crates/anvil_policy/src/estimate.rs
@@ -1,29 +1,35 @@
-//! How long a request will take, learned from those before it.
+//! Estimates how long a request takes, learned from finished requests.
 //!
-//! *Answers:* admission by deadline needs a service time before anything has run.
+//! *Load pattern:* any load under admission by deadline, which needs a service time before a
+//! request has run.
 //!
-//! *Without it:* the output limit of a request is taken for its length. Callers who name none
-//! get the model's largest, so that everything looks ten times too long and is refused.
+//! *Without it:* the output limit of a request is taken for its output length. Callers who set no
+//! limit get the model's largest one, so that every request looks ten times too long and is
+//! refused.
+//!
+//! *Mechanism:* exponentially weighted means of the time for each prompt token, of the fixed time
+//! to the first token, of the time for each output token, and of the output length relative to its
+//! bound.
 
 use std::time::Duration;
 
 use anvil_world::prelude::*;
 
-/// Weight of the newest of measurements: about the last 32 count.
-const NEWEST: f64 = 1.0 / 32.0;
+/// Weight of the newest measurement in the means: about the last 32 count.
+const SAMPLE_WEIGHT: f64 = 1.0 / 32.0;
 
-/// What a finished request measured.
+/// Measurements of a finished request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Finished {
     /// Prompt tokens.
     pub prompt: Tokens,
-    /// Most output tokens that it might have made.
+    /// Maximum number of output tokens that the request allowed.
     pub output_bound: Tokens,
-    /// Output tokens that it made.
+    /// Output tokens generated.
     pub output: Tokens,
-    /// From dispatch to the first token.
+    /// Time from dispatch to the first token.
     pub first_token: Duration,
-    /// From dispatch to the end.
+    /// Time from dispatch to the end.
     pub total: Duration,
 }
 
@@ -32,12 +38,12 @@
 pub struct Estimate {
     /// Seconds to the first token for each prompt token.
     pub per_prompt_token: f64,
-    /// Seconds to the first token beside the prompt.
+    /// Seconds to the first token that don't depend on the prompt.
     pub base: f64,
     /// Seconds for each output token.
     pub per_output_token: f64,
-    /// Output tokens made, as a part of the bound.
-    pub output_part: f64,
+    /// Output tokens generated, as a fraction of the bound.
+    pub output_ratio: f64,
 }
 
 impl Default for Estimate {
@@ -46,56 +52,61 @@
             per_prompt_token: 0.000_1,
             base: 0.05,
             per_output_token: 0.03,
-            output_part: 0.5,
+            output_ratio: 0.5,
         }
     }
 }
 
 impl Estimate {
-    /// Expected time in a slot.
+    /// Expected time that a request occupies a slot.
     pub fn service(&self, prompt: Tokens, output_bound: Tokens) -> Duration {
-        let output = real(output_bound) * self.output_part;
-        let secs =
-            self.base + real(prompt) * self.per_prompt_token + output * self.per_output_token;
+        let output = tokens_to_f64(output_bound) * self.output_ratio;
+        let secs = self.base
+            + tokens_to_f64(prompt) * self.per_prompt_token
+            + output * self.per_output_token;
         Duration::try_from_secs_f64(secs).unwrap_or(Duration::MAX)
     }
 
-    /// Expected time that a prompt's prefill takes by itself.
+    /// Expected time that the prefill of a prompt takes by itself.
     pub fn prefill(&self, prompt: Tokens) -> Duration {
-        let secs = real(prompt) * self.per_prompt_token;
+        let secs = tokens_to_f64(prompt) * self.per_prompt_token;
         Duration::try_from_secs_f64(secs).unwrap_or(Duration::MAX)
     }
 
-    /// Learns from a finished request.
+    /// Updates the means from a finished request.
     pub fn learn(&mut self, finished: &Finished) {
         let first = finished.first_token.as_secs_f64();
         let rest = finished.total.as_secs_f64() - first;
-        // A long prompt's first token is mostly prefill, a short one's mostly all the rest.
-        let expected_prefill = real(finished.prompt) * self.per_prompt_token;
+        // The time to the first token of a long prompt is mostly prefill, that of a short one
+        // mostly the fixed part; only the larger part is updated.
+        let expected_prefill = tokens_to_f64(finished.prompt) * self.per_prompt_token;
         if expected_prefill > self.base {
-            let per_token = (first - self.base).max(0.0) / real(finished.prompt.max(1));
-            blend(&mut self.per_prompt_token, per_token);
+            let per_token = (first - self.base).max(0.0) / tokens_to_f64(finished.prompt.max(1));
+            update_mean(&mut self.per_prompt_token, per_token);
         } else {
-            blend(&mut self.base, (first - expected_prefill).max(0.0));
+            update_mean(&mut self.base, (first - expected_prefill).max(0.0));
         }
         if finished.output > 1 {
-            blend(&mut self.per_output_token, rest / real(finished.output - 1));
+            update_mean(
+                &mut self.per_output_token,
+                rest / tokens_to_f64(finished.output - 1),
+            );
         }
         if finished.output_bound > 0 {
-            let part = real(finished.output) / real(finished.output_bound);
-            blend(&mut self.output_part, part.min(1.0));
+            let part = tokens_to_f64(finished.output) / tokens_to_f64(finished.output_bound);
+            update_mean(&mut self.output_ratio, part.min(1.0));
         }
     }
 }
 
-fn blend(old: &mut f64, new: f64) {
-    *old += NEWEST * (new - *old);
+fn update_mean(old: &mut f64, new: f64) {
+    *old += SAMPLE_WEIGHT * (new - *old);
 }
 
 #[expect(
     clippy::cast_precision_loss,
     reason = "lengths are far below 2^52 tokens"
 )]
-fn real(tokens: Tokens) -> f64 {
+fn tokens_to_f64(tokens: Tokens) -> f64 {
     tokens as f64
 }
--- a/crates/anvil_policy/src/fair.rs
+++ b/crates/anvil_policy/src/fair.rs
@@ -1,28 +1,29 @@
-//! Weighted fair shares between keys that have work waiting (start-time fair queueing).
+//! Weighted fair sharing between keys that have queued work (start-time fair queueing).
 //!
-//! *Answers:* one organisation or key with 90% of the load.
+//! *Load pattern:* one organisation or key that sends 90% of the load.
 //!
-//! *Without it:* in order of arrival, nine of ten turns go to whoever sends nine of ten
-//! requests, and everybody else waits in that one's queue.
+//! *Without it:* in order of arrival, whoever sends nine of ten requests gets nine of ten turns,
+//! and all others wait in that sender's queue.
 //!
-//! Each key has a tag: the virtual time up to which it has had its share. The lowest tag is
-//! next, and its cost divided by its weight is added. A key that comes back after a pause starts
-//! at the present virtual time, so nobody saves up turns.
+//! *Mechanism:* each key has a tag: the virtual time up to which it has used its share. The key
+//! with the lowest tag is next, and its tag advances by the cost divided by its weight. A key that
+//! becomes ready after a pause starts at the current virtual time, so no key accumulates unused
+//! turns.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Virtual time: cost divided by weight, in 1/1024 of the cost's unit.
+/// Virtual time: cost divided by weight, in 1/1024 of the unit of cost.
 type Tag = u64;
 
-/// Keeps small costs apart after the division by a weight of up to 1,000.
+/// Keeps small costs distinct after the division by a weight of up to 1,000.
 const SCALE: u64 = 1_024;
 
-/// Who is next among the keys with work.
+/// Selects the next key among those that have work.
 #[derive(Debug, Clone)]
 pub struct FairShares<K> {
     tags: BTreeMap<K, Tag>,
     ready: BTreeSet<(Tag, K)>,
-    present: Tag,
+    virtual_time: Tag,
 }
 
 impl<K> Default for FairShares<K> {
@@ -30,31 +31,32 @@
         Self {
             tags: BTreeMap::new(),
             ready: BTreeSet::new(),
-            present: 0,
+            virtual_time: 0,
         }
     }
 }
 
 impl<K: Ord + Clone> FairShares<K> {
     /// Marks a key as having work.
-    pub fn wake(&mut self, key: &K) {
+    pub fn mark_ready(&mut self, key: &K) {
         let tag = self.tags.get(key).copied().unwrap_or_default();
         if self.ready.contains(&(tag, key.clone())) {
             return;
         }
-        let tag = tag.max(self.present);
+        let tag = tag.max(self.virtual_time);
         self.tags.insert(key.clone(), tag);
         self.ready.insert((tag, key.clone()));
     }
 
     /// Marks a key as having no work.
-    pub fn sleep(&mut self, key: &K) {
+    pub fn mark_idle(&mut self, key: &K) {
         let Some(tag) = self.tags.get(key).copied() else {
             return;
         };
         self.ready.remove(&(tag, key.clone()));
-        // A tag in the past says nothing that `wake` would not find out, so it isn't kept.
-        if tag <= self.present {
+        // `mark_ready` never uses a tag that is not ahead of the current virtual time, so such a
+        // tag need not be kept.
+        if tag <= self.virtual_time {
             self.tags.remove(key);
         }
     }
@@ -64,15 +66,16 @@
         self.ready.first().map(|(_, key)| key)
     }
 
-    /// Charges a key for a turn. `cost` in any unit that is the same for all keys.
+    /// Charges a key for a turn. `cost` is in any unit that is the same for all keys.
     pub fn charge(&mut self, key: &K, cost: u64, weight: u32) {
-        let old = self.tags.get(key).copied().unwrap_or(self.present);
+        let old = self.tags.get(key).copied().unwrap_or(self.virtual_time);
         let ready = self.ready.remove(&(old, key.clone()));
         let step = cost.max(1).saturating_mul(SCALE) / u64::from(weight.max(1));
-        // A turn out of order (a rescue) must not carry the present past keys that still wait.
+        // A turn out of order (a promoted request) must not advance the virtual time past keys that
+        // still wait.
         let first = self.ready.first().map_or(old, |(tag, _)| *tag);
-        self.present = self.present.max(old.min(first));
-        let new = old.max(self.present).saturating_add(step);
+        self.virtual_time = self.virtual_time.max(old.min(first));
+        let new = old.max(self.virtual_time).saturating_add(step);
         self.tags.insert(key.clone(), new);
         if ready {
             self.ready.insert((new, key.clone()));
--- a/crates/anvil_policy/src/grant.rs
+++ b/crates/anvil_policy/src/grant.rs
@@ -1,14 +1,14 @@
-//! How large a grant is, when it is renewed, and when unspent ones are called back.
+//! Sizes of grants, and when they are renewed and recalled.
 //!
-//! *Answers:* a budget that many routers draw on at once, up to its last token.
+//! *Load pattern:* many routers that draw on one budget at the same time, until it is used up.
 //!
-//! *Without it:* large grants leave the money idle in the wrong router, and callers elsewhere
-//! are refused although the budget is not empty (false refusals); small ones ask the ledger for
-//! every request, and a partition refuses at once.
+//! *Without it:* large grants leave tokens idle in the wrong router, and callers elsewhere are
+//! refused although the budget is not empty (false refusals). Small ones need a ledger call for
+//! every request, and a partition causes refusals at once.
 //!
-//! *How:* a grant lasts one horizon at the measured demand, but never takes more than a part of
-//! what remains. Near the end the parts shrink with the remainder, so the last tokens are found
-//! by whoever asks.
+//! *Mechanism:* a grant covers the measured demand over one horizon, but never takes more than a
+//! part of what remains. Near the end the parts shrink with the remainder, so that the last tokens
+//! reach the routers that request them.
 
 use std::time::Duration;
 
@@ -19,11 +19,11 @@
 pub struct GrantRule {
     /// Time that a grant is meant to last.
     pub horizon: Duration,
-    /// Least grant while plenty remains, in tokens.
-    pub least: Tokens,
+    /// Minimum grant while enough remains, in tokens.
+    pub min_grant: Tokens,
     /// A grant is at most the remainder divided by this.
-    pub parts: u64,
-    /// Renewed when what is free lasts less than this part of the horizon.
+    pub remainder_divisor: u64,
+    /// A grant is renewed when its free tokens last less than this part of the horizon.
     pub renew_below: f64,
 }
 
@@ -31,110 +31,111 @@
     fn default() -> Self {
         Self {
             horizon: Duration::from_mins(1),
-            least: 10_000,
-            parts: 8,
+            min_grant: 10_000,
+            remainder_divisor: 8,
             renew_below: 0.5,
         }
     }
 }
 
-/// What a router knows when it asks.
+/// State of a router's demand when it requests a grant.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Need {
     /// Demand, in tokens a second; see [`Demand`].
     pub rate: f64,
-    /// Tokens that requests wait for now: the sum of their reservations.
+    /// Tokens that requests are waiting for: the sum of their reservations.
     pub waiting: Tokens,
-    /// Tokens free in the grants that are held.
+    /// Free tokens in the grants that the router holds.
     pub free: Tokens,
 }
 
 impl GrantRule {
-    /// With this horizon.
+    /// Sets the horizon.
     pub fn with_horizon(mut self, horizon: Duration) -> Self {
         self.horizon = horizon;
         self
     }
 
-    /// How much to ask for: what waits, and one horizon of demand.
-    pub fn ask(&self, need: &Need) -> Tokens {
-        let ahead = tokens(need.rate * self.horizon.as_secs_f64()).max(self.least);
+    /// Tokens to request: those that requests are waiting for, and one horizon of demand.
+    pub fn tokens_to_request(&self, need: &Need) -> Tokens {
+        let ahead = to_tokens(need.rate * self.horizon.as_secs_f64()).max(self.min_grant);
         need.waiting.saturating_add(ahead).saturating_sub(need.free)
     }
 
-    /// Whether to ask now: something waits that is not covered, or what is free runs low.
-    pub fn renews(&self, need: &Need) -> bool {
+    /// Whether to request a grant now: some waiting request is not covered, or the free tokens run
+    /// low.
+    pub fn needs_renewal(&self, need: &Need) -> bool {
         if need.waiting > need.free {
             return true;
         }
         let ahead = need.rate * self.horizon.as_secs_f64() * self.renew_below;
-        need.free - need.waiting < tokens(ahead).max(self.least / 2)
+        need.free - need.waiting < to_tokens(ahead).max(self.min_grant / 2)
     }
 
-    /// How much of what remains is granted. `least` is what the asker needs for the requests
-    /// that wait now; without it the last tokens could be cut into grants too small for any
-    /// request. Nothing when not even that remains.
-    pub fn size(&self, asked: Tokens, least: Tokens, left: Tokens) -> Tokens {
-        if least > left {
+    /// Tokens to grant out of what remains. `needed` is what the router needs for the requests that
+    /// are waiting now; without it the last tokens could be divided into grants too small for any
+    /// request. Zero if less than that remains.
+    pub fn grant_size(&self, asked: Tokens, needed: Tokens, remaining: Tokens) -> Tokens {
+        if needed > remaining {
             return 0;
         }
-        let part = left / self.parts.max(1);
-        asked.min(part).max(least).min(left)
+        let part = remaining / self.remainder_divisor.max(1);
+        asked.min(part).max(needed).min(remaining)
     }
 
-    /// Whether unspent grants are called back: somebody needs more than remains.
-    pub fn recalls(&self, least: Tokens, left: Tokens) -> bool {
-        least > left
+    /// Whether to recall unspent grants: a router needs more than remains.
+    pub fn needs_recall(&self, needed: Tokens, remaining: Tokens) -> bool {
+        needed > remaining
     }
 
-    /// How long a router keeps a grant that no request has drawn on before it gives it back by
-    /// itself.
-    pub fn idle(&self) -> Duration {
+    /// How long a router keeps a grant that no request has drawn on before it returns it on its
+    /// own.
+    pub fn idle_timeout(&self) -> Duration {
         self.horizon.saturating_mul(2)
     }
 }
 
 /// Measured demand on one budget in one router, in tokens a second.
 ///
-/// The weight of a reservation halves in half a horizon, so the demand of a minute ago is still
-/// seen and that of an hour ago isn't.
+/// The weight of a reservation halves in half a horizon, so that the demand of a minute ago still
+/// counts and that of an hour ago doesn't.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Demand {
-    halving: f64,
+    half_life_s: f64,
     sum: f64,
-    at: Now,
+    updated_at: Now,
 }
 
 impl Demand {
-    /// Demand seen over about this time.
+    /// Measures demand over about this time.
     pub fn over(horizon: Duration) -> Self {
         Self {
-            halving: (horizon.as_secs_f64() / 2.0).max(0.001),
+            half_life_s: (horizon.as_secs_f64() / 2.0).max(0.001),
             sum: 0.0,
-            at: Duration::ZERO,
+            updated_at: Duration::ZERO,
         }
     }
 
-    /// Counts tokens that were used or asked for.
+    /// Counts tokens that were used or requested.
     pub fn add(&mut self, now: Now, amount: Tokens) {
-        self.sum = self.sum_at(now) + real(amount);
-        self.at = self.at.max(now);
+        self.sum = self.sum_at(now) + tokens_to_f64(amount);
+        self.updated_at = self.updated_at.max(now);
     }
 
-    /// Tokens a second.
+    /// Demand in tokens a second.
     pub fn rate(&self, now: Now) -> f64 {
-        // The sum of a steady stream under halving weights is rate * halving / ln 2.
-        self.sum_at(now) * std::f64::consts::LN_2 / self.halving
+        // The sum of a steady stream with halving weights is rate * half-life / ln 2.
+        self.sum_at(now) * std::f64::consts::LN_2 / self.half_life_s
     }
 
     fn sum_at(&self, now: Now) -> f64 {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.sum * (-passed / self.halving).exp2()
+        let elapsed_s = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.sum * (-elapsed_s / self.half_life_s).exp2()
     }
 }
 
 #[expect(clippy::cast_precision_loss, reason = "a rate needs no last digit")]
-fn real(amount: Tokens) -> f64 {
+fn tokens_to_f64(amount: Tokens) -> f64 {
     amount as f64
 }
 
@@ -143,6 +144,6 @@
     clippy::cast_sign_loss,
     reason = "a float to integer cast saturates"
 )]
-fn tokens(amount: f64) -> Tokens {
+fn to_tokens(amount: f64) -> Tokens {
     amount as Tokens
 }
--- a/crates/anvil_policy/src/health.rs
+++ b/crates/anvil_policy/src/health.rs
@@ -1,8 +1,13 @@
-//! Joins what is measured of a pool's endpoints and writes it into their shares and limits.
+//! Tracks the measurements of a pool's endpoints and sets their shares and limits.
 //!
-//! A router keeps one [`Health`] for each pool under a lock: [`Health::report`] for each load
-//! report, [`Health::observe`] after each try, [`Health::tick`] once a second and when the pool
-//! was swapped. What requests read on their way are only the atomics of
+//! *Load pattern:* endpoints that become slow, fail, saturate, leave or return while requests are
+//! sent to them; see [`crate::ejection`] and [`crate::limit`], which this module joins.
+//!
+//! *Without it:* each request would have to evaluate measurements under a lock on its way.
+//!
+//! *Mechanism:* a router keeps one [`Health`] for each pool under a lock. It calls
+//! [`Health::report`] for each load report, [`Health::observe`] after each attempt, and
+//! [`Health::tick`] once a second and when the pool was swapped. Requests read only the atomics of
 //! [`EndpointState`].
 
 use std::collections::BTreeMap;
@@ -10,50 +15,49 @@
 use anvil_world::prelude::*;
 
 use crate::choice::Pool;
-use crate::ejection::{self, EjectionRule, Record, Try};
+use crate::ejection::{self, AnswerStats, AttemptResult, EjectionRule};
 use crate::endpoint::{EndpointState, LoadReport};
 use crate::limit::{Latency, Limit, LimitRule};
 
-/// Rules of a pool's health.
+/// Settings of a pool's health.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct HealthRule {
-    /// Slow and failing endpoints.
+    /// Thresholds of ejection.
     pub ejection: EjectionRule,
-    /// Runs an endpoint is given.
+    /// Limits on the runs of an endpoint.
     pub limit: LimitRule,
-    /// Whether load reports are made about one interval before they arrive. Counts of a sidecar
-    /// don't lag, those that an engine makes of itself do.
+    /// Whether load reports are made about one interval before they arrive. Counts made by a
+    /// sidecar don't lag; those that an engine makes itself do.
     pub reports_lag: bool,
-    /// How many routers share the endpoints; each may always have its part of half the
-    /// limit.
+    /// Number of routers that share the endpoints; each may always use its part of half the limit.
     pub routers: u32,
 }
 
-/// How one try ended.
+/// Result of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ended {
     /// The endpoint answered.
     Answered(Latency),
-    /// The endpoint failed or could not be reached. Not for a caller who left, and not for a
-    /// request that the endpoint rightly refused.
+    /// The endpoint failed or could not be reached. Not to be used when the caller disconnected or
+    /// when the endpoint was right to refuse the request.
     Failed,
 }
 
 #[derive(Debug, Clone)]
-struct Watched {
-    record: Record,
+struct EndpointHealth {
+    stats: AnswerStats,
     limit: Limit,
 }
 
-/// What is measured of one pool's endpoints.
+/// Measurements of one pool's endpoints.
 #[derive(Debug, Clone, Default)]
 pub struct Health {
     rule: HealthRule,
-    endpoints: BTreeMap<InstanceId, Watched>,
+    endpoints: BTreeMap<InstanceId, EndpointHealth>,
 }
 
 impl Health {
-    /// With these rules.
+    /// Creates an empty state with these settings.
     pub fn new(rule: HealthRule) -> Self {
         Self {
             rule,
@@ -66,74 +70,77 @@
         self.rule.routers = routers;
     }
 
-    /// Takes in a report of an endpoint's load: its pressure, and what that says of its limit.
+    /// Applies a load report to the endpoint's estimated load and to its limit.
     pub fn report(&mut self, now: Now, endpoint: &EndpointState, load: &LoadReport) {
         endpoint.report(load, self.rule.reports_lag);
-        if let Some(watched) = self.endpoints.get_mut(&endpoint.id) {
-            let pressure = endpoint.pressure();
-            watched.limit.heard(&self.rule.limit, now, load, pressure);
-            endpoint.set_limit(watched.limit.value());
+        if let Some(tracked) = self.endpoints.get_mut(&endpoint.id) {
+            let estimated_load = endpoint.pressure();
+            tracked
+                .limit
+                .apply_report(&self.rule.limit, now, load, estimated_load);
+            endpoint.set_limit(tracked.limit.value());
         }
     }
 
-    /// Takes in the end of a try. Errors act at once.
+    /// Applies the result of an attempt. Errors take effect at once.
     pub fn observe(&mut self, now: Now, endpoint: &EndpointState, ended: &Ended) {
-        let Some(watched) = self.endpoints.get_mut(&endpoint.id) else {
+        let Some(tracked) = self.endpoints.get_mut(&endpoint.id) else {
             return;
         };
         let ended = match ended {
-            Ended::Failed => Try::Failed,
-            Ended::Answered(latency) => Try::Answered(latency.first + latency.between),
+            Ended::Failed => AttemptResult::Failed,
+            Ended::Answered(latency) => AttemptResult::Answered(latency.first + latency.between),
         };
         let rule = &self.rule.ejection;
-        let failed_before = watched.record.fails(rule);
-        watched.record.observe(now, ended);
-        if watched.record.fails(rule) && !failed_before {
-            // Through the same bound as the tick, or an error burst here could close the pool.
-            // Once, not with each error: every judgement halves the shares of slow endpoints.
-            self.judge(now);
-            self.write(endpoint);
+        let failed_before = tracked.stats.is_failing(rule);
+        tracked.stats.observe(now, ended);
+        if tracked.stats.is_failing(rule) && !failed_before {
+            // Goes through the same bound as the tick, or a burst of errors could eject the whole
+            // pool here. Runs once and not for each error, because every evaluation halves the
+            // shares of slow endpoints.
+            self.evaluate(now);
+            self.apply_to(endpoint);
         }
     }
 
-    /// Judges all endpoints and moves their shares. Endpoints that the pool no longer has are
-    /// forgotten.
+    /// Evaluates all endpoints and updates their shares. Endpoints that are no longer in the pool
+    /// are removed.
     pub fn tick(&mut self, now: Now, pool: &Pool) {
         self.endpoints.retain(|id, _| pool.get(id).is_some());
         for endpoint in pool.endpoints() {
             if !self.endpoints.contains_key(&endpoint.id) {
-                self.watch(now, endpoint);
+                self.track(now, endpoint);
             }
         }
-        self.judge(now);
+        self.evaluate(now);
         for endpoint in pool.endpoints() {
-            self.write(endpoint);
+            self.apply_to(endpoint);
         }
     }
 
-    fn judge(&mut self, now: Now) {
-        let records = self
+    fn evaluate(&mut self, now: Now) {
+        let all_stats = self
             .endpoints
             .values_mut()
-            .map(|watched| &mut watched.record);
-        let mut records: Vec<&mut Record> = records.collect();
-        ejection::judge(&self.rule.ejection, now, &mut records);
+            .map(|tracked| &mut tracked.stats);
+        let mut all_stats: Vec<&mut AnswerStats> = all_stats.collect();
+        ejection::evaluate(&self.rule.ejection, now, &mut all_stats);
     }
 
-    fn write(&self, endpoint: &EndpointState) {
-        let Some(watched) = self.endpoints.get(&endpoint.id) else {
+    fn apply_to(&self, endpoint: &EndpointState) {
+        let Some(tracked) = self.endpoints.get(&endpoint.id) else {
             return;
         };
-        endpoint.set_share(watched.record.target());
-        endpoint.set_limit(watched.limit.value());
+        endpoint.set_share(tracked.stats.target_share());
+        endpoint.set_limit(tracked.limit.value());
         endpoint.set_routers(self.rule.routers);
     }
 
-    fn watch(&mut self, now: Now, endpoint: &EndpointState) {
-        let watched = Watched {
-            record: Record::default(),
+    fn track(&mut self, now: Now, endpoint: &EndpointState) {
+        let tracked = EndpointHealth {
+            stats: AnswerStats::default(),
             limit: Limit::new(&self.rule.limit, now, endpoint.slots()),
         };
-        self.endpoints.insert(endpoint.id.clone(), watched);
+        self.endpoints.insert(endpoint.id.clone(), tracked);
     }
 }
--- a/crates/anvil_policy/src/lib.rs
+++ b/crates/anvil_policy/src/lib.rs
@@ -1,9 +1,10 @@
-//! Decisions under load: what is let in, what waits, what is turned away and where work goes.
+//! Decisions under load: which requests are admitted, queued or refused, and where they are sent.
 //!
-//! Everything here is pure: no clock, no socket, no task. Time is passed in as [`Now`], random
-//! numbers come from a generator that is passed in, so that a test plays an hour of load in
-//! milliseconds and gets the same answer each time. Each module's page says which pattern of
-//! load it answers, what goes wrong without it, and where its thresholds come from.
+//! Everything here is pure: no clock, no socket, no task. Time is passed in as [`Now`] and random
+//! numbers come from a generator that is passed in, so that a test simulates an hour of load in
+//! milliseconds and gets the same result each time. The documentation of each module says which
+//! pattern of load it answers, what goes wrong without it, how it works, and why its thresholds
+//! are what they are.
 //!
 //! ```
 //! use std::sync::Arc;
@@ -31,22 +32,22 @@
 //! let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(7);
 //! let Choice::Endpoint(endpoint) = Chooser::default().choose(&pool, &Ask::default(), &mut rng)
 //! else {
-//!     panic!("an empty endpoint has room");
+//!     panic!("an empty endpoint has headroom");
 //! };
 //! endpoint.start();
 //! assert_eq!(pool.in_flight(), 1);
 //! ```
 //!
-//! Read on in this order:
+//! Suggested reading order:
 //! * [`endpoint`] and [`choice`]: what is known of an endpoint, and which one is chosen.
-//! * [`admission`], [`waiting`], [`fair`], [`deadline`], [`estimate`]: the door and the queue.
-//! * [`health`], with [`limit`] and [`ejection`]: how much an endpoint is given.
-//! * [`retry`]: whether a failed try is made again.
+//! * [`admission`], [`waiting`], [`fair`], [`deadline`], [`estimate`]: admission and the queue.
+//! * [`health`], with [`limit`] and [`ejection`]: how much work an endpoint is given.
+//! * [`retry`]: whether a failed attempt is repeated.
 //! * [`grant`]: how much of a budget a router holds.
-//! * [`engine`]: where a prompt goes among engines that nobody stands beside.
-//! * [`copying`]: when such an engine copies what another one has read.
-//! * [`crash`]: under which requests an endpoint crashed.
-//! * [`rate_share`]: how many requests a router sends to an endpoint that announced a limit for all of them.
+//! * [`engine`]: which engine a prompt goes to, among engines without a sidecar.
+//! * [`copying`]: when such an engine copies cached tokens from another one.
+//! * [`crash`]: which requests were in flight at an endpoint when it crashed.
+//! * [`rate_share`]: each router's part of a rate limit that an endpoint announces for all of them.
 //! * [`prefix`]: which endpoints hold which prompt prefixes.
 //! * [`list_turn`]: which router reads the list of endpoints for the others.
 //! * [`subset`] and [`placement`]: which endpoints a router watches, and which models they hold.
--- a/crates/anvil_policy/src/limit.rs
+++ b/crates/anvil_policy/src/limit.rs
@@ -1,15 +1,19 @@
-//! How many runs an endpoint is given, following measured latency.
+//! Adaptive limit on the runs of an endpoint, following measured latency.
 //!
-//! *Answers:* saturation, and engines whose slots are more than they serve well.
+//! *Load pattern:* saturation, and engines with more slots than they can serve in time.
 //!
-//! *Without it:* an engine that batches continuously takes as many runs as it has slots, and
-//! each added run slows every other. The slots are the engine's bound of memory, not of speed,
+//! *Without it:* an engine with continuous batching accepts as many runs as it has slots, and each
+//! added run slows down all others. The slots are bounded by the engine's memory, not by its speed,
 //! so at saturation all callers get late tokens.
 //!
-//! *How:* the limit falls to a part of what runs when tokens come late or runs wait inside the
-//! engine, then rests until the cut shows, and rises by steps while work presses against it.
-//! The limit is on the endpoint's whole pressure, not on one router's part of it: all routers
-//! hear the same reports and come to about the same limit without talking to each other.
+//! *Mechanism:* the limit is cut to a part of the running runs when tokens come late or runs queue
+//! inside the engine. It then stays unchanged until the effect of the cut shows, and increases in
+//! steps while the load is close to it. The limit applies to the endpoint's total load, not to one
+//! router's part: all routers receive the same reports and arrive at about the same limit without
+//! coordination.
+//!
+//! *Thresholds:* the target for the time between tokens is below the promised value, because a mean
+//! hides the slower steps that also prefill; the reason for each value is in [`LimitRule`].
 
 use std::time::Duration;
 
@@ -17,32 +21,32 @@
 
 use crate::endpoint::LoadReport;
 
-/// What one run measured at an endpoint.
+/// Latency of one run at an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Latency {
-    /// Time to the first token, less what the prompt's own prefill is expected to take. For a
-    /// plain call: the whole time.
+    /// Time to the first token, less the expected prefill time of the prompt. For a plain call: the
+    /// whole time.
     pub first: Duration,
-    /// Mean time between tokens; zero when there was at most one.
+    /// Mean time between tokens; zero if there was at most one.
     pub between: Duration,
 }
 
-/// What callers are promised, and how the limit moves.
+/// Target latency and how the limit is adjusted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LimitRule {
-    /// Longest mean time between tokens. Below the promised 59 ms for 95 in 100, because steps
-    /// that also prefill take longer than the mean.
+    /// Maximum mean time between tokens. Below the promised 59 ms for 95 in 100, because steps that
+    /// also prefill take longer than the mean.
     pub between: Duration,
-    /// A cut leaves at least this part of what runs.
+    /// A cut keeps at least this part of the running runs.
     pub keep: f64,
-    /// Runs that the limit rises a second, while work presses against it.
-    pub rise: f64,
-    /// After a cut the limit rests this long: the cut shows only when runs have ended, and in
-    /// the report after that. Without the rest one overload is cut again and again.
-    pub rest: Duration,
-    /// Weight of the newest report. One report covers few steps, and a long prompt that is
-    /// prefilled in them makes it late although the batch is small.
-    pub newest: f64,
+    /// Increase of the limit in runs a second, while the load is close to it.
+    pub rise_per_s: f64,
+    /// Time after a cut in which the limit is not changed: the effect shows only when runs have
+    /// ended, and in the report after that. Without it a single overload is cut repeatedly.
+    pub cut_cooldown: Duration,
+    /// Weight of the newest report. A report covers few steps, and prefilling a long prompt in them
+    /// makes tokens late although the batch is small.
+    pub report_weight: f64,
     /// Part of the slots that a new endpoint is given at first.
     pub first: f64,
 }
@@ -52,9 +56,9 @@
         Self {
             between: Duration::from_millis(51),
             keep: 0.8,
-            rise: 1.0,
-            rest: Duration::from_secs(3),
-            newest: 0.12,
+            rise_per_s: 1.0,
+            cut_cooldown: Duration::from_secs(3),
+            report_weight: 0.12,
             first: 0.5,
         }
     }
@@ -64,23 +68,23 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limit {
     value: f64,
-    late: f64,
-    rests_until: Now,
-    heard_at: Now,
+    mean_lateness: f64,
+    cooldown_until: Now,
+    reported_at: Now,
 }
 
 impl Limit {
-    /// Starts at a part of the endpoint's own word.
+    /// Starts at a part of the reported slots.
     pub fn new(rule: &LimitRule, now: Now, slots: u32) -> Self {
         Self {
             value: (f64::from(slots) * rule.first).max(1.0),
-            late: 0.0,
-            rests_until: now,
-            heard_at: now,
+            mean_lateness: 0.0,
+            cooldown_until: now,
+            reported_at: now,
         }
     }
 
-    /// Most runs.
+    /// Maximum number of runs.
     pub fn value(&self) -> u32 {
         #[expect(
             clippy::cast_possible_truncation,
@@ -91,29 +95,38 @@
         whole.max(1)
     }
 
-    /// Takes in a report. `pressure` is the endpoint's pressure by this router's count.
-    pub fn heard(&mut self, rule: &LimitRule, now: Now, load: &LoadReport, pressure: u32) {
-        let passed = now.saturating_sub(self.heard_at).as_secs_f64();
-        self.heard_at = now;
-        self.late += rule.newest * (lateness(rule, load) - self.late);
-        if now >= self.rests_until {
-            if self.late > 1.0 {
+    /// Applies a load report. `estimated_load` is the endpoint's load as estimated by this router
+    /// ([`EndpointState::pressure`](crate::endpoint::EndpointState::pressure)).
+    pub fn apply_report(
+        &mut self,
+        rule: &LimitRule,
+        now: Now,
+        load: &LoadReport,
+        estimated_load: u32,
+    ) {
+        let elapsed_s = now.saturating_sub(self.reported_at).as_secs_f64();
+        self.reported_at = now;
+        self.mean_lateness += rule.report_weight * (lateness(rule, load) - self.mean_lateness);
+        if now >= self.cooldown_until {
+            if self.mean_lateness > 1.0 {
                 let running = f64::from(load.running).min(self.value);
-                self.value = running * (1.0 / self.late).max(rule.keep);
-                self.rests_until = now + rule.rest;
-            } else if pressure.saturating_add(2) >= self.value() {
-                // An increase that nothing presses for would only let the next burst in whole.
-                self.value += rule.rise * passed.min(1.0);
+                self.value = running * (1.0 / self.mean_lateness).max(rule.keep);
+                self.cooldown_until = now + rule.cut_cooldown;
+            } else if estimated_load.saturating_add(2) >= self.value() {
+                // Without load close to the limit, an increase would only admit the next burst as a
+                // whole.
+                self.value += rule.rise_per_s * elapsed_s.min(1.0);
             }
         }
         self.value = self.value.clamp(1.0, f64::from(load.slots.max(1)));
     }
 }
 
-/// How many times too late the tokens come; over 1 also when runs wait inside the engine.
+/// How late tokens come, relative to the target (1 is on time); also above 1 if runs queue inside
+/// the engine.
 fn lateness(rule: &LimitRule, load: &LoadReport) -> f64 {
     if load.queued > 0 {
-        // It is full by its own word, whatever its slots say.
+        // The engine queues runs, so it is full whatever its number of slots.
         return f64::from(load.running + load.queued) / f64::from(load.running.max(1));
     }
     if load.tokens_per_second == 0 {
--- a/crates/anvil_policy/src/list_turn.rs
+++ b/crates/anvil_policy/src/list_turn.rs
@@ -1,105 +1,109 @@
-//! Which router reads the platform's list of endpoints, and which ones are told by it.
+//! Which router of an availability zone reads the platform's list of endpoints for the others.
 //!
-//! *Answers:* hundreds of routers, each of which needs to know within seconds which endpoints come and
-//! leave, before a list that is read page by page and answers a bounded number of calls.
+//! *Load pattern:* hundreds of routers that each need to know within seconds which endpoints come
+//! and leave, and a list that is read page by page and served at a bounded rate.
 //!
-//! *Without it:* each router reads each page: the calls grow with routers times pages, and when many
-//! routers start or doubt the list at once, most of their calls are turned away.
+//! *Without it:* every router reads every page: the calls grow with routers times pages, and when
+//! many routers start or need a fresh list at once, most of their calls are refused.
 //!
-//! *How:* the routers of an availability zone rank themselves alike, without a word to each other. The
-//! first one reads; the others ask it, and are answered as soon as it has read again. Nobody needs to agree
-//! on who is first: each answer says how old it is, each router knows by its own clock how old what it
-//! holds may be, and reads for itself before that is too old. A first one that is frozen, cut off or dead
-//! is passed over a little earlier than that, so that the next one reads for all.
+//! *Mechanism:* the routers of an availability zone rank themselves in the same way, without
+//! communication. The first one reads the list; the others request it from that reader and are
+//! answered when it has read again. They need not agree on the reader: each answer carries its age,
+//! each router knows by its own clock how old its copy may be, and reads the list itself before the
+//! copy is too old. A reader that is frozen, partitioned or dead is skipped a little earlier than
+//! that, so that the next one reads for all.
 //!
-//! The calls are zones times pages a read, whatever the number of routers.
+//! *Thresholds:* the reader reads early enough to leave a tenth of the maximum age for its reading
+//! and the way to the others, and another tenth for the next router to do the same. The number of
+//! calls is zones times pages for each reading, whatever the number of routers.
 
 use std::time::Duration;
 
 use anvil_world::prelude::*;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Ages of a list at which something is done about it.
+/// Ages of a router's copy of the list at which it acts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListAges {
-    /// The first router reads it again; drawn between these for each reading.
-    pub first_reads: (Duration, Duration),
+    /// The reader reads the list again; drawn between these for each reading.
+    pub reader_refreshes: (Duration, Duration),
     /// The same for a router without siblings.
-    pub reads_alone: (Duration, Duration),
-    /// A first router that hasn't answered is passed over.
-    pub passed_over: Duration,
-    /// Any router reads it.
-    pub all_read: Duration,
+    pub alone_refreshes: (Duration, Duration),
+    /// A reader that hasn't answered is skipped.
+    pub skip_reader: Duration,
+    /// Any router reads the list itself.
+    pub must_read: Duration,
 }
 
-/// Age at which the first router reads, as parts of the age at which any router does. A tenth is left for
-/// the reading and its way to the others, and another one for the next router to do the same.
-const FIRST_READS: (f64, f64) = (0.72, 0.8);
-/// The same for a router without siblings, which leaves nothing for a way to others.
-const READS_ALONE: (f64, f64) = (0.82, 1.0);
-/// Age at which a silent first router is passed over, as a part of the same.
-const PASSED_OVER: f64 = 0.9;
+/// Age at which the reader reads, as parts of the age at which any router does. This leaves a tenth
+/// for the reading and the way to the others, and another tenth for the next router to do the same.
+const READER_REFRESHES: (f64, f64) = (0.72, 0.8);
+/// The same for a router without siblings, which needs no time to pass the list on.
+const ALONE_REFRESHES: (f64, f64) = (0.82, 1.0);
+/// Age at which an unresponsive reader is skipped, as a part of the same.
+const SKIP_READER: f64 = 0.9;
 
 impl ListAges {
-    /// Ages for a list that a router must not hold for longer than this without reading it.
-    pub fn within(all_read: Duration) -> Self {
-        let between = |(least, most)| (all_read.mul_f64(least), all_read.mul_f64(most));
+    /// Ages for a list that a router must not keep for longer than this without reading it again.
+    pub fn within(must_read: Duration) -> Self {
+        let between = |(min_age, max_age)| (must_read.mul_f64(min_age), must_read.mul_f64(max_age));
         Self {
-            first_reads: between(FIRST_READS),
-            reads_alone: between(READS_ALONE),
-            passed_over: all_read.mul_f64(PASSED_OVER),
-            all_read,
+            reader_refreshes: between(READER_REFRESHES),
+            alone_refreshes: between(ALONE_REFRESHES),
+            skip_reader: must_read.mul_f64(SKIP_READER),
+            must_read,
         }
     }
 }
 
-/// What a router does next about its list.
+/// The next action of a router to refresh its list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step<'a> {
-    /// Read it when what is held has this age.
+    /// Read the list when the copy has this age.
     Read(Duration),
-    /// Ask this sibling, and pass it over when what is held has this age.
+    /// Request the list from this sibling, and skip the sibling when the copy has this age.
     Ask(&'a InstanceId, Duration),
 }
 
-/// How well a router suits as the reader: the lowest one is first. All routers compute the same.
+/// Rank of a router as the reader: the lowest one reads. All routers compute the same rank.
 pub fn reader_rank(router: &str) -> u64 {
     xxh3_64(router.as_bytes())
 }
 
-/// The siblings in the order in which they read, without those that didn't answer lately.
+/// The siblings in order of their rank, without those that are skipped because they didn't answer
+/// recently.
 pub fn in_order(
     siblings: impl IntoIterator<Item = InstanceId>,
-    is_passed_over: impl Fn(&InstanceId) -> bool,
+    is_skipped: impl Fn(&InstanceId) -> bool,
 ) -> Vec<InstanceId> {
-    let answering = siblings.into_iter().filter(|id| !is_passed_over(id));
+    let answering = siblings.into_iter().filter(|id| !is_skipped(id));
     let mut order: Vec<_> = answering.collect();
     order.sort_by_key(|id| reader_rank(id));
     order
 }
 
-/// What `own` does next with a list of this age, where the routers read in this order. `drawn` lies
-/// between 0 and 1.
+/// The next action of `own` with a copy of this age, if the routers rank in this order. `jitter`
+/// lies between 0 and 1.
 pub fn next_step<'a>(
     own: &InstanceId,
     order: &'a [InstanceId],
     ages: &ListAges,
     age: Duration,
-    drawn: f64,
+    jitter: f64,
 ) -> Step<'a> {
     let Some(first) = order.first().filter(|first| *first != own) else {
-        let (least, most) = if order.len() > 1 {
-            ages.first_reads
+        let (min_age, max_age) = if order.len() > 1 {
+            ages.reader_refreshes
         } else {
-            ages.reads_alone
+            ages.alone_refreshes
         };
-        return Step::Read(least + most.saturating_sub(least).mul_f64(drawn));
+        return Step::Read(min_age + max_age.saturating_sub(min_age).mul_f64(jitter));
     };
-    if age < ages.passed_over {
-        return Step::Ask(first, ages.passed_over);
+    if age < ages.skip_reader {
+        return Step::Ask(first, ages.skip_reader);
     }
-    if age < ages.all_read {
-        return Step::Ask(first, ages.all_read);
+    if age < ages.must_read {
+        return Step::Ask(first, ages.must_read);
     }
-    Step::Read(ages.all_read)
+    Step::Read(ages.must_read)
 }
--- a/crates/anvil_policy/src/placement.rs
+++ b/crates/anvil_policy/src/placement.rs
@@ -1,161 +1,192 @@
-//! Which endpoints hold which models, and which load is ordered next.
+//! Plans which models are loaded on and unloaded from which endpoints.
 //!
-//! *Answers:* demand that moves between models, and endpoints lost or added.
+//! *Load pattern:* demand that shifts between models, and endpoints that are lost or added.
 //!
-//! *Without it:* a model whose demand doubles has its two endpoints full beside idle ones; and
-//! when everything is ordered at once, the rate-limited weight store serves all loads slowly, so
-//! that none is ready when it is needed.
+//! *Without it:* the two endpoints of a model whose demand doubles are full while others are idle.
+//! If everything is loaded at once, the rate-limited weight store serves all loads slowly, and none
+//! is ready when it is needed.
 //!
-//! *How:* [`plan`] names the next load or unload, never more loads at a time than the store
-//! carries ([`PlacementRule::loads_at_once`]). The model that lacks most, as a part of its
-//! wanted replicas, is first; a model without any replica goes before all others. A replica goes
-//! to the zone that has fewest of that model, there to the endpoint with most free memory.
-//! Nothing is unloaded below the wanted number, and nothing that runs work.
+//! *Mechanism:* [`plan`] returns the next loads or an unload. The model that lacks the largest part
+//! of its wanted replicas goes first; a model without any replica goes before all others. A replica
+//! is placed in the zone with the fewest replicas of that model, on the endpoint with the most free
+//! memory. No model is unloaded below its wanted number of replicas, or where it has runs.
+//!
+//! *Thresholds:* never more loads run at a time than the weight store has bandwidth for
+//! ([`PlacementRule::max_concurrent_loads`]).
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use anvil_world::prelude::*;
 
-/// Bounds of moves.
+/// Bounds of placement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlacementRule {
-    /// Loads that run at a time over the whole fleet: the weight store's bytes a second divided
-    /// by the bytes a second that one endpoint takes.
-    pub loads_at_once: usize,
+    /// Loads that run at a time over the whole fleet: the bandwidth of the weight store divided by
+    /// that of one endpoint, both in bytes a second.
+    pub max_concurrent_loads: usize,
 }
 
 impl Default for PlacementRule {
     fn default() -> Self {
-        Self { loads_at_once: 2 }
+        Self {
+            max_concurrent_loads: 2,
+        }
     }
 }
 
-/// An endpoint as a place for models.
+/// Models of one endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Host {
-    /// Its sidecar's instance.
+pub struct ModelEndpoint {
+    /// The instance of its sidecar.
     pub id: InstanceId,
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: Zone,
-    /// Models it can hold.
+    /// Number of models it can hold.
     pub capacity: usize,
     /// Models it holds.
-    pub holds: BTreeSet<ModelId>,
-    /// Models it loads now.
-    pub loads: BTreeSet<ModelId>,
+    pub loaded: BTreeSet<ModelId>,
+    /// Models it is loading.
+    pub loading_models: BTreeSet<ModelId>,
     /// Models that have runs on it.
     pub busy: BTreeSet<ModelId>,
-    /// Whether it takes no new work.
+    /// Whether it is draining and accepts no new work.
     pub leaving: bool,
 }
 
-impl Host {
+impl ModelEndpoint {
     fn has(&self, model: &ModelId) -> bool {
-        self.holds.contains(model) || self.loads.contains(model)
+        self.loaded.contains(model) || self.loading_models.contains(model)
     }
 
     fn free(&self) -> usize {
-        let used = self.holds.len() + self.loads.len();
+        let used = self.loaded.len() + self.loading_models.len();
         self.capacity.saturating_sub(used)
     }
 }
 
-/// One order.
+/// A planned change.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Move {
     /// Load a model.
     Load {
-        /// Where.
-        host: InstanceId,
-        /// What.
+        /// The endpoint.
+        endpoint: InstanceId,
+        /// The model.
         model: ModelId,
     },
-    /// Drop a model that is not needed there, to make room.
+    /// Unload a model that is not needed there, to free memory.
     Unload {
-        /// Where.
-        host: InstanceId,
-        /// What.
+        /// The endpoint.
+        endpoint: InstanceId,
+        /// The model.
         model: ModelId,
     },
 }
 
-/// The next orders. Carry them out, look again, and ask again.
-pub fn plan(rule: &PlacementRule, wanted: &BTreeMap<ModelId, usize>, hosts: &[Host]) -> Vec<Move> {
-    let mut hosts: Vec<Host> = hosts.iter().filter(|host| !host.leaving).cloned().collect();
+/// The next changes. The caller carries them out, updates its view of the endpoints, and plans
+/// again.
+pub fn plan(
+    rule: &PlacementRule,
+    wanted: &BTreeMap<ModelId, usize>,
+    endpoints: &[ModelEndpoint],
+) -> Vec<Move> {
+    let mut endpoints: Vec<ModelEndpoint> = endpoints
+        .iter()
+        .filter(|endpoint| !endpoint.leaving)
+        .cloned()
+        .collect();
     let mut moves = Vec::new();
-    let mut loading: usize = hosts.iter().map(|host| host.loads.len()).sum();
-    while loading < rule.loads_at_once {
-        let Some(model) = neediest(wanted, &hosts) else {
+    let mut loading: usize = endpoints
+        .iter()
+        .map(|endpoint| endpoint.loading_models.len())
+        .sum();
+    while loading < rule.max_concurrent_loads {
+        let Some(model) = most_lacking_model(wanted, &endpoints) else {
             break;
         };
-        let Some(at) = best_host(&hosts, &model) else {
-            moves.extend(make_room(wanted, &hosts, &model));
+        let Some(at) = best_endpoint(&endpoints, &model) else {
+            moves.extend(unload_surplus(wanted, &endpoints, &model));
             break;
         };
-        hosts[at].loads.insert(model.clone());
+        endpoints[at].loading_models.insert(model.clone());
         loading += 1;
-        let host = hosts[at].id.clone();
-        moves.push(Move::Load { host, model });
+        let endpoint = endpoints[at].id.clone();
+        moves.push(Move::Load { endpoint, model });
     }
     moves
 }
 
-/// How many replicas a model is to have for its demand.
+/// Number of replicas that a model needs for its demand, at least `min_replicas`, which is set by
+/// the operator.
 ///
-/// `demand` and `each` in tokens a second; `spare` is the part that stays free for a lost
-/// endpoint, such as 0.3. At least the operator's number.
-pub fn replicas_for(demand: f64, each: f64, spare: f64, at_least: usize) -> usize {
-    let carried = (each * (1.0 - spare)).max(1.0);
+/// `demand` and `per_replica` are in tokens a second; `spare` is the part that is kept free for a
+/// lost endpoint, such as 0.3.
+pub fn replicas_for(demand: f64, per_replica: f64, spare: f64, min_replicas: usize) -> usize {
+    let carried = (per_replica * (1.0 - spare)).max(1.0);
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "a float to integer cast saturates"
     )]
     let needed = (demand / carried).ceil() as usize;
-    needed.max(at_least)
+    needed.max(min_replicas)
 }
 
-fn replicas(hosts: &[Host], model: &ModelId) -> usize {
-    hosts.iter().filter(|host| host.has(model)).count()
+fn replicas(endpoints: &[ModelEndpoint], model: &ModelId) -> usize {
+    endpoints
+        .iter()
+        .filter(|endpoint| endpoint.has(model))
+        .count()
 }
 
-fn neediest(wanted: &BTreeMap<ModelId, usize>, hosts: &[Host]) -> Option<ModelId> {
+fn most_lacking_model(
+    wanted: &BTreeMap<ModelId, usize>,
+    endpoints: &[ModelEndpoint],
+) -> Option<ModelId> {
     let lacking = wanted.iter().filter_map(|(model, want)| {
-        let have = replicas(hosts, model);
+        let have = replicas(endpoints, model);
         // In thousandths, so that it can be ordered.
         (have < *want).then(|| (have * 1_000 / want, model))
     });
     lacking.min().map(|(_, model)| model.clone())
 }
 
-fn best_host(hosts: &[Host], model: &ModelId) -> Option<usize> {
+fn best_endpoint(endpoints: &[ModelEndpoint], model: &ModelId) -> Option<usize> {
     let in_zone = |zone: &Zone| {
-        let same = hosts.iter().filter(|host| host.zone == *zone);
-        same.filter(|host| host.has(model)).count()
+        let same = endpoints.iter().filter(|endpoint| endpoint.zone == *zone);
+        same.filter(|endpoint| endpoint.has(model)).count()
     };
-    let fits = |host: &Host| host.free() > 0 && !host.has(model);
-    (0..hosts.len())
-        .filter(|at| fits(&hosts[*at]))
+    let fits = |endpoint: &ModelEndpoint| endpoint.free() > 0 && !endpoint.has(model);
+    (0..endpoints.len())
+        .filter(|at| fits(&endpoints[*at]))
         .min_by_key(|at| {
-            let host = &hosts[*at];
-            (in_zone(&host.zone), usize::MAX - host.free(), &host.id)
+            let endpoint = &endpoints[*at];
+            (
+                in_zone(&endpoint.zone),
+                usize::MAX - endpoint.free(),
+                &endpoint.id,
+            )
         })
 }
 
-fn make_room(wanted: &BTreeMap<ModelId, usize>, hosts: &[Host], needed: &ModelId) -> Option<Move> {
+fn unload_surplus(
+    wanted: &BTreeMap<ModelId, usize>,
+    endpoints: &[ModelEndpoint],
+    needed: &ModelId,
+) -> Option<Move> {
     let surplus = |model: &ModelId| {
         let want = wanted.get(model).copied().unwrap_or_default();
-        replicas(hosts, model).saturating_sub(want)
+        replicas(endpoints, model).saturating_sub(want)
     };
-    for host in hosts.iter().filter(|host| !host.has(needed)) {
-        let idle = host
-            .holds
+    for endpoint in endpoints.iter().filter(|endpoint| !endpoint.has(needed)) {
+        let idle = endpoint
+            .loaded
             .iter()
-            .filter(|model| !host.busy.contains(*model));
-        let most = idle.max_by_key(|model| surplus(model));
-        if let Some(model) = most.filter(|model| surplus(model) > 0) {
+            .filter(|model| !endpoint.busy.contains(*model));
+        let candidate = idle.max_by_key(|model| surplus(model));
+        if let Some(model) = candidate.filter(|model| surplus(model) > 0) {
             return Some(Move::Unload {
-                host: host.id.clone(),
+                endpoint: endpoint.id.clone(),
                 model: model.clone(),
             });
         }
--- a/crates/anvil_policy/src/prefix.rs
+++ b/crates/anvil_policy/src/prefix.rs
@@ -1,17 +1,17 @@
-//! Which endpoints hold which prompt prefixes.
+//! Index of the prompt prefixes that each endpoint holds in its cache.
 //!
-//! *Answers:* many requests that begin alike (a shop's instructions, a watch's history), on
-//! engines that cache prefixes in limited memory and publish cache events late and with gaps.
+//! *Load pattern:* many requests with the same prefix (a shop's instructions, a device's history),
+//! on engines that cache prefixes in limited memory and publish cache events late and with gaps.
 //!
-//! *Without it:* every endpoint prefills every prefix anew, and the cache of each holds the same
-//! few. With an index that believes all it hears, requests follow a prefix that was dropped long
-//! ago.
+//! *Without it:* every endpoint prefills every prefix again, and all caches hold the same few. With
+//! an index that never expires entries, requests follow a prefix that was evicted long ago.
 //!
-//! *How:* a prompt is cut into blocks, and each block's hash covers all text before it. An entry
-//! is made when this router sends a prompt (the engine will have it soon) and when an event says
-//! so; it goes with a removal event, with a gap in the events of an endpoint (everything heard
-//! before is in doubt), with age, and when memory is full. A wrong entry costs one prefill, so
-//! the index may be wrong, but not for long. See [`crate::choice`] for how much a hit counts.
+//! *Mechanism:* a prompt is cut into blocks, and the hash of each block covers all text before it.
+//! An entry is added when this router sends a prompt (the engine will hold it soon) and when an
+//! event reports it. It is removed by a removal event, invalidated when the endpoint's cache was
+//! cleared, and expires with age or when the index is full. A wrong entry costs one prefill, so
+//! entries may be wrong for a short time. [`crate::choice`] decides how much a cached prefix
+//! counts.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -19,7 +19,7 @@
 use anvil_world::prelude::*;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Hash of a prompt's blocks up to and with one block.
+/// Hash of a prompt up to and including one block.
 pub type PrefixHash = u64;
 
 /// Bounds of the index.
@@ -27,30 +27,31 @@
 pub struct PrefixRule {
     /// Prompt bytes in a block.
     pub block: usize,
-    /// Blocks of one prompt that are looked at.
-    pub most_blocks: usize,
-    /// Prefixes that are remembered at most; about 100 bytes each.
-    pub most_entries: usize,
-    /// Endpoints that are remembered for one prefix.
-    pub most_holders: usize,
-    /// After this time without use or event, an entry is not believed.
-    pub believed_for: Duration,
+    /// Maximum number of blocks of one prompt that are hashed.
+    pub max_blocks: usize,
+    /// Maximum number of prefixes in the index; about 100 bytes each.
+    pub max_entries: usize,
+    /// Maximum number of endpoints recorded for one prefix.
+    pub max_holders: usize,
+    /// An entry without use or event for this long is ignored.
+    pub entry_ttl: Duration,
 }
 
 impl Default for PrefixRule {
     fn default() -> Self {
         Self {
             block: 1_024,
-            most_blocks: 32,
-            most_entries: 65_536,
-            most_holders: 4,
-            believed_for: Duration::from_mins(5),
+            max_blocks: 32,
+            max_entries: 65_536,
+            max_holders: 4,
+            entry_ttl: Duration::from_mins(5),
         }
     }
 }
 
 impl PrefixRule {
-    /// Hashes of a prompt's whole blocks, first block first. `model` keeps models apart.
+    /// Hashes of the complete blocks of a prompt, first block first. `model` separates the prefixes
+    /// of different models.
     pub fn hashes(&self, model: &str, prompt: &[u8]) -> Vec<PrefixHash> {
         let mut hash = xxh3_64_with_seed(model.as_bytes(), 0);
         let blocks = prompt.chunks_exact(self.block.max(1));
@@ -58,55 +59,56 @@
             hash = xxh3_64_with_seed(block, hash);
             hash
         };
-        blocks.take(self.most_blocks).map(next).collect()
+        blocks.take(self.max_blocks).map(next).collect()
     }
 }
 
-/// What an endpoint says of its cache.
+/// Change of an endpoint's cache, as the endpoint reports it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Running number of the endpoint's events, without gaps when none is lost.
+    /// Sequence number of the endpoint's events, without gaps if none is lost.
     pub seq: u64,
-    /// What happened.
+    /// The change.
     pub change: CacheChange,
 }
 
-/// A change of a cache.
+/// Kind of change of a cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CacheChange {
-    /// A prefix was taken in.
+    /// A prefix was added.
     Added(PrefixHash),
-    /// A prefix was dropped.
+    /// A prefix was evicted.
     Removed(PrefixHash),
-    /// The whole cache was dropped.
+    /// The whole cache was cleared.
     Cleared,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Holder {
     seen: Now,
-    /// The endpoint's generation when it was seen; older than the present one means in doubt.
+    /// The endpoint's generation when the entry was made; entries of an older generation are
+    /// invalid.
     generation: u64,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Feed {
+struct EventFeed {
     next_seq: Option<u64>,
     generation: u64,
 }
 
-/// The index of one router. Bounded in memory whatever is sent or heard.
+/// The prefix index of one router. Its memory is bounded, whatever is sent or received.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixIndex {
     rule: PrefixRule,
     entries: BTreeMap<PrefixHash, BTreeMap<InstanceId, Holder>>,
-    /// Prefixes in the order in which they came; the oldest goes when memory is full.
+    /// Prefixes in order of insertion; the oldest is evicted when the index is full.
     order: VecDeque<PrefixHash>,
-    feeds: BTreeMap<InstanceId, Feed>,
+    feeds: BTreeMap<InstanceId, EventFeed>,
 }
 
 impl PrefixIndex {
-    /// With these bounds.
+    /// Creates an index with these bounds.
     pub fn new(rule: PrefixRule) -> Self {
         Self {
             rule,
@@ -114,25 +116,25 @@
         }
     }
 
-    /// Prefixes that are remembered.
+    /// Number of prefixes in the index.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether the index is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Remembers that a prompt with these hashes was sent to an endpoint.
+    /// Records that a prompt with these hashes was sent to an endpoint.
     pub fn sent(&mut self, now: Now, endpoint: &InstanceId, hashes: &[PrefixHash]) {
         for hash in hashes {
-            self.hold(now, endpoint, *hash);
+            self.add_holder(now, endpoint, *hash);
         }
     }
 
-    /// Takes in an event. Late and doubled ones do no harm, a gap puts the endpoint's older
-    /// entries in doubt: the lost event may have been a removal.
+    /// Applies an event. Late and duplicate events are ignored. After a gap, older entries of the
+    /// endpoint stay valid until they expire, although the lost event may have been a removal.
     pub fn heard(&mut self, now: Now, endpoint: &InstanceId, event: &CacheEvent) {
         let feed = self.feeds.entry(endpoint.clone()).or_default();
         let expected = feed.next_seq.unwrap_or(event.seq);
@@ -141,19 +143,19 @@
         }
         feed.next_seq = Some(event.seq + 1);
         match event.change {
-            CacheChange::Added(hash) => self.hold(now, endpoint, hash),
-            CacheChange::Removed(hash) => self.drop_holder(endpoint, hash),
-            CacheChange::Cleared => self.doubt(endpoint),
+            CacheChange::Added(hash) => self.add_holder(now, endpoint, hash),
+            CacheChange::Removed(hash) => self.remove_holder(endpoint, hash),
+            CacheChange::Cleared => self.invalidate(endpoint),
         }
     }
 
-    /// Puts all entries of an endpoint in doubt: it restarted, or its events stopped.
-    pub fn doubt(&mut self, endpoint: &InstanceId) {
+    /// Invalidates all entries of an endpoint, because it restarted or its events stopped.
+    pub fn invalidate(&mut self, endpoint: &InstanceId) {
         self.feeds.entry(endpoint.clone()).or_default().generation += 1;
     }
 
-    /// Forgets an endpoint that is gone.
-    pub fn forget(&mut self, endpoint: &str) {
+    /// Removes an endpoint that is gone.
+    pub fn remove_endpoint(&mut self, endpoint: &str) {
         self.feeds.remove(endpoint);
         for holders in self.entries.values_mut() {
             holders.remove(endpoint);
@@ -161,7 +163,7 @@
     }
 
     /// Endpoints that may hold a prefix of the prompt, with the number of blocks held. Longest
-    /// first, each endpoint once, and no more than the rule's holders.
+    /// prefix first, each endpoint once, and at most as many as [`PrefixRule::max_holders`].
     pub fn holders(&self, now: Now, hashes: &[PrefixHash]) -> Vec<(InstanceId, usize)> {
         let mut found: Vec<(InstanceId, usize)> = Vec::new();
         for (at, hash) in hashes.iter().enumerate().rev() {
@@ -170,28 +172,28 @@
             };
             for (id, holder) in holders {
                 let known = found.iter().any(|(other, _)| other == id);
-                if !known && self.believes(now, id, holder) {
+                if !known && self.is_valid(now, id, holder) {
                     found.push((id.clone(), at + 1));
                 }
             }
-            if found.len() >= self.rule.most_holders {
-                found.truncate(self.rule.most_holders);
+            if found.len() >= self.rule.max_holders {
+                found.truncate(self.rule.max_holders);
                 break;
             }
         }
         found
     }
 
-    fn believes(&self, now: Now, id: &InstanceId, holder: &Holder) -> bool {
+    fn is_valid(&self, now: Now, id: &InstanceId, holder: &Holder) -> bool {
         let generation = self.feeds.get(id).map_or(0, |feed| feed.generation);
-        let young = now.saturating_sub(holder.seen) <= self.rule.believed_for;
-        young && holder.generation == generation
+        let is_fresh = now.saturating_sub(holder.seen) <= self.rule.entry_ttl;
+        is_fresh && holder.generation == generation
     }
 
-    fn hold(&mut self, now: Now, endpoint: &InstanceId, hash: PrefixHash) {
+    fn add_holder(&mut self, now: Now, endpoint: &InstanceId, hash: PrefixHash) {
         let generation = self.feeds.get(endpoint).map_or(0, |feed| feed.generation);
         if !self.entries.contains_key(&hash) {
-            self.make_room();
+            self.evict_oldest();
             self.order.push_back(hash);
         }
         let holders = self.entries.entry(hash).or_default();
@@ -200,7 +202,7 @@
             generation,
         };
         holders.insert(endpoint.clone(), seen);
-        if holders.len() > self.rule.most_holders {
+        if holders.len() > self.rule.max_holders {
             let oldest = holders.iter().min_by_key(|(_, holder)| holder.seen);
             if let Some(oldest) = oldest.map(|(id, _)| id.clone()) {
                 holders.remove(&oldest);
@@ -208,14 +210,14 @@
         }
     }
 
-    fn drop_holder(&mut self, endpoint: &str, hash: PrefixHash) {
+    fn remove_holder(&mut self, endpoint: &str, hash: PrefixHash) {
         if let Some(holders) = self.entries.get_mut(&hash) {
             holders.remove(endpoint);
         }
     }
 
-    fn make_room(&mut self) {
-        while self.entries.len() >= self.rule.most_entries.max(1) {
+    fn evict_oldest(&mut self) {
+        while self.entries.len() >= self.rule.max_entries.max(1) {
             let Some(oldest) = self.order.pop_front() else {
                 return;
             };
--- a/crates/anvil_policy/src/rate_share.rs
+++ b/crates/anvil_policy/src/rate_share.rs
@@ -1,127 +1,134 @@
-//! One router's part of the requests that an endpoint takes a second from all routers together.
+//! Divides the rate limit of an endpoint between routers, without communication between them.
 //!
-//! *Answers:* an endpoint that announces a limit in its answers, before three or five hundred routers that
-//! each see a part of the load, in bursts that reach all of them at once.
+//! *Load pattern:* an endpoint that announces a rate limit in its answers, and three to five
+//! hundred routers that each see a part of the load, in bursts that reach all of them at once.
 //!
-//! *Without it:* each router takes the whole limit for its own, or none, and the endpoint gets it as many
-//! times as there are routers.
+//! *Without it:* each router uses the whole limit for itself, or none, and the endpoint receives it
+//! as many times as there are routers.
 //!
-//! *How:* without a word between routers, by their number and each one's rank among them. Where the part of one
-//! router is a request in two seconds or more, it is a token bucket. Where it is less, tokens that lie ready would
-//! add up over all routers to more than the limit as soon as a burst comes. So each router may send one
-//! request in a window of its own, by the time of day, once in each round. The windows begin one after the other, as many
-//! a second as the endpoint takes requests, and overlap as far as a burst in all open ones may be borne, so that
-//! a router with few requests has one for its window. In any four seconds half as much again as the limit, and five,
-//! are sent at most. Where clocks differ, windows shift, but no router sends more often than its part.
+//! *Mechanism:* each router computes its part from the number of routers and its rank among them. A
+//! router with a part of at least one request in two seconds uses a token bucket. With smaller
+//! parts, the tokens saved up by all routers would exceed the limit in a burst. There, each router
+//! may send one request in a time window of its own, by the time of day, once in each round of all
+//! routers. The windows of consecutive routers start as many times a second as the endpoint accepts
+//! requests. They overlap as far as a burst in all open ones is acceptable, so that a router with
+//! few requests has one ready in its window.
+//!
+//! *Thresholds:* in any four seconds at most one and a half times the limit plus five requests are
+//! sent. If clocks differ, windows shift, but no router sends more often than its part.
 
 use std::time::Duration;
 
 use anvil_world::prelude::*;
 
-/// Part of one router, in requests a second, from which on it keeps a token bucket.
-const BUCKET_FROM: f64 = 0.5;
-/// What a bucket holds, in seconds of its filling, beside its part of [`ALL_HOLD`]; one request at least. All buckets
-/// together hold less than two seconds of the limit and five requests.
-const BUCKET_HOLDS_S: f64 = 1.5;
-/// Requests that all buckets together hold beside that.
-const ALL_HOLD: f64 = 2.0;
-/// Windows that are open at once, beyond those that begin within a second.
-const OPEN_BEYOND: f64 = 2.0;
-/// Least limit: an endpoint that takes nothing is asked now and then whether that still holds.
-const LEAST_LIMIT: RateLimit = 50;
-
-/// A router among those that share the limit.
+/// Minimum part of a router, in requests a second, for which it uses a token bucket.
+const MIN_BUCKET_RATE: f64 = 0.5;
+/// Capacity of a bucket in seconds of refill, in addition to its part of [`SHARED_BUCKET_TOKENS`];
+/// at least one request. All buckets together hold less than two seconds of the limit plus five
+/// requests.
+const BUCKET_REFILL_S: f64 = 1.5;
+/// Further capacity in requests, shared by all buckets.
+const SHARED_BUCKET_TOKENS: f64 = 2.0;
+/// Number of windows that are open at a time, in addition to those that start within one second.
+const EXTRA_OPEN_WINDOWS: f64 = 2.0;
+/// Minimum limit, in requests per 1,000 s: an endpoint that accepts nothing is tried now and then,
+/// to learn whether that still holds.
+const MIN_LIMIT: RateLimit = 50;
+
+/// Position of a router among those that share a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Turn {
-    /// Its place among them, from 0.
+    /// Its rank among them, from 0.
     pub rank: u32,
-    /// How many they are.
+    /// Number of routers.
     pub routers: u32,
 }
 
 impl Turn {
-    /// Its part of what all of them have.
+    /// Its part of a total.
     fn share(self, all: f64) -> f64 {
         all / f64::from(self.routers.max(1))
     }
 }
 
-/// What both clocks say at one moment.
+/// Readings of both clocks at the same time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Clocks {
-    /// By the steady one.
+    /// The monotonic clock.
     pub now: Now,
-    /// By the time of day, since the epoch.
+    /// The time of day, since the epoch.
     pub time_of_day: Duration,
 }
 
-/// What one router sends to one endpoint.
+/// Requests that one router sends to one endpoint under its limit.
 #[derive(Debug, Clone, Default)]
 pub struct RateShare {
     limit: Option<RateLimit>,
-    /// Since when any limit is known.
-    since: Now,
+    /// Since when a limit has been known.
+    known_since: Now,
     sent: Option<Sent>,
-    /// Requests sent since a limit is known.
-    count: u32,
+    /// Requests sent since a limit has been known.
+    sent_count: u32,
     tokens: f64,
-    filled: Now,
+    filled_at: Now,
 }
 
-/// The last request.
+/// The last request sent.
 #[derive(Debug, Clone, Copy)]
 struct Sent {
     at: Now,
-    /// The round of windows that it was sent in.
+    /// The round of windows in which it was sent.
     round: f64,
 }
 
 impl RateShare {
-    /// The limit as it is known, in force now.
+    /// The limit in force, if any.
     pub fn limit(&self) -> Option<RateLimit> {
         self.limit
     }
 
-    /// An answer to a request sent at `sent` announces this limit, or none. Returns whether that is news.
+    /// Applies the limit, or its absence, that is announced in the answer to a request sent at
+    /// `sent`. Returns whether the limit changed.
     ///
-    /// An answer that announces none ends a limit only if its request was sent when the limit was known: an earlier one
-    /// may be from before the endpoint announced it.
-    pub fn heard(&mut self, now: Now, sent: Now, word: Option<RateLimit>) -> bool {
-        if word.is_none() && sent < self.since {
+    /// An answer without a limit removes the limit only if its request was sent when the limit was
+    /// already known: the answer to an earlier request may have been given before the endpoint
+    /// announced it.
+    pub fn heard(&mut self, now: Now, sent: Now, announced: Option<RateLimit>) -> bool {
+        if announced.is_none() && sent < self.known_since {
             return false;
         }
-        self.told(now, word)
+        self.told(now, announced)
     }
 
-    /// All routers are told of this limit, or that there is none any more. Returns whether that is news.
+    /// Sets the limit reported to all routers, or removes it. Returns whether it changed.
     pub fn told(&mut self, now: Now, limit: Option<RateLimit>) -> bool {
         if self.limit == limit {
             return false;
         }
         if self.limit.is_none() {
-            self.since = now;
-            self.count = 0;
+            self.known_since = now;
+            self.sent_count = 0;
             self.tokens = 0.0;
-            self.filled = now;
+            self.filled_at = now;
         }
         self.limit = limit;
         true
     }
 
-    /// Time until a request may be sent; nothing when it may be now.
+    /// Time until a request may be sent; zero if it may be sent now.
     pub fn opens_in(&self, at: Clocks, turn: Turn) -> Duration {
         let Some(limit) = self.limit.map(per_second) else {
             return Duration::ZERO;
         };
         let share = turn.share(limit);
-        if share >= BUCKET_FROM {
+        if share >= MIN_BUCKET_RATE {
             let missing = 1.0 - self.tokens_at(at.now, turn, share);
             return seconds((missing / share).max(0.0));
         }
         Windows::of(limit, turn).opens_in(at, self.sent)
     }
 
-    /// Sends a request if it may be sent now.
+    /// Counts a request as sent, if it may be sent now; returns whether it may.
     pub fn send(&mut self, at: Clocks, turn: Turn) -> bool {
         if !self.opens_in(at, turn).is_zero() {
             return false;
@@ -130,8 +137,8 @@
             return true;
         };
         self.tokens = self.tokens_at(at.now, turn, turn.share(limit)) - 1.0;
-        self.filled = at.now;
-        self.count = self.count.saturating_add(1);
+        self.filled_at = at.now;
+        self.sent_count = self.sent_count.saturating_add(1);
         self.sent = Some(Sent {
             at: at.now,
             round: Windows::of(limit, turn).round(at.time_of_day),
@@ -139,70 +146,75 @@
         true
     }
 
-    /// Requests sent since the limit is known, and thousandths of those that might have been.
+    /// Number of requests sent since a limit has been known, and a thousand times the number that
+    /// was allowed.
     pub fn used(&self, now: Now, turn: Turn) -> (u64, u64) {
-        let limit = self.limit.map_or(0, |limit| limit.max(LEAST_LIMIT));
-        let time = now.saturating_sub(self.since).as_millis();
-        let might = u128::from(limit) * time / 1_000 / u128::from(turn.routers.max(1));
-        (self.count.into(), might.try_into().unwrap_or(u64::MAX))
+        let limit = self.limit.map_or(0, |limit| limit.max(MIN_LIMIT));
+        let time = now.saturating_sub(self.known_since).as_millis();
+        let permitted = u128::from(limit) * time / 1_000 / u128::from(turn.routers.max(1));
+        (
+            self.sent_count.into(),
+            permitted.try_into().unwrap_or(u64::MAX),
+        )
     }
 
     fn tokens_at(&self, now: Now, turn: Turn, share: f64) -> f64 {
-        let filled = now.saturating_sub(self.filled).as_secs_f64() * share;
-        let holds = (BUCKET_HOLDS_S * share + turn.share(ALL_HOLD)).max(1.0);
-        (self.tokens + filled).min(holds)
+        let refill = now.saturating_sub(self.filled_at).as_secs_f64() * share;
+        let bucket_capacity = (BUCKET_REFILL_S * share + turn.share(SHARED_BUCKET_TOKENS)).max(1.0);
+        (self.tokens + refill).min(bucket_capacity)
     }
 }
 
-/// One router's windows.
+/// The send windows of one router.
 struct Windows {
-    /// Length of one, in seconds.
+    /// Length of a window, in seconds.
     length: f64,
-    /// Time from the beginning of one to that of the next, in seconds.
+    /// Time between the starts of two windows of the same router, in seconds.
     round: f64,
-    /// When the first one begins, in seconds.
-    first: f64,
+    /// Start of the first window, in seconds.
+    first_start: f64,
 }
 
 impl Windows {
     fn of(limit: f64, turn: Turn) -> Self {
         let round = f64::from(turn.routers.max(1)) / limit;
         Self {
-            length: ((limit.ceil() + OPEN_BEYOND) / limit).min(round),
+            length: ((limit.ceil() + EXTRA_OPEN_WINDOWS) / limit).min(round),
             round,
-            first: f64::from(turn.rank) / limit,
+            first_start: f64::from(turn.rank) / limit,
         }
     }
 
-    /// Which of them is open or was the last to be so.
+    /// Number of the window that is open, or was open last.
     fn round(&self, time_of_day: Duration) -> f64 {
-        ((time_of_day.as_secs_f64() - self.first) / self.round).floor()
+        ((time_of_day.as_secs_f64() - self.first_start) / self.round).floor()
     }
 
     fn opens_in(&self, at: Clocks, sent: Option<Sent>) -> Duration {
         let round = self.round(at.time_of_day);
-        let into = at.time_of_day.as_secs_f64() - self.first - round * self.round;
-        let to_next = seconds(self.round - into);
-        let is_open = into < self.length;
+        let since_start = at.time_of_day.as_secs_f64() - self.first_start - round * self.round;
+        let to_next = seconds(self.round - since_start);
+        let is_open = since_start < self.length;
         let Some(sent) = sent else {
             return if is_open { Duration::ZERO } else { to_next };
         };
         let since = at.now.saturating_sub(sent.at);
-        // The time of day may have been set: by the steady clock a window and the next one are so far apart.
-        let apart = seconds(self.round - self.length);
+        // The time of day may have been set, so the monotonic clock also enforces the minimum
+        // distance between two windows.
+        let min_gap = seconds(self.round - self.length);
         let is_used = sent.round.total_cmp(&round).is_eq() && since < seconds(self.round);
         let by_window = if is_open && !is_used {
             Duration::ZERO
         } else {
             to_next
         };
-        by_window.max(apart.saturating_sub(since))
+        by_window.max(min_gap.saturating_sub(since))
     }
 }
 
 fn per_second(limit: RateLimit) -> f64 {
-    // Above what a number can hold exactly, a request more or less doesn't matter.
-    let limit = u32::try_from(limit.max(LEAST_LIMIT)).unwrap_or(u32::MAX);
+    // Above what a `u32` holds the exact number doesn't matter.
+    let limit = u32::try_from(limit.max(MIN_LIMIT)).unwrap_or(u32::MAX);
     f64::from(limit) / 1e3
 }
 
--- a/crates/anvil_policy/src/retry.rs
+++ b/crates/anvil_policy/src/retry.rs
@@ -1,35 +1,39 @@
-//! Whether a failed try is made again, and when.
+//! Whether and when a failed attempt is retried.
 //!
-//! *Answers:* endpoints failing while the load is high.
+//! *Load pattern:* endpoints that fail while the load is high.
 //!
-//! *Without it:* each failure becomes two or three tries just when there is least room for them
-//! (retry storm), all at the same moment. With no retries at all, one restarted endpoint turns
-//! into errors for callers whose ticket lookup would have succeeded elsewhere.
+//! *Without it:* each failure causes two or three attempts when there is the least capacity for
+//! them (retry storm), all at the same time. Without any retries, a single restarted endpoint
+//! causes errors for callers whose requests would have succeeded elsewhere.
 //!
-//! *How:* retries are at most a tenth of the work, with a small reserve for quiet times. What may
-//! not be repeated is never retried after it may have run, whatever the budget says.
+//! *Mechanism:* retries are limited to a tenth of the work, with a small reserve for times of low
+//! load. A request that is not idempotent is never retried once it may have run, whatever the
+//! budget.
+//!
+//! *Thresholds:* the reserve covers the runs that a router loses with an availability zone, as all
+//! of them have to be retried; [`RetryRule`] has the reason for each value.
 
 use std::time::Duration;
 
 use anvil_world::prelude::*;
 use rand::{Rng, RngExt};
 
-/// Bounds of retries.
+/// Bounds on retries.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetryRule {
-    /// Retries, as a part of the first tries.
+    /// Number of retries allowed for each first attempt.
     pub part: f64,
-    /// Retries that are saved up at most: the runs that one router loses with an availability
-    /// zone. Those must be made again, and they are bounded by what ran.
+    /// Maximum number of retries that are saved up: the runs that one router loses with an
+    /// availability zone. These must be retried, and they are bounded by what was running.
     pub reserve: f64,
-    /// Reserve that comes back each second whatever the load.
+    /// Retries added to the budget each second, whatever the load.
     pub each_second: f64,
-    /// Most tries of one request, the first one counted.
+    /// Maximum number of attempts of one request, including the first.
     pub most_tries: u32,
-    /// Bound of the first pause; it doubles with each try.
-    pub first_pause: Duration,
-    /// Longest bound of a pause.
-    pub longest_pause: Duration,
+    /// Upper bound of the first backoff; doubles with each attempt.
+    pub first_backoff: Duration,
+    /// Maximum of that bound.
+    pub max_backoff: Duration,
 }
 
 impl Default for RetryRule {
@@ -39,18 +43,18 @@
             reserve: 100.0,
             each_second: 1.0,
             most_tries: 3,
-            first_pause: Duration::from_millis(50),
-            longest_pause: Duration::from_secs(2),
+            first_backoff: Duration::from_millis(50),
+            max_backoff: Duration::from_secs(2),
         }
     }
 }
 
-/// What a failed try may have done.
+/// Whether a failed attempt may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
-    /// It surely did not run, or it may run any number of times.
+    /// It certainly did not run, or it is idempotent.
     Safe,
-    /// It may have run, and may not run twice.
+    /// It may have run, and must not run twice.
     Never,
 }
 
@@ -58,8 +62,8 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetryBudget {
     rule: RetryRule,
-    left: f64,
-    at: Now,
+    available: f64,
+    refilled_at: Now,
 }
 
 impl Default for RetryBudget {
@@ -69,52 +73,55 @@
 }
 
 impl RetryBudget {
-    /// A budget with a full reserve.
+    /// Creates a budget with a full reserve.
     pub fn new(rule: RetryRule) -> Self {
         Self {
-            left: rule.reserve,
+            available: rule.reserve,
             rule,
-            at: Duration::ZERO,
+            refilled_at: Duration::ZERO,
         }
     }
 
-    /// Takes another rule over. What is left stays as it is, but for what the new reserve does not
-    /// allow: others may have used up in the same window what a larger reserve would give back.
+    /// Replaces the rule. The remaining retries are kept, reduced to the new reserve if necessary.
+    /// They don't grow with a larger reserve, because other routers may have used that part in the
+    /// same window.
     pub fn set_rule(&mut self, now: Now, rule: RetryRule) {
         self.refill(now);
-        self.left = self.left.min(rule.reserve);
+        self.available = self.available.min(rule.reserve);
         self.rule = rule;
     }
 
-    /// Counts a first try.
+    /// Counts a first attempt.
     pub fn first_try(&mut self, now: Now) {
         self.refill(now);
-        self.left = (self.left + self.rule.part).min(self.rule.reserve);
+        self.available = (self.available + self.rule.part).min(self.rule.reserve);
     }
 
-    /// Whether to try again after `tries` tries, and after which pause. The pause is drawn
-    /// evenly between nothing and its bound, so that those who failed together come apart.
+    /// Returns the backoff before the next attempt after `attempts` attempts, or `None` if there
+    /// must be none. The backoff is drawn uniformly between zero and its bound, so that requests
+    /// that failed together are spread out.
     pub fn again(
         &mut self,
         now: Now,
-        tries: u32,
+        attempts: u32,
         repeat: Repeat,
         rng: &mut impl Rng,
     ) -> Option<Duration> {
         self.refill(now);
-        if repeat == Repeat::Never || tries >= self.rule.most_tries || self.left < 1.0 {
+        if repeat == Repeat::Never || attempts >= self.rule.most_tries || self.available < 1.0 {
             return None;
         }
-        self.left -= 1.0;
-        let doubled = 2_u32.saturating_pow(tries.saturating_sub(1));
-        let bound = self.rule.first_pause.saturating_mul(doubled);
-        let bound = bound.min(self.rule.longest_pause);
+        self.available -= 1.0;
+        let factor = 2_u32.saturating_pow(attempts.saturating_sub(1));
+        let bound = self.rule.first_backoff.saturating_mul(factor);
+        let bound = bound.min(self.rule.max_backoff);
         Some(bound.mul_f64(rng.random_range(0.0..=1.0)))
     }
 
     fn refill(&mut self, now: Now) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        self.left = (self.left + passed * self.rule.each_second).min(self.rule.reserve);
+        let elapsed_s = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        self.available =
+            (self.available + elapsed_s * self.rule.each_second).min(self.rule.reserve);
     }
 }
--- a/crates/anvil_policy/src/subset.rs
+++ b/crates/anvil_policy/src/subset.rs
@@ -1,37 +1,38 @@
-//! Which endpoints a router watches.
+//! Bounded subset of the endpoints that a router watches.
 //!
-//! *Answers:* 520 routers before 7,100 endpoints. Were each to watch all, every sidecar would
-//! report to hundreds of routers, and every router would keep thousands of streams.
+//! *Load pattern:* 520 routers and 7,100 endpoints. If each router watched all endpoints, every
+//! sidecar would report to hundreds of routers, and every router would keep thousands of streams.
 //!
-//! *Without it:* control traffic grows with routers times endpoints, beyond the 4 KB a second
-//! that a node may spend on control.
+//! *Without it:* control traffic grows with routers times endpoints, beyond the 4 KB a second that
+//! an instance may spend on control.
 //!
-//! *How:* for each router the endpoints are ranked by rendezvous hashing, those of the own
-//! availability zone first, and the best few are watched. When an endpoint or router comes or
-//! goes, only its own place changes. Some are always taken from other zones of the region, so
-//! that a lost zone leaves a router with work to give.
+//! *Mechanism:* each router ranks the endpoints by rendezvous hashing, separately for its own
+//! availability zone, for each other zone of its region, and for other regions, and watches the
+//! best few of each. When an endpoint or router comes or goes, only its own entries change. Some
+//! endpoints always come from other zones of the region, so that a router can still send work when
+//! its zone is lost.
 
 use std::collections::BTreeSet;
 
 use anvil_world::prelude::*;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How many endpoints a router watches.
+/// Number of endpoints that a router watches.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SubsetRule {
-    /// Of its own availability zone.
-    pub near: usize,
-    /// Of each other zone of its region.
-    pub each_zone: usize,
-    /// Of other regions, in all.
+    /// In its own availability zone.
+    pub own_zone: usize,
+    /// In each other zone of its region.
+    pub per_other_zone: usize,
+    /// In all other regions together.
     pub other_regions: usize,
 }
 
 impl Default for SubsetRule {
     fn default() -> Self {
         Self {
-            near: 48,
-            each_zone: 12,
+            own_zone: 48,
+            per_other_zone: 12,
             other_regions: 8,
         }
     }
@@ -52,37 +53,42 @@
         }
         let mut watched = BTreeSet::new();
         for (group, mut ranked) in groups {
-            let most = self.most(&group);
+            let max_in_group = self.max_in_group(&group);
             ranked.sort_unstable();
-            watched.extend(ranked.into_iter().take(most).map(|(_, id)| id.clone()));
+            watched.extend(
+                ranked
+                    .into_iter()
+                    .take(max_in_group)
+                    .map(|(_, id)| id.clone()),
+            );
         }
         watched
     }
 
-    fn most(&self, group: &Group) -> usize {
+    fn max_in_group(&self, group: &Group) -> usize {
         match group {
-            Group::Near => self.near,
-            Group::Zone(_) => self.each_zone,
-            Group::Far => self.other_regions,
+            Group::OwnZone => self.own_zone,
+            Group::OtherZone(_) => self.per_other_zone,
+            Group::OtherRegion => self.other_regions,
         }
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Group {
-    Near,
-    Zone(ZoneId),
-    Far,
+    OwnZone,
+    OtherZone(ZoneId),
+    OtherRegion,
 }
 
 impl Group {
     fn of(home: &Zone, zone: &Zone) -> Self {
         if zone == home {
-            Self::Near
+            Self::OwnZone
         } else if zone.region == home.region {
-            Self::Zone(zone.id.clone())
+            Self::OtherZone(zone.id.clone())
         } else {
-            Self::Far
+            Self::OtherRegion
         }
     }
 }
--- a/crates/anvil_policy/src/waiting.rs
+++ b/crates/anvil_policy/src/waiting.rs
@@ -1,15 +1,19 @@
-//! The order in which waiting work gets its turn.
+//! Order in which queued requests of one pool are dispatched.
 //!
-//! *Answers:* long histories among short questions, and a few organisations with most of the
-//! load.
+//! *Load pattern:* long prompts among short questions, and a few organisations that send most of
+//! the load.
 //!
-//! *Without it:* a customer on the phone waits behind a summary of thirty years of repairs; or,
-//! with short work always first, the summary is never made.
+//! *Without it:* an interactive caller waits behind a batch job with a long history; or, with
+//! strict priority for short work, the batch job never runs.
 //!
-//! *How:* three lanes share the turns by weight ([`Lane::weight`]); inside a lane organisations
-//! share by their weights ([`crate::fair`]); inside an organisation the earliest deadline is
-//! first. Work that has almost waited as long as was promised goes before all of that: fairness
-//! may reorder promises but not break them.
+//! *Mechanism:* three lanes share the slot time by weight ([`Lane::weight`]). Within a lane,
+//! organisations share by their weights ([`crate::fair`]). Within an organisation, the earliest
+//! deadline goes first. A request close to its target start is promoted ahead of all of these:
+//! fairness may reorder requests, but must not break the maximum wait that they were admitted with.
+//!
+//! *Thresholds:* the lead of a promotion is bounded both absolutely and as a part of the wait, see
+//! `MAX_PROMOTION_LEAD`; prompts count as long from the length at which prefill alone takes as
+//! long as a short question, see [`LONG_PROMPT_TOKENS`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,29 +23,30 @@
 
 use crate::fair::FairShares;
 
-/// Names a waiting request inside one queue.
+/// Identifies a queued request within one queue.
 pub type WaiterId = u64;
 
-/// Prompts above this many tokens are long. Their prefill alone takes about a second on the
-/// stand-in engine, which is more than a short question takes in all.
-pub const LONG_PROMPT: Tokens = 4_096;
+/// Prompts with more tokens than this are long. Their prefill alone takes about a second on the
+/// stand-in engine, more than a whole short question.
+pub const LONG_PROMPT_TOKENS: Tokens = 4_096;
 
-/// Work this close to the end of its promised wait goes first, whatever its lane and
-/// organisation; but no sooner than in the last eighth of the wait. With half a second, more of
-/// them stood there after a long wait than a router had turns; with two seconds of a short wait
-/// the rescued of a large organisation went before everybody else's fair turns.
-const RESCUE: Duration = Duration::from_secs(2);
-/// See [`RESCUE`].
-const RESCUED_PART: u32 = 8;
+/// A request is promoted ahead of its lane and organisation when this little time is left before
+/// its target start, but not before the last eighth of its wait. With a lead of half a second, more
+/// requests were due at once after a long wait than a router had turns for; with a lead of two
+/// seconds on a short wait, the promoted requests of a large organisation overtook the fair turns
+/// of all others.
+const MAX_PROMOTION_LEAD: Duration = Duration::from_secs(2);
+/// The lead is at most the wait divided by this; see [`MAX_PROMOTION_LEAD`].
+const PROMOTION_LEAD_DIVISOR: u32 = 8;
 
-/// What kind of work waits together.
+/// Class of work that is queued together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Lane {
-    /// Somebody waits for a short answer.
+    /// Interactive work with a short prompt.
     Short,
-    /// Somebody waits, but the prompt is long.
+    /// Interactive work with a long prompt.
     Long,
-    /// Nobody waits in front of a screen.
+    /// Work that no interactive user waits for.
     Batch,
 }
 
@@ -53,12 +58,12 @@
     pub fn of(class: WorkClass, prompt: Tokens) -> Self {
         match class {
             WorkClass::Batch => Self::Batch,
-            WorkClass::Interactive if prompt > LONG_PROMPT => Self::Long,
+            WorkClass::Interactive if prompt > LONG_PROMPT_TOKENS => Self::Long,
             WorkClass::Interactive => Self::Short,
         }
     }
 
-    /// Share of the slot time against other lanes with work.
+    /// Share of the slot time relative to other lanes that have work.
     pub fn weight(self) -> u32 {
         match self {
             Self::Short => 12,
@@ -68,59 +73,60 @@
     }
 }
 
-/// A request that asks to be let in.
+/// A request for admission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ticket {
-    /// Who asks.
+    /// Organisation that the request belongs to.
     pub organisation: OrganisationId,
-    /// The organisation's weight.
+    /// Weight of the organisation in fair queueing.
     pub weight: u32,
-    /// How it waits.
+    /// Whether the work is interactive or batch.
     pub class: WorkClass,
     /// Prompt tokens; 0 for a plain call.
     pub prompt: Tokens,
-    /// Time that it will hold a slot; see [`crate::estimate`].
+    /// Expected time that it occupies a slot; see [`crate::estimate`].
     pub service: Duration,
-    /// When its caller gives up.
+    /// When its caller times out.
     pub deadline: Now,
 }
 
 impl Ticket {
-    /// Its lane.
+    /// The lane it is queued in.
     pub fn lane(&self) -> Lane {
         Lane::of(self.class, self.prompt)
     }
 
-    /// Its service time in microseconds, the unit of cost.
+    /// Service time in microseconds, the unit of cost in fair queueing.
     pub fn cost(&self) -> u64 {
         u64::try_from(self.service.as_micros()).unwrap_or(u64::MAX)
     }
 }
 
-/// A ticket in the queue.
+/// A queued request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Waiter {
-    /// Its number.
+    /// Its identifier in the queue.
     pub id: WaiterId,
-    /// What was asked.
+    /// What was asked for.
     pub ticket: Ticket,
-    /// When it came.
+    /// When it arrived.
     pub arrived: Now,
-    /// Latest time at which its turn still helps. It is given up on then, and not before.
+    /// Latest time at which it can start and still finish in time. It is dropped after this time,
+    /// and not before.
     pub start_by: Now,
 }
 
 #[derive(Debug, Clone)]
-struct Place {
+struct QueuePosition {
     lane: Lane,
     organisation: OrganisationId,
     deadline: Now,
-    rescued_from: Now,
+    promote_at: Now,
 }
 
-/// What one organisation has waiting in a lane, earliest deadline first.
+/// Queued requests of one organisation in one lane, earliest deadline first.
 #[derive(Debug, Clone, Default)]
-struct OwnQueue {
+struct OrganisationQueue {
     waiters: BTreeMap<(Now, WaiterId), Waiter>,
     cost: u64,
     weight: u32,
@@ -128,63 +134,63 @@
 
 #[derive(Debug, Clone, Default)]
 struct LaneQueue {
-    queues: BTreeMap<OrganisationId, OwnQueue>,
+    queues: BTreeMap<OrganisationId, OrganisationQueue>,
     cost: u64,
     weight: u64,
     shares: FairShares<OrganisationId>,
 }
 
-/// All waiting work of one pool.
+/// All queued requests of one pool.
 #[derive(Debug, Clone)]
-pub struct Waiting {
+pub struct WaitQueue {
     lanes: BTreeMap<Lane, LaneQueue>,
     shares: FairShares<Lane>,
-    places: BTreeMap<WaiterId, Place>,
-    by_rescue: BTreeSet<(Now, WaiterId)>,
-    by_start: BTreeSet<(Now, WaiterId)>,
+    positions: BTreeMap<WaiterId, QueuePosition>,
+    by_promotion: BTreeSet<(Now, WaiterId)>,
+    by_start_by: BTreeSet<(Now, WaiterId)>,
     counts: BTreeMap<OrganisationId, usize>,
     next_id: WaiterId,
 }
 
-impl Default for Waiting {
+impl Default for WaitQueue {
     fn default() -> Self {
         let lanes = Lane::ALL.map(|lane| (lane, LaneQueue::default()));
         Self {
             lanes: BTreeMap::from(lanes),
             shares: FairShares::default(),
-            places: BTreeMap::new(),
-            by_rescue: BTreeSet::new(),
-            by_start: BTreeSet::new(),
+            positions: BTreeMap::new(),
+            by_promotion: BTreeSet::new(),
+            by_start_by: BTreeSet::new(),
             counts: BTreeMap::new(),
             next_id: 1,
         }
     }
 }
 
-impl Waiting {
-    /// How many wait.
+impl WaitQueue {
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    /// Whether nobody waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
-    /// How many of an organisation wait.
+    /// Number of queued requests of an organisation.
     pub fn count(&self, organisation: &OrganisationId) -> usize {
         self.counts.get(organisation).copied().unwrap_or_default()
     }
 
-    /// Slot time, in microseconds, that waits in a lane: of one organisation, and of all.
+    /// Queued slot time in a lane, in microseconds: of one organisation, and of all.
     pub fn backlog(&self, lane: Lane, organisation: &OrganisationId) -> (u64, u64) {
         let queue = &self.lanes[&lane];
         let own = queue.queues.get(organisation).map_or(0, |own| own.cost);
         (own, queue.cost)
     }
 
-    /// Weights of the organisations that wait in a lane, with that of a newcomer.
+    /// Sum of the weights of the organisations queued in a lane, including that of a new request.
     pub fn active_weight(&self, lane: Lane, ticket: &Ticket) -> u64 {
         let queue = &self.lanes[&lane];
         let own = queue.queues.get(&ticket.organisation);
@@ -192,44 +198,49 @@
         others + u64::from(ticket.weight)
     }
 
-    /// Weights of the lanes with work, with that of a newcomer's lane.
-    pub fn active_lanes(&self, newcomer: Lane) -> u32 {
+    /// Sum of the weights of the lanes that have work, including the lane of a new request.
+    pub fn active_lane_weight(&self, newcomer: Lane) -> u32 {
         let busy = |lane: &Lane| *lane == newcomer || self.lanes[lane].cost > 0;
         let weights = Lane::ALL.into_iter().filter(busy).map(Lane::weight);
         weights.sum()
     }
 
-    /// Puts a request in the queue. `promised` is when it should have its turn at the latest,
-    /// `start_by` when its turn no longer helps.
-    pub fn push(&mut self, now: Now, ticket: Ticket, promised: Now, start_by: Now) -> WaiterId {
+    /// Queues a request. `target_start` is the latest start that admission accepted it for,
+    /// `start_by` the latest start at which it can still finish in time.
+    pub fn push(&mut self, now: Now, ticket: Ticket, target_start: Now, start_by: Now) -> WaiterId {
         let id = self.next_id;
         self.next_id += 1;
-        let early = (promised.saturating_sub(now) / RESCUED_PART).min(RESCUE);
-        let rescued_from = promised.saturating_sub(early);
-        let place = Place {
+        let lead =
+            (target_start.saturating_sub(now) / PROMOTION_LEAD_DIVISOR).min(MAX_PROMOTION_LEAD);
+        let promote_at = target_start.saturating_sub(lead);
+        let position = QueuePosition {
             lane: ticket.lane(),
             organisation: ticket.organisation.clone(),
             deadline: ticket.deadline,
-            rescued_from,
+            promote_at,
         };
-        self.by_rescue.insert((rescued_from, id));
-        self.by_start.insert((start_by, id));
-        *self.counts.entry(place.organisation.clone()).or_default() += 1;
-        self.shares.wake(&place.lane);
-        let queue = self.lanes.entry(place.lane).or_default();
+        self.by_promotion.insert((promote_at, id));
+        self.by_start_by.insert((start_by, id));
+        *self
+            .counts
+            .entry(position.organisation.clone())
+            .or_default() += 1;
+        self.shares.mark_ready(&position.lane);
+        let queue = self.lanes.entry(position.lane).or_default();
         queue.add(Waiter {
             id,
             ticket,
             arrived: now,
             start_by,
         });
-        self.places.insert(id, place);
+        self.positions.insert(id, position);
         id
     }
 
-    /// Takes out the one whose turn it is. Its cost counts against its lane and organisation.
+    /// Removes the request that is dispatched next, and charges its cost to its lane and
+    /// organisation.
     pub fn pop(&mut self, now: Now) -> Option<Waiter> {
-        let id = self.rescued(now).or_else(|| self.fair_next())?;
+        let id = self.next_promoted(now).or_else(|| self.next_fair())?;
         let waiter = self.remove(id)?;
         let ticket = &waiter.ticket;
         let lane = ticket.lane();
@@ -241,40 +252,40 @@
         Some(waiter)
     }
 
-    /// Takes out one that can no longer be served in time, if there is any.
+    /// Removes a request that can no longer be served in time, if there is one.
     pub fn pop_expired(&mut self, now: Now) -> Option<Waiter> {
-        let (start_by, id) = self.by_start.first().copied()?;
+        let (start_by, id) = self.by_start_by.first().copied()?;
         if start_by >= now {
             return None;
         }
         self.remove(id)
     }
 
-    /// Takes one out, because its caller left.
+    /// Removes a request whose caller has disconnected.
     pub fn remove(&mut self, id: WaiterId) -> Option<Waiter> {
-        let place = self.places.remove(&id)?;
-        let queue = self.lanes.get_mut(&place.lane)?;
-        let waiter = queue.take(&place.organisation, (place.deadline, id))?;
+        let position = self.positions.remove(&id)?;
+        let queue = self.lanes.get_mut(&position.lane)?;
+        let waiter = queue.take(&position.organisation, (position.deadline, id))?;
         if queue.queues.is_empty() {
-            self.shares.sleep(&place.lane);
+            self.shares.mark_idle(&position.lane);
         }
-        self.by_rescue.remove(&(place.rescued_from, id));
-        self.by_start.remove(&(waiter.start_by, id));
-        if let Some(count) = self.counts.get_mut(&place.organisation) {
+        self.by_promotion.remove(&(position.promote_at, id));
+        self.by_start_by.remove(&(waiter.start_by, id));
+        if let Some(count) = self.counts.get_mut(&position.organisation) {
             *count -= 1;
             if *count == 0 {
-                self.counts.remove(&place.organisation);
+                self.counts.remove(&position.organisation);
             }
         }
         Some(waiter)
     }
 
-    fn rescued(&self, now: Now) -> Option<WaiterId> {
-        let (from, id) = self.by_rescue.first()?;
+    fn next_promoted(&self, now: Now) -> Option<WaiterId> {
+        let (from, id) = self.by_promotion.first()?;
         (*from <= now).then_some(*id)
     }
 
-    fn fair_next(&self) -> Option<WaiterId> {
+    fn next_fair(&self) -> Option<WaiterId> {
         let lane = self.shares.next()?;
         let queue = &self.lanes[lane];
         let organisation = queue.shares.next()?;
@@ -289,9 +300,9 @@
         let organisation = waiter.ticket.organisation.clone();
         let cost = waiter.ticket.cost();
         self.cost = self.cost.saturating_add(cost);
-        self.shares.wake(&organisation);
+        self.shares.mark_ready(&organisation);
         let own = self.queues.entry(organisation).or_default();
-        // The newest ticket's weight holds, as settings change while work waits.
+        // The newest request's weight applies, as settings can change while requests are queued.
         self.weight -= u64::from(own.weight);
         own.weight = waiter.ticket.weight;
         self.weight += u64::from(own.weight);
@@ -309,7 +320,7 @@
         if own.waiters.is_empty() {
             self.weight -= u64::from(own.weight);
             self.queues.remove(organisation);
-            self.shares.sleep(organisation);
+            self.shares.mark_idle(organisation);
         }
         Some(waiter)
     }
--- a/crates/anvil_policy/tests/copying.rs
+++ b/crates/anvil_policy/tests/copying.rs
@@ -31,7 +31,7 @@
     let rule = EngineRule::default();
     let copying = Copying::between(18_432.0, LINK_MBPS, &rule).expect("much faster");
     let (all, own) = (12_000, 6_600);
-    assert!(Copying::is_worth_it(all, own));
+    assert!(Copying::is_worthwhile(all, own));
     let left = copying.as_if_missing(all, own, &rule);
     assert!((own..own + 200).contains(&left), "{left}");
 }
@@ -41,7 +41,7 @@
 fn a_few_tokens_are_read_and_not_copied() {
     let rule = EngineRule::default();
     let copying = Copying::between(18_432.0, LINK_MBPS, &rule).expect("much faster");
-    assert!(!Copying::is_worth_it(1_000, 900));
+    assert!(!Copying::is_worthwhile(1_000, 900));
     assert_eq!(copying.as_if_missing(1_000, 900, &rule), 1_000);
     assert_eq!(copying.as_if_missing(900, 1_000, &rule), 900);
 }
--- a/crates/anvil_policy/tests/endpoints.rs
+++ b/crates/anvil_policy/tests/endpoints.rs
@@ -272,7 +272,7 @@
             tokens_per_second: (f64::from(running) / step) as u32,
             ..LoadReport::default()
         };
-        limit.heard(&rule, Duration::from_millis(500) * half, &load, running);
+        limit.apply_report(&rule, Duration::from_millis(500) * half, &load, running);
         seen.push(limit.value());
     }
     let settled = &seen[100..];
--- a/crates/anvil_policy/tests/engine.rs
+++ b/crates/anvil_policy/tests/engine.rs
@@ -125,7 +125,7 @@
 #[test]
 fn memory_is_bounded() {
     let rule = EngineRule {
-        remembered: 16,
+        max_parts: 16,
         ..EngineRule::default()
     };
     let mut load = EndpointLoad::default();
--- a/crates/anvil_policy/tests/sharing.rs
+++ b/crates/anvil_policy/tests/sharing.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use anvil_policy::placement::{Host, Move, PlacementRule, plan};
+use anvil_policy::placement::{ModelEndpoint, Move, PlacementRule, plan};
 use anvil_policy::prelude::*;
 use anvil_policy::subset::SubsetRule;
 use anvil_world::prelude::*;
@@ -67,9 +67,9 @@
             waiting: 400,
             free: free[router],
         };
-        if rule.renews(&need) {
+        if rule.needs_renewal(&need) {
             let least = need.waiting.saturating_sub(need.free);
-            let granted = rule.size(rule.ask(&need), least, left);
+            let granted = rule.grant_size(rule.tokens_to_request(&need), least, left);
             left -= granted;
             free[router] += granted;
         }
@@ -101,7 +101,7 @@
 #[test]
 fn the_prefix_index_is_bounded_and_forgives_lost_events() {
     let rule = PrefixRule {
-        most_entries: 1_000,
+        max_entries: 1_000,
         ..PrefixRule::default()
     };
     let mut index = PrefixIndex::new(rule);
@@ -147,7 +147,7 @@
     for router in 0..520 {
         let every = all.iter().map(|(id, zone)| (id, zone));
         let watched = rule.watched(&format!("router-{router}"), &zone(router), every);
-        assert_eq!(watched.len(), rule.near + 3 * rule.each_zone);
+        assert_eq!(watched.len(), rule.own_zone + 3 * rule.per_other_zone);
         for id in watched {
             *watchers.entry(id).or_default() += 1;
         }
@@ -161,13 +161,13 @@
     assert!(before.difference(&after).count() <= 1);
 }
 
-fn host(at: usize, holds: &[&str]) -> Host {
-    Host {
+fn endpoint(at: usize, loaded: &[&str]) -> ModelEndpoint {
+    ModelEndpoint {
         id: format!("{at}").into(),
         zone: Zone::new("region", &format!("zone-{}", at % 3)),
         capacity: 2,
-        holds: holds.iter().map(|model| ModelId::from(*model)).collect(),
-        loads: BTreeSet::new(),
+        loaded: loaded.iter().map(|model| ModelId::from(*model)).collect(),
+        loading_models: BTreeSet::new(),
         busy: BTreeSet::new(),
         leaving: false,
     }
@@ -177,14 +177,20 @@
 /// serve all loads slowly; and a model with no replica left must not wait behind others.
 #[test]
 fn loads_are_paced_and_the_neediest_model_is_first() {
-    let hosts = [
-        host(0, &["chat"]),
-        host(1, &["chat"]),
-        host(2, &[]),
-        host(3, &[]),
+    let endpoints = [
+        endpoint(0, &["chat"]),
+        endpoint(1, &["chat"]),
+        endpoint(2, &[]),
+        endpoint(3, &[]),
     ];
     let wanted = BTreeMap::from([("chat".into(), 4), ("summary".into(), 2)]);
-    let moves = plan(&PlacementRule { loads_at_once: 2 }, &wanted, &hosts);
+    let moves = plan(
+        &PlacementRule {
+            max_concurrent_loads: 2,
+        },
+        &wanted,
+        &endpoints,
+    );
     let models: Vec<_> = moves
         .iter()
         .map(|one| match one {
@@ -199,15 +205,15 @@
 /// wanted there, is dropped for it.
 #[test]
 fn room_is_made_only_from_idle_surplus() {
-    let mut hosts = vec![host(0, &["chat", "old"]), host(1, &["chat", "old"])];
-    hosts[0].busy.insert("old".into());
+    let mut endpoints = vec![endpoint(0, &["chat", "old"]), endpoint(1, &["chat", "old"])];
+    endpoints[0].busy.insert("old".into());
     let wanted = BTreeMap::from([("chat".into(), 2), ("summary".into(), 1)]);
-    let moves = plan(&PlacementRule::default(), &wanted, &hosts);
+    let moves = plan(&PlacementRule::default(), &wanted, &endpoints);
     let unload = Move::Unload {
-        host: "1".into(),
+        endpoint: "1".into(),
         model: "old".into(),
     };
     assert_eq!(moves, [unload]);
-    hosts[1].busy.insert("old".into());
-    assert_eq!(plan(&PlacementRule::default(), &wanted, &hosts), []);
+    endpoints[1].busy.insert("old".into());
+    assert_eq!(plan(&PlacementRule::default(), &wanted, &endpoints), []);
 }
--- a/crates/anvil_policy/tests/waiting.rs
+++ b/crates/anvil_policy/tests/waiting.rs
@@ -21,11 +21,11 @@
     }
 }
 
-fn push(waiting: &mut Waiting, ticket: Ticket) -> WaiterId {
+fn push(waiting: &mut WaitQueue, ticket: Ticket) -> WaiterId {
     waiting.push(Duration::ZERO, ticket, LATE, LATE)
 }
 
-fn turns(waiting: &mut Waiting, count: usize) -> BTreeMap<OrganisationId, usize> {
+fn turns(waiting: &mut WaitQueue, count: usize) -> BTreeMap<OrganisationId, usize> {
     let mut turns = BTreeMap::new();
     for _ in 0..count {
         let waiter = waiting.pop(Duration::ZERO).expect("work waits");
@@ -38,7 +38,7 @@
 /// arrival the small ones would wait for all 180. Cause: one queue for all.
 #[test]
 fn one_organisation_with_most_of_the_load_holds_nobody_up() {
-    let mut waiting = Waiting::default();
+    let mut waiting = WaitQueue::default();
     for _ in 0..180 {
         push(&mut waiting, ticket("large", 5));
     }
@@ -59,7 +59,7 @@
 /// Cause: weights that are not used.
 #[test]
 fn turns_follow_the_weights() {
-    let mut waiting = Waiting::default();
+    let mut waiting = WaitQueue::default();
     for _ in 0..100 {
         push(&mut waiting, ticket("one", 5));
         let heavy = Ticket {
@@ -76,7 +76,7 @@
 /// and the histories would never run. Cause: a single queue, or a strict priority.
 #[test]
 fn questions_go_before_histories_and_histories_are_never_starved() {
-    let mut waiting = Waiting::default();
+    let mut waiting = WaitQueue::default();
     for _ in 0..40 {
         let history = Ticket {
             class: WorkClass::Batch,
@@ -103,7 +103,7 @@
 /// it misses its deadline although both could be served.
 #[test]
 fn the_earliest_deadline_is_first_inside_an_organisation() {
-    let mut waiting = Waiting::default();
+    let mut waiting = WaitQueue::default();
     push(&mut waiting, ticket("mombasa", 5));
     let near = Ticket {
         deadline: Duration::from_secs(20),
@@ -117,7 +117,7 @@
 /// end. Fair shares alone would push it past its promise.
 #[test]
 fn a_promise_goes_before_fair_shares() {
-    let mut waiting = Waiting::default();
+    let mut waiting = WaitQueue::default();
     push(&mut waiting, ticket("large", 60));
     waiting.pop(Duration::ZERO).expect("waits");
     for _ in 0..10 {
@@ -136,7 +136,7 @@
     /// out exactly once, and the backlog is nothing at the end.
     #[test]
     fn nothing_is_lost_or_doubled(steps in prop::collection::vec((0_u8..4, 0_u8..5, 1_u64..40), 1..200)) {
-        let mut waiting = Waiting::default();
+        let mut waiting = WaitQueue::default();
         let mut inside = std::collections::BTreeSet::new();
         for (what, who, service) in steps {
             if what < 2 {
