--- a/crates/anvil_policy/examples/decision_time.rs
+++ b/crates/anvil_policy/examples/decision_time.rs
@@ -1,4 +1,4 @@
-//! Measures how long one decision takes, at the sizes of today and of the plan.
+//! Measures the time of one decision, for fleets of several sizes.
 //!
 //! `cargo run --release -p anvil_policy --example decision_time`
 
@@ -24,9 +24,9 @@
             println!(
                 "| {endpoints} | {organisations} | {} | {:?} | {:?} | {:?} |",
                 if full { "all full" } else { "room" },
-                choice(&pool, false),
-                choice(&pool, true),
-                gate(organisations, full),
+                choice_time(&pool, false),
+                choice_time(&pool, true),
+                admission_time(organisations, full),
             );
         }
     }
@@ -54,11 +54,11 @@
     Pool::new((0..endpoints).map(state).collect())
 }
 
-/// Mean time to choose, with the look-up in the prefix index when `prefix`.
-fn choice(pool: &Pool, prefix: bool) -> Duration {
+/// Mean time to choose an endpoint; with `prefix`, including the lookup in the prefix index.
+fn choice_time(pool: &Pool, prefix: bool) -> Duration {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let chooser = Chooser::default().with_zone(Zone::new("region", "zone-0"));
-    let (index, prompts) = index(pool);
+    let (index, prompts) = filled_index(pool);
     let now = Duration::from_secs(1);
     let started = Instant::now();
     for round in 0..ROUNDS {
@@ -80,7 +80,7 @@
 }
 
 /// A full index: 65,536 prefixes in prompts of 8 blocks.
-fn index(pool: &Pool) -> (PrefixIndex, Vec<Vec<u64>>) {
+fn filled_index(pool: &Pool) -> (PrefixIndex, Vec<Vec<u64>>) {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut index = PrefixIndex::default();
     let prompts: Vec<Vec<u64>> = (0..8_192)
@@ -93,9 +93,9 @@
     (index, prompts)
 }
 
-/// Mean time of a newcomer's verdict and of the turn that it frees, beside waiting work of all
-/// organisations.
-fn gate(organisations: u32, full: bool) -> Duration {
+/// Mean time to admit a request and to dispatch the next one, while work of all organisations is
+/// queued.
+fn admission_time(organisations: u32, full: bool) -> Duration {
     let rule = AdmissionRule {
         longest_wait: Duration::from_hours(1),
         saturated_wait: Duration::from_hours(1),
--- a/crates/anvil_policy/src/grant.rs
+++ b/crates/anvil_policy/src/grant.rs
@@ -72,20 +72,20 @@
         need.free - need.waiting < to_tokens(ahead).max(self.min_grant / 2)
     }
 
-    /// Tokens to grant out of what remains. `needed` is what the router needs for the requests that
+    /// Tokens to grant out of what remains. `min_amount` is what the router needs for the requests that
     /// are waiting now; without it the last tokens could be divided into grants too small for any
     /// request. Zero if less than that remains.
-    pub fn grant_size(&self, asked: Tokens, needed: Tokens, remaining: Tokens) -> Tokens {
-        if needed > remaining {
+    pub fn grant_size(&self, asked: Tokens, min_amount: Tokens, remaining: Tokens) -> Tokens {
+        if min_amount > remaining {
             return 0;
         }
         let part = remaining / self.remainder_divisor.max(1);
-        asked.min(part).max(needed).min(remaining)
+        asked.min(part).max(min_amount).min(remaining)
     }
 
     /// Whether to recall unspent grants: a router needs more than remains.
-    pub fn needs_recall(&self, needed: Tokens, remaining: Tokens) -> bool {
-        needed > remaining
+    pub fn needs_recall(&self, min_amount: Tokens, remaining: Tokens) -> bool {
+        min_amount > remaining
     }
 
     /// How long a router keeps a grant that no request has drawn on before it returns it on its
--- a/crates/anvil_policy/src/rate_share.rs
+++ b/crates/anvil_policy/src/rate_share.rs
@@ -159,9 +159,9 @@
     }
 
     fn tokens_at(&self, now: Now, turn: Turn, share: f64) -> f64 {
-        let refill = now.saturating_sub(self.filled_at).as_secs_f64() * share;
+        let refilled = now.saturating_sub(self.filled_at).as_secs_f64() * share;
         let bucket_capacity = (BUCKET_REFILL_S * share + turn.share(SHARED_BUCKET_TOKENS)).max(1.0);
-        (self.tokens + refill).min(bucket_capacity)
+        (self.tokens + refilled).min(bucket_capacity)
     }
 }
 
--- a/crates/anvil_policy/tests/admission.rs
+++ b/crates/anvil_policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Who is let in, who is turned away, and what they are told.
+//! Which requests are admitted, queued or refused, and with which retry time.
 
 use std::time::Duration;
 
@@ -17,8 +17,8 @@
     }
 }
 
-/// Ten slots that are all taken.
-fn busy() -> Gate {
+/// A gate with ten slots, all in use.
+fn full_gate() -> Gate {
     let mut gate = Gate::new(AdmissionRule::default()).with_limit(10);
     for _ in 0..10 {
         let verdict = gate.offer(Duration::ZERO, ticket(Duration::ZERO, "first", 60));
@@ -27,43 +27,46 @@
     gate
 }
 
-/// Fills the queue with one organisation's work and gives the first refusal.
-fn flood(gate: &mut Gate, organisation: &str, timeout: u64) -> (usize, Refusal) {
-    for let_in in 0..100_000 {
+/// Fills the queue with work of one organisation; returns how many requests were queued and the
+/// first refusal.
+fn fill_queue(gate: &mut Gate, organisation: &str, timeout: u64) -> (usize, Refusal) {
+    for admitted in 0..100_000 {
         let verdict = gate.offer(
             Duration::ZERO,
             ticket(Duration::ZERO, organisation, timeout),
         );
         if let Verdict::Refuse(refusal) = verdict {
-            return (let_in, refusal);
+            return (admitted, refusal);
         }
     }
-    panic!("the queue has no bound");
+    panic!("the queue is not bounded");
 }
 
-/// A caller with eleven seconds left stands behind thirty seconds of work. Held in the queue it
-/// would hear of its failure when it no longer helps. Cause: admission by length.
+/// A request with eleven seconds left arrives behind thirty seconds of queued work. With admission
+/// by queue length it would be queued, and its caller would learn only at the deadline that it
+/// failed.
 #[test]
-fn who_cannot_finish_in_time_is_told_at_once_and_when_to_come_back() {
-    let mut gate = busy();
-    let (let_in, refusal) = flood(&mut gate, "mombasa", 11);
-    // Ten seconds of wait over ten slots is a hundred of these, less the caution of 1.33.
-    assert!((70..=80).contains(&let_in), "{let_in}");
+fn request_that_would_miss_its_deadline_is_refused_at_once_with_a_retry_time() {
+    let mut gate = full_gate();
+    let (admitted, refusal) = fill_queue(&mut gate, "mombasa", 11);
+    // Eleven seconds less one of service leave ten seconds of wait; over ten slots that is a
+    // hundred of these requests, less the safety factor of 1.33.
+    assert!((70..=80).contains(&admitted), "{admitted}");
     assert_eq!(refusal.reason, Reason::DeadlineTooClose);
-    let after = refusal.retry_after.expect("a time to come back");
+    let after = refusal.retry_after.expect("a retry time");
     assert!((250..2_000).contains(&after.as_millis()), "{after:?}");
 }
 
-/// The time to come back is true: after it, with nobody else arriving, the same request is let
-/// in.
+/// The retry time in a refusal is accurate: after it, with no other arrivals, the same request is
+/// admitted.
 #[test]
-fn who_comes_back_when_told_is_let_in() {
-    let mut gate = busy();
-    let (_, refusal) = flood(&mut gate, "mombasa", 11);
-    let after = refusal.retry_after.expect("a time to come back");
+fn retry_after_the_given_time_is_admitted() {
+    let mut gate = full_gate();
+    let (_, refusal) = fill_queue(&mut gate, "mombasa", 11);
+    let after = refusal.retry_after.expect("a retry time");
     // Ten slots end ten runs a second.
-    let ended = usize::try_from(after.as_millis() / 100).expect("small");
-    for _ in 0..ended.max(1) {
+    let ended_runs = usize::try_from(after.as_millis() / 100).expect("a small number");
+    for _ in 0..ended_runs.max(1) {
         gate.finished();
         assert!(gate.next(after).is_some());
     }
@@ -71,10 +74,10 @@
     assert!(matches!(verdict, Verdict::Wait(_)), "{verdict:?}");
 }
 
-/// A request whose own service takes longer than its deadline leaves can't be helped by waiting;
-/// no time to come back is made up for it.
+/// A request whose service takes longer than its deadline allows can't succeed after any wait; its
+/// refusal must not contain a retry time.
 #[test]
-fn what_can_never_finish_gets_no_time_to_come_back() {
+fn refusal_has_no_retry_time_if_no_retry_can_succeed() {
     let mut gate = Gate::new(AdmissionRule::default()).with_limit(10);
     let mut long = ticket(Duration::ZERO, "mombasa", 5);
     long.service = Duration::from_secs(9);
@@ -82,25 +85,25 @@
     assert_eq!(gate.offer(Duration::ZERO, long), Verdict::Refuse(refusal));
 }
 
-/// One organisation floods the queue until it is refused; then another one's clerk asks a single
-/// question and is refused, too. Cause: a bound that all share.
+/// One organisation fills the queue until it is refused. With a bound shared by all organisations,
+/// a single request of another organisation would be refused too.
 #[test]
-fn a_flood_of_one_leaves_room_for_the_others() {
-    let mut gate = busy();
-    let (alone, _) = flood(&mut gate, "large", 3_600);
+fn one_organisation_does_not_fill_the_queue_for_others() {
+    let mut gate = full_gate();
+    let (alone, _) = fill_queue(&mut gate, "large", 3_600);
     let verdict = gate.offer(Duration::ZERO, ticket(Duration::ZERO, "small", 3_600));
     assert!(matches!(verdict, Verdict::Wait(_)), "{verdict:?}");
     // Alone it takes half of thirty seconds, a second one a third of the rest and so on.
-    let (second, _) = flood(&mut gate, "other", 3_600);
+    let (second, _) = fill_queue(&mut gate, "other", 3_600);
     assert!(second > alone / 3, "{alone} then {second}");
 }
 
-/// Work was let in for ten slots, then half of the endpoints are lost. The wait doubles. What was
-/// let in is served late rather than dropped, as long as its deadline allows.
+/// Work is queued for ten slots, then half of the endpoints are lost and the wait doubles. Admitted
+/// work must be served late rather than dropped, as long as its deadline allows.
 #[test]
-fn what_was_let_in_is_served_when_capacity_falls() {
-    let mut gate = busy();
-    let (let_in, _) = flood(&mut gate, "mombasa", 120);
+fn admitted_work_is_served_when_capacity_falls() {
+    let mut gate = full_gate();
+    let (admitted, _) = fill_queue(&mut gate, "mombasa", 120);
     let mut served = 0;
     for tick in 1..=600 {
         let now = Duration::from_millis(200) * tick;
@@ -109,31 +112,31 @@
         gate.finished();
         served += usize::from(gate.next(now).is_some());
     }
-    assert_eq!(served, let_in);
+    assert_eq!(served, admitted);
 }
 
-/// A waiting caller's deadline can no longer be met: it is answered in that moment, not when the
-/// deadline comes, and with a time to come back.
+/// A queued request can no longer meet its deadline. Its caller must be answered then, with a retry
+/// time, and not at the deadline.
 #[test]
-fn who_is_given_up_on_hears_it_at_once() {
-    let mut gate = busy();
+fn queued_request_is_refused_as_soon_as_it_can_not_finish() {
+    let mut gate = full_gate();
     let offered = gate.offer(Duration::ZERO, ticket(Duration::ZERO, "mombasa", 4));
     assert!(matches!(offered, Verdict::Wait(_)));
-    // Three seconds are its latest start: four to the deadline, one of service.
+    // Its latest start is at three seconds: four to the deadline, less one of service.
     assert_eq!(gate.expired(Duration::from_millis(2_990)), None);
     let (_, refusal) = gate
         .expired(Duration::from_millis(3_010))
-        .expect("can't finish any more");
+        .expect("the request can no longer finish in time");
     assert!(refusal.retry_after.is_some());
     assert_eq!(gate.waiting(), 0);
 }
 
-/// The queue has not been empty for half a minute: this is no burst. A longer queue would only
-/// make everybody wait half a minute for the same number of answers.
+/// The queue has not been empty for half a minute, so this is no burst. A longer queue would only
+/// make all callers wait half a minute for the same number of answers.
 #[test]
-fn lasting_saturation_shortens_the_queue() {
-    let mut gate = busy();
-    let (burst, _) = flood(&mut gate, "mombasa", 3_600);
+fn sustained_saturation_shortens_the_queue() {
+    let mut gate = full_gate();
+    let (burst, _) = fill_queue(&mut gate, "mombasa", 3_600);
     let later = Duration::from_secs(31);
     while gate.waiting() > burst / 2 {
         gate.finished();
--- a/crates/anvil_policy/tests/crash.rs
+++ b/crates/anvil_policy/tests/crash.rs
@@ -1,4 +1,4 @@
-//! Which requests an endpoint crashed under.
+//! Which requests are reported for a crashed endpoint.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,19 +13,24 @@
     Duration::from_millis(ms)
 }
 
-/// Guards against taking a lost connection for a crash: without evidence no request is blamed.
+/// Guards against taking a lost connection for a crash: without evidence no request is reported.
 #[test]
-fn a_lost_answer_alone_blames_nobody() {
+fn lost_answer_without_evidence_reports_no_request() {
     let mut watch = CrashWatch::default();
     let (a, b): (InstanceId, InstanceId) = ("a".into(), "b".into());
     assert_eq!(watch.lost(at(0), &a, 1, RUN), Lost::Look);
     assert_eq!(watch.crashed(at(100), &b), BTreeMap::new());
-    assert_eq!(watch.crashed(at(10_100), &a), BTreeMap::new(), "too late");
+    assert_eq!(
+        watch.crashed(at(10_100), &a),
+        BTreeMap::new(),
+        "evidence came too late"
+    );
 }
 
-/// Guards against a crash that is blamed on half of the requests: those whose loss shows later count as well.
+/// Guards against reporting only some of the requests of a crash: those whose loss is noticed later
+/// are reported as well, and none of them twice.
 #[test]
-fn all_requests_of_a_crashed_endpoint_are_told_once() {
+fn all_requests_of_a_crashed_endpoint_are_reported_once() {
     let mut watch = CrashWatch::default();
     let a: InstanceId = "a".into();
     assert_eq!(watch.lost(at(0), &a, 1, RUN), Lost::Look);
@@ -38,19 +43,19 @@
     assert_eq!(watch.lost(at(30), &a, 3, RUN), Lost::Crashed);
 }
 
-/// Guards against a connection a lost answer where an endpoint loses thousands.
+/// Guards against one probe for each lost answer where an endpoint loses thousands.
 #[test]
-fn an_endpoint_is_looked_at_once_a_second() {
+fn endpoint_is_probed_at_most_once_a_second() {
     let mut watch = CrashWatch::default();
     let a: InstanceId = "a".into();
-    let looks =
+    let probes =
         (0..10_000u64).filter(|ms| watch.lost(at(*ms), &a, (*ms).into(), RUN) == Lost::Look);
-    assert_eq!(looks.count(), 10);
+    assert_eq!(probes.count(), 10);
 }
 
-/// Guards against a lookup that is blamed, though it is answered all the time, where a zone loses power.
+/// Guards against reporting a request that is answered all the time, when a whole zone loses power.
 #[test]
-fn a_request_that_was_answered_a_moment_before_is_not_blamed() {
+fn recently_answered_request_is_not_reported() {
     let mut watch = CrashWatch::default();
     let a: InstanceId = "a".into();
     watch.answered(at(0), 1);
@@ -63,13 +68,13 @@
     assert_eq!(
         watch.lost(at(10_000), &a, 1, RUN),
         Lost::Crashed,
-        "the answer is old"
+        "the answer has expired"
     );
 }
 
-/// Guards against a memory that grows with the requests that are answered.
+/// Guards against memory that grows with the number of answered requests.
 #[test]
-fn answers_are_remembered_within_bounds() {
+fn remembered_answers_are_bounded() {
     let mut watch = CrashWatch::default();
     let a: InstanceId = "a".into();
     for request in 0..10_000 {
@@ -80,9 +85,9 @@
     assert_eq!(watch.crashed(at(2), &a), BTreeMap::from([(0, RUN)]));
 }
 
-/// Guards against a stream being blamed as much as a request without any output, where two equal ones were lost.
+/// Guards against treating a run with output like one without, if two equal requests were lost.
 #[test]
-fn of_equal_requests_the_one_without_output_counts() {
+fn run_without_output_takes_precedence_among_equal_requests() {
     let mut watch = CrashWatch::default();
     let a: InstanceId = "a".into();
     watch.lost(at(0), &a, 1, CrashedRun::AfterOutput);
@@ -92,9 +97,10 @@
     assert_eq!(watch.crashed(at(2), &a), BTreeMap::from(crashed));
 }
 
-/// Guards against lost connections being told as crashes, after an endpoint started again under its name.
+/// Guards against reporting lost connections as crashes after an endpoint was restarted under the
+/// same name.
 #[test]
-fn an_endpoint_that_answers_again_has_not_crashed() {
+fn restarted_endpoint_is_no_longer_crashed() {
     let mut watch = CrashWatch::default();
     let a: InstanceId = "a".into();
     watch.lost(at(0), &a, 1, RUN);
--- a/crates/anvil_policy/tests/endpoints.rs
+++ b/crates/anvil_policy/tests/endpoints.rs
@@ -1,4 +1,4 @@
-//! How much work an endpoint is given when it is slow, fails, leaves or returns.
+//! How much work an endpoint is given when it is slow, failing, leaving or returning.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -31,23 +31,23 @@
     })
 }
 
-/// How often each endpoint is chosen; runs end at once, as those of a failing endpoint do.
-fn draws(pool: &Pool, ask: &Ask<'_>, times: usize) -> BTreeMap<InstanceId, usize> {
+/// How often each endpoint is chosen. Runs end at once, as those of a failing endpoint do.
+fn count_choices(pool: &Pool, ask: &Ask<'_>, times: usize) -> BTreeMap<InstanceId, usize> {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let chooser = Chooser::default().with_zone(Zone::new("region", "zone-0"));
-    let mut drawn = BTreeMap::new();
+    let mut counts = BTreeMap::new();
     for _ in 0..times {
         if let Choice::Endpoint(endpoint) = chooser.choose(pool, ask, &mut rng) {
-            *drawn.entry(endpoint.id.clone()).or_default() += 1;
+            *counts.entry(endpoint.id.clone()).or_default() += 1;
         }
     }
-    drawn
+    counts
 }
 
-/// An endpoint answers errors within milliseconds. It always looks empty, so a choice by load
-/// sends it most of the work, and most callers get an error.
+/// An endpoint returns errors within milliseconds. It always looks empty, so choosing by load sends
+/// it most of the work, and most callers get an error.
 #[test]
-fn a_fast_failing_endpoint_draws_no_load() {
+fn fast_failing_endpoint_attracts_no_load() {
     let pool = pool(9);
     let mut health = Health::new(HealthRule::default());
     health.tick(secs(0), &pool);
@@ -61,54 +61,54 @@
             false,
         );
     }
-    let bad = pool.get("4").expect("there");
-    bad.report(
+    let failing = pool.get("4").expect("the endpoint is in the pool");
+    failing.report(
         &LoadReport {
             slots: SLOTS,
             ..LoadReport::default()
         },
         false,
     );
-    // Nearly twice its part: it wins whenever it is drawn.
-    assert!(draws(&pool, &Ask::default(), 900)["4"] > 150);
+    // Nearly twice its share: it is chosen whenever it is sampled.
+    assert!(count_choices(&pool, &Ask::default(), 900)["4"] > 150);
     for _ in 0..3 {
-        health.observe(secs(1), bad, &Ended::Failed);
+        health.observe(secs(1), failing, &Ended::Failed);
     }
-    let drawn = draws(&pool, &Ask::default(), 900).get("4").copied();
-    assert!(drawn.unwrap_or_default() < 30, "{drawn:?}");
+    let counts = count_choices(&pool, &Ask::default(), 900).get("4").copied();
+    assert!(counts.unwrap_or_default() < 30, "{counts:?}");
 }
 
-/// One endpoint is ten times slower. It loses its share within seconds and gets it back when it
-/// is well again; without the trickle that stays nobody would notice that.
+/// One endpoint is ten times slower. Its share falls within seconds and returns when it has
+/// recovered; without a minimum share the recovery would not be noticed.
 #[test]
-fn a_slow_endpoint_is_ejected_gradually_and_comes_back() {
+fn slow_endpoint_is_ejected_gradually_and_recovers() {
     let pool = pool(9);
     let mut health = Health::new(HealthRule::default());
-    let slow = pool.get("4").expect("there");
+    let slow = pool.get("4").expect("the endpoint is in the pool");
     let mut shares = Vec::new();
     for second in 0..30 {
         for endpoint in pool.endpoints() {
-            let late = endpoint.id == slow.id && second < 10;
+            let slowed = endpoint.id == slow.id && second < 10;
             for _ in 0..8 {
                 health.observe(
                     secs(second),
                     endpoint,
-                    &answered(if late { 1_000 } else { 100 }),
+                    &answered(if slowed { 1_000 } else { 100 }),
                 );
             }
         }
         health.tick(secs(second), &pool);
         shares.push(slow.share());
     }
-    assert!(shares[2] > 100, "not at one blow: {shares:?}");
+    assert!(shares[2] > 100, "reduced too fast: {shares:?}");
     assert_eq!(shares[9], 20, "{shares:?}");
     assert_eq!(shares[29], 1_000, "{shares:?}");
     let others = pool.endpoints().iter().filter(|e| e.id != slow.id);
     assert!(others.into_iter().all(|e| e.share() == 1_000));
 }
 
-/// Every endpoint fails at once: the cause is a bad request or this router's own link. Were all
-/// ejected, nobody would be served when it is over.
+/// Every endpoint fails at the same time: the cause is a bad request or this router's own link. If
+/// all were ejected, no request would be served afterwards.
 #[test]
 fn at_most_half_of_the_pool_is_ejected() {
     let pool = pool(9);
@@ -124,23 +124,27 @@
     assert!(whole.count() >= 5);
 }
 
-/// A failing endpoint answers its trickle now and then. Its share must not come back with a
-/// single good answer, and must come back whole once it is well.
+/// A failing endpoint answers one of its few requests. Its share must not return after a single
+/// good answer, and must return in full once the endpoint has recovered.
 #[test]
-fn an_ejected_endpoint_returns_when_it_is_well_and_not_before() {
+fn ejected_endpoint_returns_only_when_it_has_recovered() {
     let pool = pool(9);
     let mut health = Health::new(HealthRule::default());
     health.tick(secs(0), &pool);
-    let endpoint = pool.get("4").expect("there");
+    let endpoint = pool.get("4").expect("the endpoint is in the pool");
     for _ in 0..8 {
         health.observe(secs(1), endpoint, &Ended::Failed);
     }
     assert_eq!(endpoint.share(), 20);
     let mut shares = Vec::new();
     for second in 2..14 {
-        // It fails until the fifth second, but for one answer.
-        let well = second == 3 || second >= 5;
-        let ended = if well { answered(100) } else { Ended::Failed };
+        // It fails until the fifth second, except for one answer.
+        let succeeds = second == 3 || second >= 5;
+        let ended = if succeeds {
+            answered(100)
+        } else {
+            Ended::Failed
+        };
         health.observe(secs(second), endpoint, &ended);
         health.tick(secs(second), &pool);
         shares.push(endpoint.share());
@@ -149,10 +153,10 @@
     assert_eq!(shares.last(), Some(&1_000), "{shares:?}");
 }
 
-/// An endpoint was gone and comes back. As the emptiest of all it would be filled to its last
-/// slot at once; its limit begins at half of them and rises with what it proves to carry.
+/// An endpoint was gone and returns. As the emptiest of all it would be filled to its last slot at
+/// once; its limit starts at half of the slots and increases with the load that it can serve.
 #[test]
-fn a_returned_endpoint_begins_with_half_of_its_slots() {
+fn returning_endpoint_starts_with_half_of_its_slots() {
     let whole = pool(9);
     let mut health = Health::new(HealthRule::default());
     health.tick(secs(0), &whole);
@@ -177,10 +181,10 @@
     assert_eq!(limits, [16, 17, 18, 19, 20]);
 }
 
-/// An endpoint says that it is leaving while it is the emptiest, holds the prompt's prefix and
-/// all others are full. New work there would be cut short.
+/// A leaving endpoint is the emptiest and holds the prompt's prefix, and all others are full. New
+/// work there would be cut off.
 #[test]
-fn a_leaving_endpoint_is_never_chosen() {
+fn leaving_endpoint_is_never_chosen() {
     let pool = pool(3);
     let report = |running, leaving| LoadReport {
         running,
@@ -200,12 +204,12 @@
         cached: &cached,
         avoid: &[],
     };
-    assert_eq!(draws(&pool, &ask, 1_000).get("0"), None);
+    assert_eq!(count_choices(&pool, &ask, 1_000).get("0"), None);
 }
 
-/// A long prefix is worth a fuller endpoint, a short one isn't.
+/// A long cached prefix outweighs a fuller endpoint, a short one doesn't.
 #[test]
-fn affinity_lasts_as_long_as_it_pays() {
+fn cached_prefix_counts_only_while_it_saves_time() {
     let pool = pool(3);
     for (endpoint, running) in pool.endpoints().iter().zip([24, 8, 8]) {
         endpoint.report(
@@ -224,7 +228,7 @@
             cached: &cached,
             avoid: &[],
         };
-        draws(&pool, &ask, 100)
+        count_choices(&pool, &ask, 100)
             .get("0")
             .copied()
             .unwrap_or_default()
@@ -233,31 +237,31 @@
     assert_eq!(chosen(500), 0);
 }
 
-/// A whole zone is lost and the list of instances lags. A retry that takes the next endpoint of
-/// that zone fails again, until its tries are used up.
+/// A whole zone is lost and the list of instances lags. A retry at another endpoint of that zone
+/// fails again, until all attempts are used up.
 #[test]
-fn a_retry_leaves_the_zone_that_failed() {
+fn retry_avoids_the_zone_that_failed() {
     let pool = pool(9);
     let avoid = ["0".into()];
     let ask = Ask {
         avoid: &avoid,
         ..Ask::default()
     };
-    let drawn = draws(&pool, &ask, 500);
-    let same_zone = drawn.iter().filter(|(id, _)| ["3", "6"].contains(&&***id));
+    let counts = count_choices(&pool, &ask, 500);
+    let same_zone = counts.iter().filter(|(id, _)| ["3", "6"].contains(&&***id));
     let times: usize = same_zone.map(|(_, times)| times).sum();
-    // Only when every draw falls into that zone.
-    assert!(times < 5, "{drawn:?}");
+    // It is chosen only if all samples fall into that zone.
+    assert!(times < 5, "{counts:?}");
 }
 
-/// An engine has slots for 64 runs but serves only 30 well. With every slot taken all callers get
-/// late tokens; with a limit that rests between its cuts it settles near 30.
+/// An engine has slots for 64 runs but serves only 30 in time. With every slot in use all callers
+/// get late tokens; a limit with a cooldown between cuts settles near 30.
 #[test]
-fn the_limit_settles_where_tokens_come_in_time() {
+fn limit_settles_where_tokens_are_in_time() {
     let rule = LimitRule::default();
     let mut limit = Limit::new(&rule, secs(0), 64);
-    let mut seen = Vec::new();
-    for half in 1..400 {
+    let mut limits_seen = Vec::new();
+    for half_seconds in 1..400 {
         let running = limit.value();
         // A step takes 16 ms and 1.2 ms for each run: 52 ms at 30 runs.
         let step = 0.016 + 0.001_2 * f64::from(running);
@@ -272,10 +276,15 @@
             tokens_per_second: (f64::from(running) / step) as u32,
             ..LoadReport::default()
         };
-        limit.apply_report(&rule, Duration::from_millis(500) * half, &load, running);
-        seen.push(limit.value());
+        limit.apply_report(
+            &rule,
+            Duration::from_millis(500) * half_seconds,
+            &load,
+            running,
+        );
+        limits_seen.push(limit.value());
     }
-    let settled = &seen[100..];
+    let settled = &limits_seen[100..];
     let (least, most) = (settled.iter().min(), settled.iter().max());
     assert!(
         least >= Some(&22) && most <= Some(&38),
--- a/crates/anvil_policy/tests/engine.rs
+++ b/crates/anvil_policy/tests/engine.rs
@@ -1,4 +1,4 @@
-//! Placing prompts on engines, played without a network.
+//! Choice of an engine for a prompt, simulated without a network.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,15 +10,15 @@
 
 const ENGINES: usize = 9;
 const ROUTERS: usize = 8;
-const SUBJECTS: u64 = 158;
-const SHARED: Tokens = 6_300;
-const OWN: Tokens = 2_890;
+const SHARED_PREFIXES: u64 = 158;
+const SHARED_TOKENS: Tokens = 6_300;
+const OWN_TOKENS: Tokens = 2_890;
 
 fn at(ms: u64) -> Now {
     Duration::from_millis(ms)
 }
 
-/// One router's choice, as a gateway makes it.
+/// Chooses an engine in the same way as a gateway does.
 fn choose(
     now: Now,
     rule: &EngineRule,
@@ -27,54 +27,57 @@
 ) -> (usize, Tokens) {
     let rank = |at: usize| prompt.subject().map(|s| home_rank(s, &format!("e{at}")));
     let home = (0..loads.len()).max_by_key(|at| rank(*at));
-    let weighed = loads.iter().enumerate().map(|(at, load)| {
+    let candidates = loads.iter().enumerate().map(|(at, load)| {
         let missing = load.missing(now, rule, prompt, Some(at) == home);
         (load.expected(now, rule, missing, 128), at, missing)
     });
-    let (_, at, missing) = weighed.min().expect("an engine");
+    let (_, at, missing) = candidates.min().expect("at least one engine");
     (at, missing)
 }
 
-/// Long prompts about 158 subjects come to eight routers that know nothing of each other. Sent to
-/// the least loaded engine, nearly every one has its 6,300 shared tokens read anew. By homes, most
-/// find them kept.
+/// Long prompts with 158 different shared prefixes arrive at eight routers that don't communicate.
+/// Sent to the least loaded engine, nearly every prompt has its 6,300 shared tokens prefilled
+/// again. With home engines, most find them cached.
 #[test]
-fn subjects_find_what_was_read_though_routers_do_not_talk() {
+fn prompts_reach_cached_prefixes_without_communication_between_routers() {
     let rule = EngineRule::default();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut routers = vec![vec![EndpointLoad::default(); ENGINES]; ROUTERS];
-    let mut kept = vec![BTreeSet::new(); ENGINES];
-    let (mut again, mut blind) = (0_u32, 0_u32);
-    let asked = 2_000;
-    for number in 0..asked {
+    let mut cached_prefixes = vec![BTreeSet::new(); ENGINES];
+    let (mut cache_hits, mut random_hits) = (0_u32, 0_u32);
+    let requests = 2_000;
+    for number in 0..requests {
         let now = at(number * 20);
-        let subject = 1 + rng.random_range(0..SUBJECTS);
+        let shared_prefix = 1 + rng.random_range(0..SHARED_PREFIXES);
         let own = 1_000_000 + number;
-        let parts = [(subject, SHARED), (own, OWN)];
+        let parts = [(shared_prefix, SHARED_TOKENS), (own, OWN_TOKENS)];
         let prompt = Prompt { parts: &parts };
         let router = rng.random_range(0..ROUTERS);
         let loads = &mut routers[router];
         let (engine, missing) = choose(now, &rule, loads, &prompt);
         loads[engine].start(now, &rule, &prompt, missing);
-        // Answered before the next one comes.
+        // Answered before the next one arrives.
         loads[engine].read(missing);
         loads[engine].end();
-        again += u32::from(!kept[engine].insert(subject));
-        blind += u32::from(rng.random_range(0..ENGINES) == 0);
+        cache_hits += u32::from(!cached_prefixes[engine].insert(shared_prefix));
+        random_hits += u32::from(rng.random_range(0..ENGINES) == 0);
     }
-    assert!(again > 1_750, "{again} of {asked} found their subject kept");
-    assert!(blind < 300, "by chance alone");
+    assert!(
+        cache_hits > 1_750,
+        "{cache_hits} of {requests} requests found their shared prefix cached"
+    );
+    assert!(random_hits < 300, "hits by chance");
 }
 
-/// One subject gets most of the traffic, and its home has a queue of prompts to read. From the
-/// point where reading the shared part elsewhere is faster, requests go elsewhere.
+/// One shared prefix gets most of the traffic, and its home has a queue of prompts to prefill. As
+/// soon as prefilling the shared part elsewhere is faster, requests go elsewhere.
 #[test]
-fn a_hot_subject_leaves_its_home_when_reading_elsewhere_is_faster() {
+fn popular_prefix_leaves_its_home_when_prefill_elsewhere_is_faster() {
     let rule = EngineRule::default();
     let mut loads = vec![EndpointLoad::default(); ENGINES];
     let mut used = BTreeSet::new();
     for number in 0..40 {
-        let parts = [(7, SHARED), (1_000 + number, OWN)];
+        let parts = [(7, SHARED_TOKENS), (1_000 + number, OWN_TOKENS)];
         let prompt = Prompt { parts: &parts };
         let (engine, missing) = choose(at(number), &rule, &loads, &prompt);
         loads[engine].start(at(number), &rule, &prompt, missing);
@@ -86,10 +89,11 @@
     assert!(longest.unwrap_or(0) < all / 2, "{longest:?} of {all}");
 }
 
-/// An endpoint fails. It is passed over for a moment, longer with each failure and never for more
-/// than two seconds, or one that is back would stay empty while the others are full.
+/// An endpoint fails. It is on cooldown for a short time, longer with each failure and never for
+/// more than two seconds; otherwise a recovered endpoint would stay empty while the others are
+/// full.
 #[test]
-fn a_failing_endpoint_is_passed_over_and_tried_again() {
+fn failing_endpoint_is_on_cooldown_and_then_tried_again() {
     let mut load = EndpointLoad::default();
     load.failed(at(0));
     assert!(load.is_shut(at(200)) && !load.is_shut(at(251)));
@@ -101,10 +105,10 @@
     assert!(!load.is_shut(at(2_000)));
 }
 
-/// Reports lag, and every router reads the same ones. What this router sent since the report
-/// counts beside it, or all send to the one that looked empty.
+/// Reports lag, and every router receives the same ones. If requests sent since the report didn't
+/// count, all routers would send to the endpoint that looked empty.
 #[test]
-fn what_was_sent_since_a_report_counts() {
+fn requests_sent_since_a_report_count() {
     let rule = EngineRule::default();
     let mut load = EndpointLoad::default();
     load.heard(at(0), 10, 0, 128);
@@ -117,13 +121,13 @@
     assert_eq!(load.busy(at(20)), 15);
     let empty = EndpointLoad::default();
     assert!(load.expected(at(20), &rule, 500, 128) > empty.expected(at(20), &rule, 500, 128));
-    // An old report says nothing any more; the own count stays.
+    // An old report is ignored; the count of own requests remains.
     assert_eq!(load.busy(at(5_000)), 5);
 }
 
-/// What is remembered of an engine's cache is bounded, whatever is sent.
+/// Guards against memory that grows with the number of prompt parts sent to an engine.
 #[test]
-fn memory_is_bounded() {
+fn remembered_parts_are_bounded() {
     let rule = EngineRule {
         max_parts: 16,
         ..EngineRule::default()
@@ -145,23 +149,24 @@
     );
 }
 
-/// One endpoint fails four answers in ten while its health is good, the others fail one in seven by
-/// nature of the requests. It is not shut, but it is set back far enough to be chosen less.
+/// One endpoint fails four answers in ten while its health checks pass; the others fail one in
+/// seven because of the requests. It is not put on cooldown, but its failure penalty is large
+/// enough that it is chosen less.
 #[test]
-fn an_endpoint_that_fails_more_often_is_set_back() {
+fn endpoint_that_fails_more_often_is_penalised() {
     let step = Duration::from_millis(40);
-    let played = |bad: fn(u32) -> bool| {
+    let penalty_after = |is_failure: fn(u32) -> bool| {
         let mut load = EndpointLoad::default();
         for number in 0..100 {
-            load.answered(bad(number));
+            load.answered(is_failure(number));
         }
         assert!(!load.is_shut(at(0)));
         load.set_back(step)
     };
-    let grey = played(|n| n % 5 < 2);
-    let usual = played(|n| n % 7 == 0);
+    let failing_often = penalty_after(|n| n % 5 < 2);
+    let failing_rarely = penalty_after(|n| n % 7 == 0);
     assert!(
-        grey > usual + Duration::from_millis(5),
-        "{grey:?} {usual:?}"
+        failing_often > failing_rarely + Duration::from_millis(5),
+        "{failing_often:?} {failing_rarely:?}"
     );
 }
--- a/crates/anvil_policy/tests/list_turn.rs
+++ b/crates/anvil_policy/tests/list_turn.rs
@@ -1,4 +1,4 @@
-//! Reading a list once for many: who reads, and how old what each router holds may grow.
+//! Reading a list once for many routers: which router reads, and how old each router's copy gets.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,33 +6,33 @@
 use anvil_policy::list_turn::{ListAges, Step, in_order, next_step};
 use anvil_world::prelude::*;
 
-const ALL_READ: Duration = Duration::from_millis(2_600);
+const MAX_AGE: Duration = Duration::from_millis(2_600);
 const TICK: Duration = Duration::from_millis(10);
-/// Time from a reading's begin to its end, and of a question to a sibling.
-const TAKES: Duration = Duration::from_millis(40);
-/// For how long a sibling that did not answer is not asked.
-const PASSED_OVER_FOR: Duration = Duration::from_secs(5);
+/// Time that a reading takes, and a request to a sibling.
+const READ_TIME: Duration = Duration::from_millis(40);
+/// How long a sibling that did not answer is skipped.
+const SKIPPED_FOR: Duration = Duration::from_secs(5);
 
-/// What goes wrong with a router.
+/// Fault of a router.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Harm {
+enum Fault {
     None,
     /// It does nothing and answers nothing.
     Frozen,
-    /// It answers siblings, and its own readings fail.
+    /// It answers siblings, but its own readings fail.
     NoList,
-    /// No sibling reaches it, nor does it reach any.
+    /// It can't exchange messages with any sibling.
     NoSiblings,
 }
 
 struct Router {
     id: InstanceId,
-    harm: Harm,
-    /// When what it holds was read.
+    fault: Fault,
+    /// When its copy was read.
     as_of: Duration,
     read_due: Option<Duration>,
-    passed_over: BTreeMap<InstanceId, Duration>,
-    drawn: f64,
+    skipped_until: BTreeMap<InstanceId, Duration>,
+    jitter: f64,
 }
 
 impl Router {
@@ -41,7 +41,7 @@
     }
 }
 
-/// The routers of one availability zone before a list.
+/// The routers of one availability zone that use the same list.
 struct Zone {
     now: Duration,
     routers: Vec<Router>,
@@ -53,11 +53,11 @@
     fn of(count: usize) -> Self {
         let router = |number: usize| Router {
             id: format!("router-{number}").into(),
-            harm: Harm::None,
+            fault: Fault::None,
             as_of: Duration::ZERO,
             read_due: None,
-            passed_over: BTreeMap::new(),
-            drawn: f64::from(u8::try_from(number * 37 % 100).expect("below 100")) / 100.0,
+            skipped_until: BTreeMap::new(),
+            jitter: f64::from(u8::try_from(number * 37 % 100).expect("below 100")) / 100.0,
         };
         Self {
             now: Duration::ZERO,
@@ -71,35 +71,35 @@
         in_order(self.routers.iter().map(|r| r.id.clone()), |_| false)
     }
 
-    fn harm(&mut self, id: &InstanceId, harm: Harm) {
+    fn set_fault(&mut self, id: &InstanceId, fault: Fault) {
         let router = self.routers.iter_mut().find(|r| r.id == *id);
-        router.expect("a router").harm = harm;
+        router.expect("a known router").fault = fault;
     }
 
-    fn play(&mut self, time: Duration) {
+    fn simulate(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += TICK;
             for number in 0..self.routers.len() {
                 self.step(number);
             }
-            let sound = self.routers.iter().filter(|r| r.harm == Harm::None);
-            let ages = sound.map(|r| r.age(self.now));
+            let healthy = self.routers.iter().filter(|r| r.fault == Fault::None);
+            let ages = healthy.map(|r| r.age(self.now));
             self.oldest = self.oldest.max(ages.max().unwrap_or_default());
         }
     }
 
     fn step(&mut self, number: usize) {
         let now = self.now;
-        if self.routers[number].harm == Harm::Frozen {
+        if self.routers[number].fault == Fault::Frozen {
             return;
         }
         if let Some(due) = self.routers[number].read_due {
             if now >= due {
                 self.routers[number].read_due = None;
-                if self.routers[number].harm != Harm::NoList {
+                if self.routers[number].fault != Fault::NoList {
                     self.reads += 1;
-                    self.routers[number].as_of = due.saturating_sub(TAKES);
+                    self.routers[number].as_of = due.saturating_sub(READ_TIME);
                 }
             }
             return;
@@ -107,17 +107,17 @@
         let router = &self.routers[number];
         let age = router.age(now);
         let ids = self.routers.iter().map(|r| r.id.clone());
-        let is_over = |id: &InstanceId| router.passed_over.get(id).is_some_and(|at| now < *at);
-        let order = in_order(ids, is_over);
+        let is_skipped = |id: &InstanceId| router.skipped_until.get(id).is_some_and(|at| now < *at);
+        let order = in_order(ids, is_skipped);
         match next_step(
             &router.id,
             &order,
-            &ListAges::within(ALL_READ),
+            &ListAges::within(MAX_AGE),
             age,
-            router.drawn,
+            router.jitter,
         ) {
             Step::Read(at) if age >= at => {
-                self.routers[number].read_due = Some(now + TAKES);
+                self.routers[number].read_due = Some(now + READ_TIME);
             }
             Step::Read(_) => {}
             Step::Ask(sibling, until) => self.ask(number, &sibling.clone(), until),
@@ -126,83 +126,95 @@
 
     fn ask(&mut self, number: usize, sibling: &InstanceId, until: Duration) {
         let now = self.now;
-        let other = self.routers.iter().find(|r| r.id == *sibling).expect("one");
-        let reached = self.routers[number].harm != Harm::NoSiblings
-            && matches!(other.harm, Harm::None | Harm::NoList);
-        let told = other.as_of;
+        let other = self
+            .routers
+            .iter()
+            .find(|r| r.id == *sibling)
+            .expect("a known router");
+        let can_reach = self.routers[number].fault != Fault::NoSiblings
+            && matches!(other.fault, Fault::None | Fault::NoList);
+        let sibling_as_of = other.as_of;
         let router = &mut self.routers[number];
-        if reached && told > router.as_of && now >= told + 2 * TAKES {
-            router.as_of = told;
+        if can_reach && sibling_as_of > router.as_of && now >= sibling_as_of + 2 * READ_TIME {
+            router.as_of = sibling_as_of;
         } else if router.age(now) + TICK >= until {
             router
-                .passed_over
-                .insert(sibling.clone(), now + PASSED_OVER_FOR);
+                .skipped_until
+                .insert(sibling.clone(), now + SKIPPED_FOR);
         }
     }
 }
 
-/// A hundred routers read as often as one does.
+/// A hundred routers together read as often as a single one.
 #[test]
-fn calls_do_not_grow_with_routers() {
+fn reads_do_not_grow_with_routers() {
     let reads = |count| {
         let mut zone = Zone::of(count);
-        zone.play(Duration::from_secs(30));
-        assert!(zone.oldest < ALL_READ, "{:?}", zone.oldest);
+        zone.simulate(Duration::from_secs(30));
+        assert!(zone.oldest < MAX_AGE, "{:?}", zone.oldest);
         zone.reads
     };
-    let alone = reads(1);
-    assert!(reads(40) <= alone + 1);
+    let reads_of_one = reads(1);
+    assert!(reads(40) <= reads_of_one + 1);
 }
 
-/// Guards against a list that grows old everywhere because the router that reads it is frozen.
+/// Guards against copies that become too old because the reader is frozen.
 #[test]
-fn a_frozen_reader_is_replaced_in_time() {
-    holds_while(Harm::Frozen);
+fn frozen_reader_is_replaced_in_time() {
+    assert_age_bounded_with(Fault::Frozen);
 }
 
-/// Guards against a list that grows old everywhere because its reader can't reach the platform.
+/// Guards against copies that become too old because the reader can't reach the platform.
 #[test]
-fn a_reader_without_the_list_is_replaced_in_time() {
-    holds_while(Harm::NoList);
+fn reader_that_can_not_read_is_replaced_in_time() {
+    assert_age_bounded_with(Fault::NoList);
 }
 
-/// Guards against a list that grows old because the reader's siblings can't reach it.
+/// Guards against copies that become too old because the siblings can't reach the reader.
 #[test]
-fn a_reader_that_nobody_reaches_is_replaced_in_time() {
-    holds_while(Harm::NoSiblings);
+fn unreachable_reader_is_replaced_in_time() {
+    assert_age_bounded_with(Fault::NoSiblings);
 }
 
-fn holds_while(harm: Harm) {
+fn assert_age_bounded_with(fault: Fault) {
     let mut zone = Zone::of(20);
-    zone.play(Duration::from_secs(10));
-    let calm = zone.reads;
+    zone.simulate(Duration::from_secs(10));
+    let reads_before = zone.reads;
     let first = zone.order()[0].clone();
-    zone.harm(&first, harm);
-    zone.play(Duration::from_secs(10));
-    assert!(zone.oldest < ALL_READ + 2 * TAKES, "{:?}", zone.oldest);
-    assert!(zone.reads < 5 * calm, "{} after {calm}", zone.reads);
+    zone.set_fault(&first, fault);
+    zone.simulate(Duration::from_secs(10));
+    assert!(zone.oldest < MAX_AGE + 2 * READ_TIME, "{:?}", zone.oldest);
+    assert!(
+        zone.reads < 5 * reads_before,
+        "{} after {reads_before}",
+        zone.reads
+    );
 }
 
-/// Guards against routers that wait for one dead reader after the other.
+/// Guards against routers that wait for one dead reader after another.
 #[test]
 fn two_readers_that_die_in_a_row_are_replaced_in_time() {
     let mut zone = Zone::of(20);
-    zone.play(Duration::from_secs(10));
+    zone.simulate(Duration::from_secs(10));
     let order = zone.order();
-    zone.harm(&order[0], Harm::Frozen);
-    zone.play(Duration::from_millis(400));
-    zone.harm(&order[1], Harm::Frozen);
-    zone.play(Duration::from_secs(10));
-    assert!(zone.oldest < ALL_READ + 2 * TAKES, "{:?}", zone.oldest);
+    zone.set_fault(&order[0], Fault::Frozen);
+    zone.simulate(Duration::from_millis(400));
+    zone.set_fault(&order[1], Fault::Frozen);
+    zone.simulate(Duration::from_secs(10));
+    assert!(zone.oldest < MAX_AGE + 2 * READ_TIME, "{:?}", zone.oldest);
 }
 
-/// Guards against a router that trusts siblings while none can be reached: it reads by itself.
+/// Guards against a router that relies on siblings that it can't reach: it reads the list itself.
 #[test]
-fn a_router_without_siblings_reads_by_itself() {
+fn isolated_router_reads_the_list_itself() {
     let mut zone = Zone::of(5);
     let last = zone.order()[4].clone();
-    zone.harm(&last, Harm::NoSiblings);
-    zone.play(Duration::from_secs(20));
-    let cut_off = zone.routers.iter().find(|r| r.id == last).expect("one");
-    assert!(cut_off.age(zone.now) < ALL_READ + 2 * TAKES);
+    zone.set_fault(&last, Fault::NoSiblings);
+    zone.simulate(Duration::from_secs(20));
+    let isolated = zone
+        .routers
+        .iter()
+        .find(|r| r.id == last)
+        .expect("a known router");
+    assert!(isolated.age(zone.now) < MAX_AGE + 2 * READ_TIME);
 }
--- a/crates/anvil_policy/tests/retry.rs
+++ b/crates/anvil_policy/tests/retry.rs
@@ -1,26 +1,26 @@
-//! Tries beyond the first, within a budget that several routers share.
+//! Retry budgets that several routers share.
 
 use std::time::Duration;
 
 use anvil_policy::retry::{Repeat, RetryBudget, RetryRule};
 
-/// The slack of all routers in ten seconds.
-const SLACK: f64 = 60.0;
+/// Retries that all routers together may make in ten seconds.
+const MAX_RETRIES: f64 = 60.0;
 
-/// The part of one of so many routers.
-fn part_of(routers: u32) -> RetryRule {
-    let slack = SLACK / f64::from(routers);
+/// The rule of one router among this many.
+fn rule_for(routers: u32) -> RetryRule {
+    let max_retries = MAX_RETRIES / f64::from(routers);
     RetryRule {
         part: 0.0,
-        reserve: 0.5 * slack,
-        each_second: 0.03 * slack,
+        reserve: 0.5 * max_retries,
+        each_second: 0.03 * max_retries,
         most_tries: u32::MAX,
         ..RetryRule::default()
     }
 }
 
-/// Tries that a budget allows in ten seconds in which everything fails.
-fn allowed(budget: &mut RetryBudget, from: u64) -> u32 {
+/// Retries that a budget allows in ten seconds in which every attempt fails.
+fn count_retries(budget: &mut RetryBudget, from: u64) -> u32 {
     let mut rng = rand::rng();
     let mut count = 0;
     for ms in 0..10_000 {
@@ -30,31 +30,31 @@
     count
 }
 
-/// All routers start at once, and each knows of one other when its first request comes. With the
-/// part of then, thirty routers together make fifteen times the tries that all of them may make,
-/// and endpoints that are down are flooded.
+/// All routers start at once, and each knows of one other when its first request arrives. With the
+/// budget computed then, thirty routers together would make fifteen times the retries that all of
+/// them may make, and flood endpoints that are down.
 #[test]
-fn the_parts_of_all_routers_stay_within_the_whole() {
+fn retries_of_all_routers_stay_within_the_shared_budget() {
     let routers = 30;
-    let mut sum = 0;
+    let mut total = 0;
     for _ in 0..routers {
-        let mut budget = RetryBudget::new(part_of(2));
-        budget.set_rule(Duration::from_secs(1), part_of(routers));
-        sum += allowed(&mut budget, 1);
+        let mut budget = RetryBudget::new(rule_for(2));
+        budget.set_rule(Duration::from_secs(1), rule_for(routers));
+        total += count_retries(&mut budget, 1);
     }
-    assert!(f64::from(sum) <= SLACK, "{sum}");
+    assert!(f64::from(total) <= MAX_RETRIES, "{total}");
 }
 
-/// Half of the routers die after they have used their part. The others' parts grow, but not by
-/// what is used already.
+/// Half of the routers die after they have used their part. The parts of the others grow, but must
+/// not include what was used already.
 #[test]
-fn a_larger_part_gives_nothing_back_at_once() {
-    let mut budget = RetryBudget::new(part_of(2));
+fn larger_budget_does_not_restore_used_retries() {
+    let mut budget = RetryBudget::new(rule_for(2));
     while budget
         .again(Duration::ZERO, 1, Repeat::Safe, &mut rand::rng())
         .is_some()
     {}
-    budget.set_rule(Duration::ZERO, part_of(1));
+    budget.set_rule(Duration::ZERO, rule_for(1));
     let again = budget.again(Duration::ZERO, 1, Repeat::Safe, &mut rand::rng());
     assert!(again.is_none());
 }
--- a/crates/anvil_policy/tests/sharing.rs
+++ b/crates/anvil_policy/tests/sharing.rs
@@ -14,10 +14,10 @@
     ChaCha8Rng::seed_from_u64(3)
 }
 
-/// Every endpoint fails for a minute under load. Each request tried three times would triple the
-/// load just then.
+/// Every endpoint fails for a minute under load. Three attempts for each request would triple the
+/// load at the worst time.
 #[test]
-fn retries_stay_a_tenth_of_the_work() {
+fn retries_stay_at_a_tenth_of_the_work() {
     let mut budget = RetryBudget::default();
     let mut rng = rng();
     let mut retries = 0;
@@ -29,9 +29,9 @@
     assert!((6_000..=6_200).contains(&retries), "{retries}");
 }
 
-/// A deposit may have been placed when the endpoint was lost. A second try would place it twice.
+/// An order may have been placed when its endpoint was lost. A second attempt would place it twice.
 #[test]
-fn what_may_not_be_repeated_is_never_tried_again() {
+fn non_idempotent_request_is_never_retried() {
     let mut budget = RetryBudget::default();
     assert_eq!(
         budget.again(Duration::ZERO, 1, Repeat::Never, &mut rng()),
@@ -39,23 +39,23 @@
     );
 }
 
-/// A hundred callers fail in the same moment. Tried again in the same moment, they would fail
-/// together again.
+/// A hundred requests fail at the same time. Retried at the same time, they would fail together
+/// again.
 #[test]
-fn pauses_come_apart() {
+fn backoffs_are_spread_out() {
     let mut budget = RetryBudget::default();
     let mut rng = rng();
-    let pauses: BTreeSet<_> = (0..100)
+    let backoffs: BTreeSet<_> = (0..100)
         .filter_map(|_| budget.again(Duration::ZERO, 2, Repeat::Safe, &mut rng))
         .collect();
-    assert!(pauses.len() > 95);
-    assert!(pauses.last() <= Some(&Duration::from_millis(100)));
+    assert!(backoffs.len() > 95);
+    assert!(backoffs.last() <= Some(&Duration::from_millis(100)));
 }
 
-/// Three routers draw on a budget of a million until it is used up, one of them with most of the
-/// demand. Large grants would leave money idle in the quiet ones.
+/// Three routers draw on a budget of a million tokens until it is used up, one of them with most of
+/// the demand. Large grants would leave tokens idle in the other two.
 #[test]
-fn the_last_tokens_of_a_budget_reach_who_asks() {
+fn last_tokens_of_a_budget_reach_the_router_with_demand() {
     let rule = GrantRule::default();
     let mut left: Tokens = 1_000_000;
     let mut free = [0; 3];
@@ -80,13 +80,14 @@
         used += 400;
     }
     assert_eq!(used + left + free.iter().sum::<Tokens>(), 1_000_000);
-    // Idle in other routers when the first is refused; the ledger then recalls it.
+    // The rest is idle in other routers when the first request is refused; the ledger then recalls
+    // it.
     assert!(used > 970_000, "{used}");
 }
 
-/// Demand of a steady stream is measured as it is, and forgotten when the stream ends.
+/// The demand of a steady stream is measured accurately, and decays when the stream ends.
 #[test]
-fn demand_follows_the_stream() {
+fn measured_demand_follows_the_stream() {
     let mut demand = Demand::over(Duration::from_mins(1));
     for second in 0..300 {
         demand.add(Duration::from_secs(second), 500);
@@ -96,10 +97,10 @@
     assert!(demand.rate(Duration::from_mins(10)) < 1.0);
 }
 
-/// Cache events come late, doubled and with gaps, and callers send ever new prompts. The index
-/// neither grows without bound nor forgets what is still sent.
+/// Cache events come late, duplicated and with gaps, and callers send ever new prompts. The index
+/// must neither grow without bound nor lose prefixes that are still sent.
 #[test]
-fn the_prefix_index_is_bounded_and_forgives_lost_events() {
+fn prefix_index_is_bounded_and_tolerates_lost_events() {
     let rule = PrefixRule {
         max_entries: 1_000,
         ..PrefixRule::default()
@@ -113,14 +114,14 @@
     let event = |seq, change| CacheEvent { seq, change };
     index.heard(Duration::ZERO, &id, &event(1, CacheChange::Added(7)));
     index.heard(Duration::ZERO, &id, &event(9, CacheChange::Added(8)));
-    // A late one, which would take back what is newer.
+    // A late event, which must not undo a newer one.
     index.heard(Duration::ZERO, &id, &event(2, CacheChange::Removed(8)));
     assert_eq!(index.holders(Duration::ZERO, &[7, 8]), [(id.clone(), 2)]);
     index.heard(Duration::ZERO, &id, &event(10, CacheChange::Cleared));
     assert_eq!(index.holders(Duration::ZERO, &[7, 8]), []);
 }
 
-/// Prompts that begin alike share their first hashes; the same text for another model doesn't.
+/// Prompts with the same prefix share their first hashes; the same text for another model doesn't.
 #[test]
 fn prompts_share_the_hashes_of_their_common_blocks() {
     let rule = PrefixRule::default();
@@ -134,8 +135,8 @@
     assert_ne!(one[0], rule.hashes("summary", &text)[0]);
 }
 
-/// 520 routers watch 7,100 endpoints. Were some endpoints watched by few, their slots would
-/// stand empty; and one router less must not change what the others watch.
+/// 520 routers watch 7,100 endpoints. The slots of endpoints that few routers watch would stay
+/// empty; and one endpoint less must not change what a router watches otherwise.
 #[test]
 fn subsets_are_bounded_balanced_and_stable() {
     let zone = |at: usize| Zone::new("region", &format!("zone-{}", at % 4));
@@ -145,8 +146,8 @@
     let rule = SubsetRule::default();
     let mut watchers: BTreeMap<InstanceId, usize> = BTreeMap::new();
     for router in 0..520 {
-        let every = all.iter().map(|(id, zone)| (id, zone));
-        let watched = rule.watched(&format!("router-{router}"), &zone(router), every);
+        let all_endpoints = all.iter().map(|(id, zone)| (id, zone));
+        let watched = rule.watched(&format!("router-{router}"), &zone(router), all_endpoints);
         assert_eq!(watched.len(), rule.own_zone + 3 * rule.per_other_zone);
         for id in watched {
             *watchers.entry(id).or_default() += 1;
@@ -155,9 +156,9 @@
     assert!(watchers.len() > 7_080, "{} are watched", watchers.len());
     assert!(watchers.values().max() <= Some(&20));
 
-    let every = || all.iter().map(|(id, zone)| (id, zone));
-    let before = rule.watched("router-1", &zone(1), every());
-    let after = rule.watched("router-1", &zone(1), every().skip(1));
+    let all_endpoints = || all.iter().map(|(id, zone)| (id, zone));
+    let before = rule.watched("router-1", &zone(1), all_endpoints());
+    let after = rule.watched("router-1", &zone(1), all_endpoints().skip(1));
     assert!(before.difference(&after).count() <= 1);
 }
 
@@ -173,10 +174,10 @@
     }
 }
 
-/// A zone is lost with half of the replicas. Ordered all at once, the rate-limited store would
-/// serve all loads slowly; and a model with no replica left must not wait behind others.
+/// A zone is lost with half of the replicas. Started all at once, the rate-limited store would
+/// serve all loads slowly; and a model without any replica must not wait behind others.
 #[test]
-fn loads_are_paced_and_the_neediest_model_is_first() {
+fn loads_are_limited_and_the_most_lacking_model_is_first() {
     let endpoints = [
         endpoint(0, &["chat"]),
         endpoint(1, &["chat"]),
@@ -201,10 +202,10 @@
     assert!(moves.iter().all(|one| matches!(one, Move::Load { .. })));
 }
 
-/// All memory is taken and a model lacks a replica. Nothing that runs work, and nothing that is
-/// wanted there, is dropped for it.
+/// All memory is in use and a model lacks a replica. No model that has runs or is wanted there may
+/// be unloaded for it.
 #[test]
-fn room_is_made_only_from_idle_surplus() {
+fn only_idle_surplus_models_are_unloaded() {
     let mut endpoints = vec![endpoint(0, &["chat", "old"]), endpoint(1, &["chat", "old"])];
     endpoints[0].busy.insert("old".into());
     let wanted = BTreeMap::from([("chat".into(), 2), ("summary".into(), 1)]);
--- a/crates/anvil_policy/tests/waiting.rs
+++ b/crates/anvil_policy/tests/waiting.rs
@@ -1,4 +1,4 @@
-//! Who gets the next turn.
+//! Order in which queued requests are dispatched.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,32 +21,32 @@
     }
 }
 
-fn push(waiting: &mut WaitQueue, ticket: Ticket) -> WaiterId {
-    waiting.push(Duration::ZERO, ticket, LATE, LATE)
+fn push(queue: &mut WaitQueue, ticket: Ticket) -> WaiterId {
+    queue.push(Duration::ZERO, ticket, LATE, LATE)
 }
 
-fn turns(waiting: &mut WaitQueue, count: usize) -> BTreeMap<OrganisationId, usize> {
+fn turns_by_organisation(queue: &mut WaitQueue, count: usize) -> BTreeMap<OrganisationId, usize> {
     let mut turns = BTreeMap::new();
     for _ in 0..count {
-        let waiter = waiting.pop(Duration::ZERO).expect("work waits");
+        let waiter = queue.pop(Duration::ZERO).expect("a queued request");
         *turns.entry(waiter.ticket.organisation).or_default() += 1;
     }
     turns
 }
 
-/// A large organisation sends 180 requests, then nine small ones send two each. In order of
-/// arrival the small ones would wait for all 180. Cause: one queue for all.
+/// A large organisation sends 180 requests, then nine small ones send two each. In a single queue
+/// by order of arrival the small ones would wait for all 180.
 #[test]
-fn one_organisation_with_most_of_the_load_holds_nobody_up() {
-    let mut waiting = WaitQueue::default();
+fn organisation_with_most_of_the_load_does_not_delay_others() {
+    let mut queue = WaitQueue::default();
     for _ in 0..180 {
-        push(&mut waiting, ticket("large", 5));
+        push(&mut queue, ticket("large", 5));
     }
     for small in 0..9 {
-        push(&mut waiting, ticket(&format!("small-{small}"), 5));
-        push(&mut waiting, ticket(&format!("small-{small}"), 5));
+        push(&mut queue, ticket(&format!("small-{small}"), 5));
+        push(&mut queue, ticket(&format!("small-{small}"), 5));
     }
-    let turns = turns(&mut waiting, 22);
+    let turns = turns_by_organisation(&mut queue, 22);
     let small: usize = turns
         .iter()
         .filter(|(o, _)| &***o != "large")
@@ -55,106 +55,110 @@
     assert_eq!(small, 18, "{turns:?}");
 }
 
-/// An organisation that pays for three shares sees no more turns than one that pays for one.
-/// Cause: weights that are not used.
+/// Guards against weights that have no effect: an organisation with weight three gets three times
+/// the turns of one with weight one.
 #[test]
-fn turns_follow_the_weights() {
-    let mut waiting = WaitQueue::default();
+fn turns_are_proportional_to_weights() {
+    let mut queue = WaitQueue::default();
     for _ in 0..100 {
-        push(&mut waiting, ticket("one", 5));
+        push(&mut queue, ticket("one", 5));
         let heavy = Ticket {
             weight: 3,
             ..ticket("three", 5)
         };
-        push(&mut waiting, heavy);
+        push(&mut queue, heavy);
     }
-    let turns = turns(&mut waiting, 80);
+    let turns = turns_by_organisation(&mut queue, 80);
     assert!((59..=61).contains(&turns["three"]), "{turns:?}");
 }
 
-/// A customer on the phone asks while forty long histories wait; later the questions never stop
-/// and the histories would never run. Cause: a single queue, or a strict priority.
+/// An interactive request arrives while forty long batch requests are queued; later the interactive
+/// requests never stop. Guards against a single queue, where the interactive request waits for all
+/// batch requests, and against strict priority, where the batch requests never run.
 #[test]
-fn questions_go_before_histories_and_histories_are_never_starved() {
-    let mut waiting = WaitQueue::default();
+fn interactive_goes_before_batch_and_batch_is_not_starved() {
+    let mut queue = WaitQueue::default();
     for _ in 0..40 {
-        let history = Ticket {
+        let batch = Ticket {
             class: WorkClass::Batch,
             prompt: 12_000,
             ..ticket("workshop", 30)
         };
-        push(&mut waiting, history);
+        push(&mut queue, batch);
     }
-    let question = push(&mut waiting, ticket("counter", 5));
-    let first_two = [(); 2].map(|()| waiting.pop(Duration::ZERO).expect("waits").id);
-    assert!(first_two.contains(&question));
+    let interactive = push(&mut queue, ticket("counter", 5));
+    let first_two = [(); 2].map(|()| queue.pop(Duration::ZERO).expect("a queued request").id);
+    assert!(first_two.contains(&interactive));
 
-    let mut histories = 0;
+    let mut batches = 0;
     for _ in 0..400 {
-        push(&mut waiting, ticket("counter", 5));
-        let next = waiting.pop(Duration::ZERO).expect("waits");
-        histories += usize::from(next.ticket.class == WorkClass::Batch);
+        push(&mut queue, ticket("counter", 5));
+        let next = queue.pop(Duration::ZERO).expect("a queued request");
+        batches += usize::from(next.ticket.class == WorkClass::Batch);
     }
     // A thirteenth of the slot time, in runs six times as long.
-    assert!((4..=6).contains(&histories), "{histories}");
+    assert!((4..=6).contains(&batches), "{batches}");
 }
 
-/// Two requests of one clerk wait, the later one with the nearer deadline. In order of arrival
-/// it misses its deadline although both could be served.
+/// Two requests of one organisation are queued, the later one with the earlier deadline. In order
+/// of arrival it would miss its deadline although both could be served.
 #[test]
-fn the_earliest_deadline_is_first_inside_an_organisation() {
-    let mut waiting = WaitQueue::default();
-    push(&mut waiting, ticket("mombasa", 5));
+fn earliest_deadline_is_first_within_an_organisation() {
+    let mut queue = WaitQueue::default();
+    push(&mut queue, ticket("mombasa", 5));
     let near = Ticket {
         deadline: Duration::from_secs(20),
         ..ticket("mombasa", 5)
     };
-    let near = push(&mut waiting, near);
-    assert_eq!(waiting.pop(Duration::ZERO).map(|w| w.id), Some(near));
+    let near = push(&mut queue, near);
+    assert_eq!(queue.pop(Duration::ZERO).map(|w| w.id), Some(near));
 }
 
-/// Work was promised a turn within a second; afterwards others with a better right come without
-/// end. Fair shares alone would push it past its promise.
+/// A request was admitted to start within a second; afterwards requests with more fair share left
+/// arrive without end. By fair shares alone it would start too late.
 #[test]
-fn a_promise_goes_before_fair_shares() {
-    let mut waiting = WaitQueue::default();
-    push(&mut waiting, ticket("large", 60));
-    waiting.pop(Duration::ZERO).expect("waits");
+fn target_start_takes_precedence_over_fair_shares() {
+    let mut queue = WaitQueue::default();
+    push(&mut queue, ticket("large", 60));
+    queue.pop(Duration::ZERO).expect("a queued request");
     for _ in 0..10 {
-        push(&mut waiting, ticket("small", 1));
+        push(&mut queue, ticket("small", 1));
     }
     let soon = Duration::from_secs(1);
-    let promised = waiting.push(Duration::ZERO, ticket("large", 60), soon, LATE);
-    let early = waiting.pop(Duration::from_millis(800));
-    assert_eq!(early.map(|w| w.ticket.organisation), Some("small".into()));
+    let promoted = queue.push(Duration::ZERO, ticket("large", 60), soon, LATE);
+    let before_promotion = queue.pop(Duration::from_millis(800));
+    assert_eq!(
+        before_promotion.map(|w| w.ticket.organisation),
+        Some("small".into())
+    );
     let now = Duration::from_millis(880);
-    assert_eq!(waiting.pop(now).map(|w| w.id), Some(promised));
+    assert_eq!(queue.pop(now).map(|w| w.id), Some(promoted));
 }
 
 proptest! {
-    /// Whatever comes, goes and is cancelled in whatever order: everything that was let in comes
-    /// out exactly once, and the backlog is nothing at the end.
+    /// Whatever is queued, dispatched and cancelled in whatever order: each queued request leaves
+    /// the queue exactly once, and the backlog is zero at the end.
     #[test]
-    fn nothing_is_lost_or_doubled(steps in prop::collection::vec((0_u8..4, 0_u8..5, 1_u64..40), 1..200)) {
-        let mut waiting = WaitQueue::default();
-        let mut inside = std::collections::BTreeSet::new();
-        for (what, who, service) in steps {
-            if what < 2 {
-                inside.insert(push(&mut waiting, ticket(&format!("{who}"), service)));
-            } else if what == 2 {
-                let gone = waiting.pop(Duration::ZERO).map(|w| w.id);
-                prop_assert_eq!(gone.is_some(), !inside.is_empty());
-                prop_assert!(gone.is_none_or(|id| inside.remove(&id)));
-            } else if let Some(id) = inside.pop_first() {
-                prop_assert!(waiting.remove(id).is_some());
-                prop_assert!(waiting.remove(id).is_none());
+    fn every_request_leaves_the_queue_exactly_once(steps in prop::collection::vec((0_u8..4, 0_u8..5, 1_u64..40), 1..200)) {
+        let mut queue = WaitQueue::default();
+        let mut queued = std::collections::BTreeSet::new();
+        for (action, organisation, service) in steps {
+            if action < 2 {
+                queued.insert(push(&mut queue, ticket(&format!("{organisation}"), service)));
+            } else if action == 2 {
+                let popped = queue.pop(Duration::ZERO).map(|w| w.id);
+                prop_assert_eq!(popped.is_some(), !queued.is_empty());
+                prop_assert!(popped.is_none_or(|id| queued.remove(&id)));
+            } else if let Some(id) = queued.pop_first() {
+                prop_assert!(queue.remove(id).is_some());
+                prop_assert!(queue.remove(id).is_none());
             }
-            prop_assert_eq!(waiting.len(), inside.len());
+            prop_assert_eq!(queue.len(), queued.len());
         }
-        while let Some(waiter) = waiting.pop(Duration::ZERO) {
-            prop_assert!(inside.remove(&waiter.id));
+        while let Some(waiter) = queue.pop(Duration::ZERO) {
+            prop_assert!(queued.remove(&waiter.id));
         }
-        prop_assert!(inside.is_empty());
-        prop_assert_eq!(waiting.backlog(Lane::Short, &"0".into()), (0, 0));
+        prop_assert!(queued.is_empty());
+        prop_assert_eq!(queue.backlog(Lane::Short, &"0".into()), (0, 0));
     }
 }
