--- a/crates/anvil_policy/src/choice.rs
+++ b/crates/anvil_policy/src/choice.rs
@@ -12,8 +12,10 @@
 //! lacks, and for the network round trip. An endpoint that holds a prefix of the prompt is always
 //! among the candidates and gets no other preference, so affinity lasts exactly as long as it pays.
 //!
-//! *Thresholds:* their reasons and the runs that they come from are in
-//! `docs/design/04-decisions.md`.
+//! *Thresholds:* a retry samples more endpoints and avoids the zones where the request failed,
+//! because in a lost zone it would use up all its attempts. The scan after unsuccessful sampling is
+//! bounded, because a full pool is scanned just when the router is overloaded. Further reasons, and
+//! the runs that the thresholds come from, are in `docs/design/04-decisions.md`.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/anvil_policy/src/engine.rs
+++ b/crates/anvil_policy/src/engine.rs
@@ -155,7 +155,8 @@
         });
     }
 
-    /// Records an answer; `is_failure` if it is a failure of the endpoint itself. Ends the cooldown.
+    /// Records an answer; `is_failure` if it is a failure of the endpoint itself. Ends the
+    /// cooldown.
     pub fn answered(&mut self, is_failure: bool) {
         self.failures = 0;
         self.cooldown_until = Duration::ZERO;
--- a/crates/anvil_policy/src/fair.rs
+++ b/crates/anvil_policy/src/fair.rs
@@ -54,8 +54,8 @@
             return;
         };
         self.ready.remove(&(tag, key.clone()));
-        // `mark_ready` never uses a tag that is not ahead of the current virtual time, so such a
-        // tag need not be kept.
+        // A tag that is not ahead of the virtual time has no effect in `mark_ready`, so it is not
+        // kept.
         if tag <= self.virtual_time {
             self.tags.remove(key);
         }
--- a/crates/anvil_policy/src/grant.rs
+++ b/crates/anvil_policy/src/grant.rs
@@ -72,9 +72,9 @@
         need.free - need.waiting < to_tokens(ahead).max(self.min_grant / 2)
     }
 
-    /// Tokens to grant out of what remains. `min_amount` is what the router needs for the requests that
-    /// are waiting now; without it the last tokens could be divided into grants too small for any
-    /// request. Zero if less than that remains.
+    /// Tokens to grant out of what remains. `min_amount` is what the router needs for the requests
+    /// that are waiting now; without it the last tokens could be divided into grants too small for
+    /// any request. Zero if less than that remains.
     pub fn grant_size(&self, asked: Tokens, min_amount: Tokens, remaining: Tokens) -> Tokens {
         if min_amount > remaining {
             return 0;
--- a/crates/anvil_policy/src/health.rs
+++ b/crates/anvil_policy/src/health.rs
@@ -3,7 +3,7 @@
 //! *Load pattern:* endpoints that become slow, fail, saturate, leave or return while requests are
 //! sent to them; see [`crate::ejection`] and [`crate::limit`], which this module joins.
 //!
-//! *Without it:* each request would have to evaluate measurements under a lock on its way.
+//! *Without it:* each request would have to take a lock and evaluate the measurements itself.
 //!
 //! *Mechanism:* a router keeps one [`Health`] for each pool under a lock. It calls
 //! [`Health::report`] for each load report, [`Health::observe`] after each attempt, and
--- a/crates/anvil_policy/src/prefix.rs
+++ b/crates/anvil_policy/src/prefix.rs
@@ -9,9 +9,9 @@
 //! *Mechanism:* a prompt is cut into blocks, and the hash of each block covers all text before it.
 //! An entry is added when this router sends a prompt (the engine will hold it soon) and when an
 //! event reports it. It is removed by a removal event, invalidated when the endpoint's cache was
-//! cleared, and expires with age or when the index is full. A wrong entry costs one prefill, so
-//! entries may be wrong for a short time. [`crate::choice`] decides how much a cached prefix
-//! counts.
+//! cleared, expires with age, and is evicted when the index is full. A wrong entry costs one
+//! prefill, so entries may be wrong for a short time. [`crate::choice`] decides how much a cached
+//! prefix counts.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
--- a/crates/anvil_policy/src/rate_share.rs
+++ b/crates/anvil_policy/src/rate_share.rs
@@ -10,9 +10,9 @@
 //! router with a part of at least one request in two seconds uses a token bucket. With smaller
 //! parts, the tokens saved up by all routers would exceed the limit in a burst. There, each router
 //! may send one request in a time window of its own, by the time of day, once in each round of all
-//! routers. The windows of consecutive routers start as many times a second as the endpoint accepts
-//! requests. They overlap as far as a burst in all open ones is acceptable, so that a router with
-//! few requests has one ready in its window.
+//! routers. The windows of consecutive routers start at the rate of the limit. They overlap, so
+//! that a router with few requests is more likely to have one during its window, but only as far as
+//! a burst in all open windows is acceptable.
 //!
 //! *Thresholds:* in any four seconds at most one and a half times the limit plus five requests are
 //! sent. If clocks differ, windows shift, but no router sends more often than its part.
--- a/crates/anvil_policy/src/subset.rs
+++ b/crates/anvil_policy/src/subset.rs
@@ -11,6 +11,9 @@
 //! best few of each. When an endpoint or router comes or goes, only its own entries change. Some
 //! endpoints always come from other zones of the region, so that a router can still send work when
 //! its zone is lost.
+//!
+//! *Thresholds:* the numbers of endpoints are fixed, so that the control traffic of a router does
+//! not grow with the fleet.
 
 use std::collections::BTreeSet;
 
--- a/crates/anvil_policy/tests/list_turn.rs
+++ b/crates/anvil_policy/tests/list_turn.rs
@@ -145,7 +145,8 @@
     }
 }
 
-/// A hundred routers together read as often as a single one.
+/// Guards against calls that grow with the number of routers: forty together read as often as a
+/// single one.
 #[test]
 fn reads_do_not_grow_with_routers() {
     let reads = |count| {
