--- a/crates/anvil_policy/src/admission.rs
+++ b/crates/anvil_policy/src/admission.rs
@@ -203,9 +203,9 @@
         }
         let lane = ticket.lane();
         let (own, all) = self.waiting.backlog(lane, &ticket.organisation);
-        let actives = self.waiting.active_weight(lane, ticket);
-        let fair = own.saturating_mul(actives) / u64::from(ticket.weight.max(1));
-        self.time_to_clear(lane, fair.min(all))
+        let active_weight = self.waiting.active_weight(lane, ticket);
+        let fair_backlog = own.saturating_mul(active_weight) / u64::from(ticket.weight.max(1));
+        self.time_to_clear(lane, fair_backlog.min(all))
     }
 
     /// Amount by which the organisation's backlog exceeds the free part of the maximum wait.
--- a/crates/anvil_policy/src/choice.rs
+++ b/crates/anvil_policy/src/choice.rs
@@ -206,7 +206,7 @@
         let headroom = if cached_tokens > 0 {
             endpoint.headroom_for_cached()
         } else {
-            endpoint.room()
+            endpoint.headroom()
         };
         let within_share =
             endpoint.share() >= FULL_SHARE || rng.random_range(0..FULL_SHARE) < endpoint.share();
@@ -282,7 +282,7 @@
             continue;
         }
         any_serves |= accepts_work(endpoint);
-        if endpoint.room() > 0 {
+        if endpoint.headroom() > 0 {
             return Choice::Endpoint(Arc::clone(endpoint));
         }
     }
--- a/crates/anvil_policy/src/ejection.rs
+++ b/crates/anvil_policy/src/ejection.rs
@@ -58,7 +58,7 @@
 
 /// Result of an attempt at an endpoint; only failures of the endpoint itself count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AttemptResult {
+pub enum Observation {
     /// It answered; the time for one unit of work (to the first token, or for a whole call).
     Answered(Duration),
     /// It failed, or could not be reached.
@@ -88,11 +88,11 @@
 
 impl AnswerStats {
     /// Updates the statistics with the result of an attempt.
-    pub fn observe(&mut self, now: Now, ended: AttemptResult) {
+    pub fn observe(&mut self, now: Now, ended: Observation) {
         self.last_observed = now;
         let failed = match ended {
-            AttemptResult::Failed => 1.0,
-            AttemptResult::Answered(time) => {
+            Observation::Failed => 1.0,
+            Observation::Answered(time) => {
                 self.learn(time);
                 0.0
             }
--- a/crates/anvil_policy/src/endpoint.rs
+++ b/crates/anvil_policy/src/endpoint.rs
@@ -177,7 +177,7 @@
     }
 
     /// Number of runs that this router may add now.
-    pub fn room(&self) -> u32 {
+    pub fn headroom(&self) -> u32 {
         self.headroom_within(self.effective_limit())
             .max(self.guaranteed_headroom())
     }
--- a/crates/anvil_policy/src/engine.rs
+++ b/crates/anvil_policy/src/engine.rs
@@ -68,7 +68,7 @@
     /// Requests of this router in flight there.
     pub running: u32,
     /// Prompt tokens of this router's requests there that have not received their first token.
-    pub unread: Tokens,
+    pub pending_prefill: Tokens,
     /// Last load report of the endpoint itself.
     report: Option<Report>,
     /// When each prompt part was last prefilled there.
@@ -123,9 +123,15 @@
 
 impl EndpointLoad {
     /// Records that a request is sent there.
-    pub fn start(&mut self, now: Now, rule: &EngineRule, prompt: &Prompt<'_>, unread: Tokens) {
+    pub fn start(
+        &mut self,
+        now: Now,
+        rule: &EngineRule,
+        prompt: &Prompt<'_>,
+        pending_prefill: Tokens,
+    ) {
         self.running += 1;
-        self.unread += unread;
+        self.pending_prefill += pending_prefill;
         for (part, _) in prompt.parts {
             self.parts.insert(*part, now);
         }
@@ -135,8 +141,8 @@
     }
 
     /// Records that the first token has come, or that the request has ended before it.
-    pub fn read(&mut self, unread: Tokens) {
-        self.unread = self.unread.saturating_sub(unread);
+    pub fn read(&mut self, pending_prefill: Tokens) {
+        self.pending_prefill = self.pending_prefill.saturating_sub(pending_prefill);
     }
 
     /// Records that a request has ended.
@@ -244,7 +250,7 @@
     /// Expected time to the first token of a prompt with this number of missing tokens.
     pub fn expected(&self, now: Now, rule: &EngineRule, missing: Tokens, slots: u32) -> Duration {
         let others = self.others_queued_tokens(now, rule);
-        let prefill_time = rule.prefill_time(self.unread + others + missing);
+        let prefill_time = rule.prefill_time(self.pending_prefill + others + missing);
         let fullness = f64::from(self.busy(now)) / f64::from(self.slots(slots).max(1));
         prefill_time + rule.full_penalty.mul_f64(fullness * fullness)
     }
@@ -264,7 +270,7 @@
         )]
         let prefilled = (elapsed_ms * rule.prefill_tokens_per_ms) as Tokens;
         queued_tokens
-            .saturating_sub(self.unread)
+            .saturating_sub(self.pending_prefill)
             .saturating_sub(prefilled)
     }
 
--- a/crates/anvil_policy/src/health.rs
+++ b/crates/anvil_policy/src/health.rs
@@ -15,7 +15,7 @@
 use anvil_world::prelude::*;
 
 use crate::choice::Pool;
-use crate::ejection::{self, AnswerStats, AttemptResult, EjectionRule};
+use crate::ejection::{self, AnswerStats, EjectionRule, Observation};
 use crate::endpoint::{EndpointState, LoadReport};
 use crate::limit::{Latency, Limit, LimitRule};
 
@@ -88,8 +88,8 @@
             return;
         };
         let ended = match ended {
-            Ended::Failed => AttemptResult::Failed,
-            Ended::Answered(latency) => AttemptResult::Answered(latency.first + latency.between),
+            Ended::Failed => Observation::Failed,
+            Ended::Answered(latency) => Observation::Answered(latency.first + latency.between),
         };
         let rule = &self.rule.ejection;
         let failed_before = tracked.stats.is_failing(rule);
--- a/crates/anvil_policy/src/rate_share.rs
+++ b/crates/anvil_policy/src/rate_share.rs
@@ -125,7 +125,7 @@
             let missing = 1.0 - self.tokens_at(at.now, turn, share);
             return seconds((missing / share).max(0.0));
         }
-        Windows::of(limit, turn).opens_in(at, self.sent)
+        Windows::of(limit, turn).time_until_open(at, self.sent)
     }
 
     /// Counts a request as sent, if it may be sent now; returns whether it may.
@@ -190,7 +190,7 @@
         ((time_of_day.as_secs_f64() - self.first_start) / self.round).floor()
     }
 
-    fn opens_in(&self, at: Clocks, sent: Option<Sent>) -> Duration {
+    fn time_until_open(&self, at: Clocks, sent: Option<Sent>) -> Duration {
         let round = self.round(at.time_of_day);
         let since_start = at.time_of_day.as_secs_f64() - self.first_start - round * self.round;
         let to_next = seconds(self.round - since_start);
--- a/crates/anvil_policy/tests/engine.rs
+++ b/crates/anvil_policy/tests/engine.rs
@@ -84,8 +84,8 @@
         used.insert(engine);
     }
     assert!(used.len() > 1 && used.len() <= ENGINES, "{used:?}");
-    let longest = loads.iter().map(|load| load.unread).max();
-    let all: Tokens = loads.iter().map(|load| load.unread).sum();
+    let longest = loads.iter().map(|load| load.pending_prefill).max();
+    let all: Tokens = loads.iter().map(|load| load.pending_prefill).sum();
     assert!(longest.unwrap_or(0) < all / 2, "{longest:?} of {all}");
 }
 
