--- a/crates/anvil_policy/src/admission.rs
+++ b/crates/anvil_policy/src/admission.rs
@@ -203,8 +203,8 @@
         }
         let lane = ticket.lane();
         let (own, all) = self.waiting.backlog(lane, &ticket.organisation);
-        let active_weight = self.waiting.active_weight(lane, ticket);
-        let fair_backlog = own.saturating_mul(active_weight) / u64::from(ticket.weight.max(1));
+        let weight_sum = self.waiting.active_weight(lane, ticket);
+        let fair_backlog = own.saturating_mul(weight_sum) / u64::from(ticket.weight.max(1));
         self.time_to_clear(lane, fair_backlog.min(all))
     }
 
