--- a/crates/anvil_policy/src/admission.rs
+++ b/crates/anvil_policy/src/admission.rs
@@ -154,8 +154,8 @@
         Some((waiter, refusal))
     }
 
-    /// Queues a request again that was dispatched but found every endpoint full. It keeps its
-    /// arrival time and deadline, and is dispatched first when little time is left.
+    /// Queues a request again that was dispatched but found every endpoint full. Its target start
+    /// still counts from `waiter.arrived`, and it is dispatched first when little time is left.
     pub fn put_back(&mut self, now: Now, waiter: &Waiter) -> WaiterId {
         self.running = self.running.saturating_sub(1);
         self.push(now, waiter.arrived, waiter.ticket.clone(), waiter.start_by)
--- a/crates/anvil_policy/src/endpoint.rs
+++ b/crates/anvil_policy/src/endpoint.rs
@@ -44,10 +44,13 @@
     pub zone: Zone,
     in_flight: AtomicU32,
     reported: AtomicU32,
+    /// Runs that this router started, less those that ended, since the last report.
     net_since_report: AtomicI32,
+    /// The same for the interval before the last report; zero unless reports lag.
     net_before_report: AtomicI32,
     slots: AtomicU32,
     limit: AtomicU32,
+    /// This router may always use the limit divided by this.
     guarantee_divisor: AtomicU32,
     share: AtomicU32,
     leaving: AtomicBool,
