--- a/crates/anvil_ledger/src/core.rs
+++ b/crates/anvil_ledger/src/core.rs
@@ -1,23 +1,25 @@
-//! The replicated log, without I/O.
+//! The replicated log: leader election, replication, membership changes and snapshots in the manner
+//! of Raft, without I/O.
 //!
-//! A [`Replica`] is fed [`Event`]s and returns [`Action`]s; time is passed in and randomness is
-//! seeded, so that a long randomised run replays from its seed. What the entries hold is opaque.
+//! A [`Replica`] is fed [`Event`]s and returns [`Action`]s for its caller to carry out. Time is
+//! passed in and randomness is seeded, so that a randomised run replays from its seed. The contents
+//! of entries are opaque here.
 //!
-//! * [`entry`]: what the log is made of. [`membership`]: who votes and who catches up.
-//! * [`message`]: what replicas tell each other. [`event`]: what goes in and comes out.
+//! * [`entry`]: log entries, hard state, snapshot metadata. [`membership`]: voters and learners.
+//! * [`message`]: messages between replicas. [`event`]: inputs and outputs of a replica.
 //! * [`replica`]: the state machine; elections, replication, reads, membership changes and
 //!   snapshots are in the files beside it.
 
-mod change;
 mod election;
 pub mod entry;
 mod error;
 pub mod event;
-mod follow;
-mod lead;
+mod follower;
+mod leader;
 mod leadership;
 mod log;
 pub mod membership;
+mod membership_change;
 pub mod message;
 mod read;
 pub mod replica;
@@ -31,14 +33,15 @@
 pub use message::{Envelope, Message};
 pub use replica::{CoreSettings, Replica, Restored};
 
-/// Random number of a replica's disk, made when the data folder is founded. Never made again:
-/// an emptied disk is a new replica, so it can't give the vote of the old one a second time.
+/// Random identifier of a replica's disk, drawn when its data folder is created and never reused:
+/// an instance with an emptied disk is a new replica, so it can't cast the old replica's vote a
+/// second time.
 pub type ReplicaId = u64;
-/// Random number of a ledger, made when it is founded.
+/// Random identifier of a ledger, drawn when it is founded.
 pub type LedgerId = u64;
-/// Running number of a replica's writes to its disk.
+/// Sequence number of a replica's disk writes.
 pub type WriteSeq = u64;
-/// Number that the shell gives a proposal or a read.
+/// Number that the caller assigns to a proposal or a read.
 pub type RequestId = u64;
-/// Running number of a leader's confirmation rounds.
+/// Sequence number of a leader's read confirmation rounds.
 pub type Round = u64;
--- a/crates/anvil_ledger/src/core/election.rs
+++ b/crates/anvil_ledger/src/core/election.rs
@@ -1,9 +1,8 @@
-//! Elections, each after a trial.
+//! Elections, each preceded by a pre-vote.
 //!
-//! Failure: a replica that was cut off comes back with a term it raised alone, and deposes a
-//! leader that all others still follow; callers see commits stall at each heal. A trial (pre-vote)
-//! raises no term, and whoever hears its leader refuses it, so the replica that was cut off
-//! changes nothing.
+//! Without a pre-vote, a replica that was cut off would come back with a term it raised alone and
+//! depose a leader that all others still follow; commits would stall each time a partition heals. A
+//! pre-vote raises no term, and replicas that hear from their leader refuse it.
 
 use std::collections::BTreeSet;
 
@@ -13,91 +12,107 @@
 use super::replica::{Replica, Role};
 use super::{Action, Entry, EntryId, Message, Payload, ReplicaId};
 
-/// Who has said yes.
+/// Voters that granted their vote.
 pub(super) type Votes = BTreeSet<ReplicaId>;
 
 impl Replica {
-    /// Asks the others whether they would vote for this replica.
-    pub(super) fn stand_trial(&mut self) {
+    /// Asks the other voters whether they would vote for this replica.
+    pub(super) fn start_pre_vote(&mut self) {
         self.wait_for_leader();
         self.leader = None;
         if !self.votes() {
             return;
         }
-        self.role = Role::Trial(Votes::from([self.id]));
-        self.ask_votes(self.hard.term + 1, true);
+        self.role = Role::PreCandidate(Votes::from([self.id]));
+        self.request_votes(self.hard.term + 1, true);
         self.count_votes();
     }
 
-    fn stand(&mut self) {
+    fn start_election(&mut self) {
         self.wait_for_leader();
         self.set_term(self.hard.term + 1, Some(self.id));
         self.role = Role::Candidate(Votes::new());
         // Its own vote counts once it is synced, like any other.
-        self.send_synced(
+        self.send_after_sync(
             self.id,
             Message::Vote {
                 term: self.hard.term,
-                trial: false,
+                pre_vote: false,
                 granted: true,
             },
         );
-        self.ask_votes(self.hard.term, false);
+        self.request_votes(self.hard.term, false);
     }
 
-    fn ask_votes(&mut self, term: Term, trial: bool) {
+    fn request_votes(&mut self, term: Term, pre_vote: bool) {
         let last = self.log.last();
         let me = self.id;
         let others: Vec<_> = self.membership().voters.keys().copied().collect();
         for to in others.into_iter().filter(|to| *to != me) {
-            let ask = Message::AskVote { term, last, trial };
-            if trial {
+            let ask = Message::RequestVote {
+                term,
+                last,
+                pre_vote,
+            };
+            if pre_vote {
                 self.send(to, ask);
             } else {
-                self.send_synced(to, ask);
+                self.send_after_sync(to, ask);
             }
         }
     }
 
-    /// Someone asks for this replica's vote.
-    pub(super) fn asked(&mut self, from: ReplicaId, term: Term, last: EntryId, trial: bool) {
-        if !trial && term > self.hard.term {
-            self.follow_term(term);
+    /// Handles a request for this replica's vote or pre-vote.
+    pub(super) fn handle_vote_request(
+        &mut self,
+        from: ReplicaId,
+        term: Term,
+        last: EntryId,
+        pre_vote: bool,
+    ) {
+        if !pre_vote && term > self.hard.term {
+            self.adopt_term(term);
         }
         let complete = last >= self.log.last();
-        let granted = if trial {
+        let granted = if pre_vote {
             term > self.hard.term && complete && !self.in_touch()
         } else {
             let free = self.hard.vote.is_none_or(|vote| vote == from);
             term == self.hard.term && complete && free
         };
-        if granted && !trial {
+        if granted && !pre_vote {
             self.set_term(term, Some(from));
             self.wait_for_leader();
         }
         let term = if granted { term } else { self.hard.term };
-        self.send_synced(
+        self.send_after_sync(
             from,
             Message::Vote {
                 term,
-                trial,
+                pre_vote,
                 granted,
             },
         );
     }
 
-    /// Someone has answered.
-    pub(super) fn voted(&mut self, from: ReplicaId, term: Term, trial: bool, granted: bool) {
+    /// Handles an answer to a vote request.
+    pub(super) fn handle_vote(
+        &mut self,
+        from: ReplicaId,
+        term: Term,
+        pre_vote: bool,
+        granted: bool,
+    ) {
         if !granted {
             if term > self.hard.term {
-                self.follow_term(term);
+                self.adopt_term(term);
             }
             return;
         }
         let next = self.hard.term + 1;
         match &mut self.role {
-            Role::Trial(votes) if trial && term == next => votes.insert(from),
-            Role::Candidate(votes) if !trial && term == self.hard.term => votes.insert(from),
+            Role::PreCandidate(votes) if pre_vote && term == next => votes.insert(from),
+            Role::Candidate(votes) if !pre_vote && term == self.hard.term => votes.insert(from),
             _ => return,
         };
         self.count_votes();
@@ -106,16 +121,16 @@
     fn count_votes(&mut self) {
         let agreed = |votes: &Votes| self.membership().agreed(|id| votes.contains(&id));
         match &self.role {
-            Role::Trial(votes) if agreed(votes) => self.stand(),
-            Role::Candidate(votes) if agreed(votes) => self.take_lead(),
+            Role::PreCandidate(votes) if agreed(votes) => self.start_election(),
+            Role::Candidate(votes) if agreed(votes) => self.become_leader(),
             _ => {}
         }
     }
 
-    fn take_lead(&mut self) {
+    fn become_leader(&mut self) {
         self.leader = Some(self.id);
-        self.note_leader();
-        let id = self.next_id();
+        self.record_leader();
+        let id = self.next_entry_id();
         let members = self.membership().replicas().map(|(id, _)| id);
         let lead = Leadership::new(members, id.index, self.now);
         self.role = Role::Leader(Box::new(lead));
@@ -124,19 +139,19 @@
             id,
             payload: Payload::Blank,
         });
-        self.beat();
+        self.send_heartbeats();
     }
 
-    /// Takes over a newer term, without a leader yet.
-    pub(super) fn follow_term(&mut self, term: Term) {
+    /// Adopts a newer term, without a leader yet.
+    pub(super) fn adopt_term(&mut self, term: Term) {
         self.set_term(term, None);
         self.step_down();
     }
 
-    /// Leads or stands no more.
+    /// Becomes a follower without a leader; a leader refuses its waiting reads.
     pub(super) fn step_down(&mut self) {
         self.leader = None;
-        self.heard = None;
+        self.last_leader_contact = None;
         let before = std::mem::replace(&mut self.role, Role::Follower);
         if let Role::Leader(lead) = before {
             self.refuse_reads(&lead);
--- a/crates/anvil_ledger/src/core/entry.rs
+++ b/crates/anvil_ledger/src/core/entry.rs
@@ -1,4 +1,4 @@
-//! What the log is made of.
+//! Log entries, and the state that a replica persists beside them.
 
 use anvil_world::ids::{LogIndex, Term};
 use bytes::Bytes;
@@ -6,39 +6,40 @@
 
 use super::{Membership, ReplicaId};
 
-/// Term and position. Ordered as logs are compared in elections: by term, then by position.
+/// Term and log position. The order is that of Raft's log comparison: by term, then by position.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct EntryId {
-    /// Term of the leader that made it.
+    /// Term of the leader that appended the entry.
     pub term: Term,
-    /// Position, from 1; 0 stands before the first entry.
+    /// Log position, from 1; 0 stands for the position before the first entry.
     pub index: LogIndex,
 }
 
-/// What an entry holds.
+/// Contents of an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing; a new leader commits one to learn what is committed.
+    /// No operation; a new leader commits one, because entries of older terms are committed only
+    /// below an entry of its own term.
     Blank,
     /// An opaque command.
     Data(Bytes),
-    /// Who votes from here on.
+    /// The membership in force from this entry on.
     Membership(Membership),
 }
 
-/// One entry.
+/// One log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Where it stands.
+    /// Term and position.
     pub id: EntryId,
-    /// What it holds.
+    /// Contents.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// About how many bytes it takes in a message.
+    /// Approximate size in a message, in bytes.
     pub fn weight(&self) -> usize {
         const FRAME: usize = 32;
         match &self.payload {
@@ -49,20 +50,20 @@
     }
 }
 
-/// What a replica must never forget, besides its entries.
+/// What a replica has to persist besides its entries before it answers anyone.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// Newest term it has seen.
+    /// Newest term seen.
     pub term: Term,
-    /// Whom it voted for in that term.
+    /// Candidate that received this replica's vote in that term.
     pub vote: Option<ReplicaId>,
 }
 
-/// What a snapshot stands for.
+/// Log position and membership that a snapshot covers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotMeta {
-    /// The last entry it covers.
+    /// The last entry covered.
     pub last: EntryId,
-    /// Who votes at that entry.
+    /// The membership at that entry.
     pub membership: Membership,
 }
--- a/crates/anvil_ledger/src/core/error.rs
+++ b/crates/anvil_ledger/src/core/error.rs
@@ -1,11 +1,11 @@
-//! Invariants of the core, asserted in release too.
+//! Invariants of the replicated log, asserted in release builds too.
 
 use anvil_world::ids::{LogIndex, Term};
 use snafu::Snafu;
 
 use super::ReplicaId;
 
-/// An invariant that does not hold. The replica stops at once.
+/// A violated invariant. The replica stops at once.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CoreError {
@@ -14,31 +14,31 @@
     TwoLeaders {
         /// The term.
         term: Term,
-        /// One.
+        /// The leader known so far.
         one: ReplicaId,
-        /// The other.
+        /// The other leader.
         other: ReplicaId,
     },
     /// A leader's entry differs from a committed one.
     #[snafu(display("entry {index} is committed up to {committed} and would be replaced"))]
     CommittedReplaced {
-        /// Where.
+        /// Position of the entry.
         index: LogIndex,
-        /// Committed up to here.
+        /// Newest committed position.
         committed: LogIndex,
     },
     /// A membership change of more than one voter.
     #[snafu(display("more than one voter changes at {index}"))]
-    LeapInMembership {
-        /// Where.
+    MultipleVoterChange {
+        /// Position of the change.
         index: LogIndex,
     },
     /// Entries with a gap before them.
     #[snafu(display("entry {found} follows {last}"))]
     Gap {
-        /// The last one held.
+        /// Position of the last entry held.
         last: LogIndex,
-        /// The one that came.
+        /// Position of the received entry.
         found: LogIndex,
     },
 }
--- a/crates/anvil_ledger/src/core/event.rs
+++ b/crates/anvil_ledger/src/core/event.rs
@@ -1,4 +1,4 @@
-//! What goes into a replica and what comes out.
+//! Inputs and outputs of a replica.
 
 use std::time::Duration;
 
@@ -10,57 +10,57 @@
     SnapshotMeta, WriteSeq,
 };
 
-/// A command that someone wants in the log.
+/// A command to append to the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Proposal {
-    /// Under which the shell knows it.
+    /// Number by which the caller identifies the proposal.
     pub id: RequestId,
-    /// The command.
+    /// The encoded command.
     pub data: Bytes,
 }
 
-/// What happens to a replica.
+/// Input to a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// Another replica says something.
+    /// A message from another replica.
     Message(Envelope),
-    /// Put these into the log, with one write.
+    /// Append these commands to the log, with one write.
     Propose(Vec<Proposal>),
-    /// Confirm that this replica still leads.
+    /// Confirm that this replica still leads, for a linearizable read.
     Read(RequestId),
-    /// A replica with an empty disk wants to belong to the ledger, or one that belongs to it is
-    /// reached at another address now.
+    /// A replica with a new disk asks to become a member, or a member has a new address.
     Join {
-        /// Its disk.
+        /// Identifier of its disk.
         id: ReplicaId,
-        /// Where it runs.
+        /// Instance and address.
         site: Site,
     },
-    /// An operator takes an instance's replica out for good.
+    /// An operator removes an instance's replicas for good.
     Remove(InstanceId),
-    /// Begin a ledger with these voters. Only for a replica that belongs to none.
+    /// Found a ledger with these voters. Only for a replica that belongs to none.
     Found(Membership),
     /// All writes up to this one are synced.
     Synced(WriteSeq),
     /// A snapshot of this replica's state is on its disk.
     Saved(SnapshotMeta),
-    /// The snapshot asked for by [`Action::Fetch`] is here.
+    /// The snapshot requested by [`Action::Fetch`] has been received.
     Fetched {
-        /// What it stands for.
+        /// Position and membership of the snapshot.
         meta: SnapshotMeta,
-        /// The state.
+        /// The encoded state.
         data: Bytes,
     },
 }
 
-/// One write to disk. Entries replace whatever the disk holds from the first one's position on.
+/// One write to disk. Its entries replace whatever the disk holds from the position of the first
+/// one on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Write {
-    /// Its number; writes are carried out in order.
+    /// Sequence number; writes are carried out in this order.
     pub seq: WriteSeq,
-    /// The new hard state, when it changed.
+    /// The new hard state, if it changed.
     pub hard: Option<HardState>,
     /// The entry before the first new one.
     pub prev: EntryId,
@@ -68,81 +68,81 @@
     pub entries: Vec<Entry>,
 }
 
-/// Why a request was not taken; nothing was put into the log.
+/// Why a request was refused; nothing was appended to the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refused {
     /// Another replica leads.
     NotLeader(ReplicaId),
     /// No leader is known.
     NoLeader,
-    /// Too much waits for a majority already.
+    /// Too many entries wait for a majority already.
     Backlog,
 }
 
-/// What a replica wants done, in this order.
+/// Output of a replica, to be carried out in this order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Write and sync, then report [`Event::Synced`].
     Write(Write),
     /// Replace log and state by this snapshot, sync, then report [`Event::Synced`].
     Install {
-        /// Its number among the writes.
+        /// Sequence number among the writes.
         seq: WriteSeq,
-        /// What it stands for.
+        /// Position and membership of the snapshot.
         meta: SnapshotMeta,
-        /// The state.
+        /// The encoded state.
         data: Bytes,
     },
-    /// Tell another replica.
+    /// Send a message to another replica.
     Send(Envelope),
-    /// These are committed: apply them.
+    /// These entries are committed: apply them.
     Apply(Vec<Entry>),
-    /// A proposal stands in the log at this place; committed only when it comes by in `Apply`.
+    /// A proposal was appended at this position; it is committed only once it appears in `Apply`.
     Accepted {
-        /// Which.
+        /// Number of the proposal.
         id: RequestId,
-        /// Where.
+        /// Its place in the log.
         entry: EntryId,
     },
-    /// A proposal or read was not taken.
+    /// A proposal or read was refused.
     Refused {
-        /// Which.
+        /// Number of the request.
         id: RequestId,
-        /// Why.
+        /// Reason.
         why: Refused,
     },
     /// A read may be answered from the state as soon as this position is applied.
     Confirmed {
-        /// Which.
+        /// Number of the read.
         id: RequestId,
-        /// From which position on.
+        /// Position that has to be applied first.
         index: LogIndex,
     },
-    /// This replica leads no more: what was accepted and not applied is in doubt.
+    /// This replica no longer leads: proposals that were accepted and not applied are in doubt.
     Deposed,
-    /// This replica is about to lead no more: too few voters have answered it lately.
+    /// This replica is about to step down: too few voters have responded recently.
     MajorityLost {
-        /// How many have, this replica among them.
+        /// Voters that have responded, this replica among them.
         heard: usize,
-        /// How many vote.
+        /// All voters.
         voters: usize,
     },
-    /// This replica is about to leave the lead to others: an entry waits for a majority for too long.
+    /// This replica is about to hand over leadership: an entry has waited too long for a majority.
     Yields {
-        /// Its position.
+        /// Position of the entry.
         index: LogIndex,
-        /// For how long.
+        /// How long it has waited.
         waited: Duration,
     },
-    /// Get this snapshot from that replica and report [`Event::Fetched`].
+    /// Fetch this snapshot from another replica, then report [`Event::Fetched`].
     Fetch {
-        /// From whom.
+        /// The replica that offers it.
         from: ReplicaId,
-        /// Which.
+        /// Position and membership of the snapshot.
         meta: SnapshotMeta,
     },
-    /// Entries up to this position are needed no more.
+    /// Entries up to this position are no longer needed.
     Compact(LogIndex),
-    /// An invariant does not hold; the replica does nothing any more.
+    /// An invariant is violated; the replica ignores all further events.
     Stop(CoreError),
 }
--- a/crates/anvil_ledger/src/core/follow.rs
+++ b/crates/anvil_ledger/src/core/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower does with its leader's entries.
+//! The follower's part of replication: accepts the leader's entries and acknowledges them.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 use super::{Entry, EntryId, Message, Payload, ReplicaId, Round};
 
 impl Replica {
-    /// Takes a leader's sign of life; false when its term is over.
-    pub(super) fn hear_leader(
+    /// Follows the sender of a leader's message; false if its term is over.
+    pub(super) fn accept_leader(
         &mut self,
         from: ReplicaId,
         term: Term,
         round: Round,
     ) -> Result<bool, CoreError> {
         if term < self.hard.term {
-            self.answer(from, None);
+            self.acknowledge(from, None);
             return Ok(false);
         }
         if term > self.hard.term {
-            self.follow_term(term);
+            self.adopt_term(term);
         }
         if let Some(one) = self.leader.filter(|one| *one != from) {
             return Err(CoreError::TwoLeaders {
@@ -32,16 +32,16 @@
         }
         self.role = Role::Follower;
         self.leader = Some(from);
-        self.note_leader();
-        self.heard = Some(self.now);
-        self.eager_until = Duration::ZERO;
-        self.round_seen = self.round_seen.max(round);
+        self.record_leader();
+        self.last_leader_contact = Some(self.now);
+        self.fast_election_until = Duration::ZERO;
+        self.newest_round = self.newest_round.max(round);
         self.wait_for_leader();
         Ok(true)
     }
 
-    /// The leader's entries have come.
-    pub(super) fn appended(
+    /// Handles entries or a heartbeat from the leader.
+    pub(super) fn handle_append(
         &mut self,
         from: ReplicaId,
         term: Term,
@@ -50,37 +50,37 @@
         committed: LogIndex,
         round: Round,
     ) -> Result<(), CoreError> {
-        if !self.hear_leader(from, term, round)? {
+        if !self.accept_leader(from, term, round)? {
             return Ok(());
         }
-        // What lies at or before the base is committed, so it is the same at the leader.
+        // Entries up to the base are committed, so they are the same at the leader.
         let base = self.log.base();
         let known = prev.index < base.index || self.log.id_at(prev.index) == Some(prev);
         if !known {
-            let missing = self.search_below(prev.index);
-            self.answer(from, Some(missing));
+            let missing = self.retry_position(prev.index);
+            self.acknowledge(from, Some(missing));
             return Ok(());
         }
         let last = prev.index + entries.len() as LogIndex;
         let silent = entries.is_empty();
         for entry in entries.into_iter().filter(|e| e.id.index > base.index) {
-            self.take(entry)?;
+            self.accept_entry(entry)?;
         }
         self.verified = self.verified.max(last.max(base.index));
         let committed = committed.min(self.verified);
         if committed > self.committed {
             self.committed = committed;
             self.apply();
-            self.forget_memberships();
+            self.prune_memberships();
         }
         if silent || self.writes.durable() >= self.verified {
-            self.answer(from, None);
+            self.acknowledge(from, None);
         }
         Ok(())
     }
 
-    /// Takes one entry, in the place of a different one.
-    fn take(&mut self, entry: Entry) -> Result<(), CoreError> {
+    /// Appends one entry; a different one at its position is dropped with all after it.
+    fn accept_entry(&mut self, entry: Entry) -> Result<(), CoreError> {
         let index = entry.id.index;
         if self.log.id_at(index) == Some(entry.id) {
             return Ok(());
@@ -98,16 +98,17 @@
         }
         if let Payload::Membership(next) = &entry.payload {
             let before = self.membership();
-            if !before.is_empty() && !next.is_one_step_from(before) {
-                return Err(CoreError::LeapInMembership { index });
+            if !before.is_empty() && !next.differs_by_at_most_one_voter(before) {
+                return Err(CoreError::MultipleVoterChange { index });
             }
         }
         self.append(entry);
         Ok(())
     }
 
-    /// Where the leader should try next, when it has another entry or none at `index`.
-    fn search_below(&self, index: LogIndex) -> LogIndex {
+    /// Position from which the leader should retry, if it has a different entry, or this replica
+    /// none, at `index`.
+    fn retry_position(&self, index: LogIndex) -> LogIndex {
         let last = self.log.last().index;
         let below = if index > last {
             last
@@ -117,25 +118,25 @@
         below.max(self.committed.min(last))
     }
 
-    /// Tells the leader how far this disk holds its log.
-    pub(super) fn answer(&mut self, to: ReplicaId, missing: Option<LogIndex>) {
+    /// Reports to the leader how far this disk matches its log.
+    pub(super) fn acknowledge(&mut self, to: ReplicaId, missing: Option<LogIndex>) {
         let ack = Message::Ack {
             term: self.hard.term,
             matched: self.verified.min(self.writes.durable()),
             missing,
-            round: self.round_seen,
+            round: self.newest_round,
         };
-        self.send_in_term(to, ack);
+        self.send_after_hard_state(to, ack);
     }
 
-    /// More of the log is on disk.
+    /// Counts or reports log entries that have just been synced.
     pub(super) fn advance_after_sync(&mut self) {
         if self.leads() {
-            self.advance();
+            self.advance_commit();
             return;
         }
         if let (Some(leader), true) = (self.leader, self.verified > 0) {
-            self.answer(leader, None);
+            self.acknowledge(leader, None);
         }
     }
 }
--- a/crates/anvil_ledger/src/core/leadership.rs
+++ b/crates/anvil_ledger/src/core/leadership.rs
@@ -1,4 +1,4 @@
-//! What a leader keeps of its followers and readers.
+//! State that a replica keeps only while it leads: its followers' progress and waiting reads.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,45 +7,46 @@
 
 use super::{ReplicaId, RequestId, Round};
 
-/// What a leader knows of one replica.
+/// A follower's progress, as far as the leader knows.
 #[derive(Debug, Clone)]
 pub(super) struct Progress {
-    /// Up to where its disk holds the leader's log.
+    /// Position up to which its disk is known to match the leader's log.
     pub matched: LogIndex,
-    /// The next entry to send.
+    /// Position of the next entry to send.
     pub next: LogIndex,
-    /// Whether `next` is a guess: then one message at a time.
+    /// Whether `next` is a guess: then one message at a time is sent.
     pub probing: bool,
     /// When it last answered in this term.
-    pub heard: Duration,
-    /// The newest confirmation round it answered.
+    pub last_response: Duration,
+    /// The newest read confirmation round it acknowledged.
     pub round: Round,
 }
 
-/// A read that waits for its round.
+/// A read that waits for its confirmation round.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WaitingRead {
     pub id: RequestId,
-    /// The round that confirms it: the first one that begins after it came.
+    /// The round that confirms it: the first one that begins after the read arrived.
     pub round: Round,
-    /// The position from which on it may be answered.
+    /// Position that has to be applied before the read is answered.
     pub index: LogIndex,
 }
 
 #[derive(Debug)]
 pub(super) struct Leadership {
     pub progress: BTreeMap<ReplicaId, Progress>,
-    /// The first entry of this term.
+    /// Position of the first entry of this term.
     pub first: LogIndex,
     pub next_heartbeat: Duration,
-    /// An entry that was not committed when it was last looked, and since when it has been waited for.
-    pub waiting: Option<(LogIndex, Duration)>,
-    /// How long the last entries in a row waited that were slow; zero after one that wasn't.
-    pub slow_for: Duration,
+    /// Position of an entry that was not committed at an earlier tick, and since when its commit is
+    /// awaited.
+    pub commit_wait: Option<(LogIndex, Duration)>,
+    /// Total wait of the most recent slow entries in a row; zero after one that was not slow.
+    pub slow_total: Duration,
     pub round: Round,
     pub reads: VecDeque<WaitingRead>,
-    /// Reads from before the first entry of this term was committed.
-    pub early: Vec<RequestId>,
+    /// Reads that arrived before the first entry of this term was committed.
+    pub early_reads: Vec<RequestId>,
 }
 
 impl Leadership {
@@ -54,34 +55,34 @@
             progress: BTreeMap::new(),
             first,
             next_heartbeat: now,
-            waiting: None,
-            slow_for: Duration::ZERO,
+            commit_wait: None,
+            slow_total: Duration::ZERO,
             round: 0,
             reads: VecDeque::new(),
-            early: Vec::new(),
+            early_reads: Vec::new(),
         };
         for id in replicas {
-            lead.welcome(id, first, now);
+            lead.track(id, first, now);
         }
         lead
     }
 
-    /// An entry was committed after this wait, where one was waited for.
-    pub fn committed_after(&mut self, waited: Option<Duration>, slow: Duration) {
+    /// Records how long the last awaited entry took to commit, if one was awaited.
+    pub fn record_commit_wait(&mut self, waited: Option<Duration>, slow: Duration) {
         match waited {
-            Some(waited) if waited >= slow => self.slow_for += waited,
-            Some(_) => self.slow_for = Duration::ZERO,
+            Some(waited) if waited >= slow => self.slow_total += waited,
+            Some(_) => self.slow_total = Duration::ZERO,
             None => {}
         }
     }
 
-    /// Starts keeping track of a replica.
-    pub fn welcome(&mut self, id: ReplicaId, next: LogIndex, now: Duration) {
+    /// Adds a replica whose progress is unknown.
+    pub fn track(&mut self, id: ReplicaId, next: LogIndex, now: Duration) {
         self.progress.entry(id).or_insert(Progress {
             matched: 0,
             next,
             probing: true,
-            heard: now,
+            last_response: now,
             round: 0,
         });
     }
--- a/crates/anvil_ledger/src/core/log.rs
+++ b/crates/anvil_ledger/src/core/log.rs
@@ -54,7 +54,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Entries from `first` to `last`, as many as fit into `bytes`, but one at least.
+    /// Entries from `first` to `last`, as many as fit into `bytes`, but at least one.
     pub fn slice(&self, first: LogIndex, last: LogIndex, bytes: usize) -> Vec<Entry> {
         let Some(start) = self.position(first) else {
             return Vec::new();
@@ -72,14 +72,14 @@
             .collect()
     }
 
-    /// Drops everything from this position on.
+    /// Drops all entries from this position on.
     pub fn truncate_from(&mut self, index: LogIndex) {
         if let Some(position) = self.position(index) {
             self.entries.truncate(position);
         }
     }
 
-    /// Drops everything up to this position.
+    /// Drops all entries up to this position.
     pub fn compact(&mut self, upto: LogIndex) {
         let Some(base) = self.id_at(upto) else {
             return;
@@ -89,13 +89,13 @@
         self.base = base;
     }
 
-    /// Drops everything and goes on after `base`.
+    /// Drops all entries; the next one follows `base`.
     pub fn reset(&mut self, base: EntryId) {
         self.entries.clear();
         self.base = base;
     }
 
-    /// The position before the first entry of the term that stands at `index`.
+    /// The position before the first entry of the term that is found at `index`.
     pub fn before_term_of(&self, index: LogIndex) -> LogIndex {
         let term = self.term_at(index);
         let mut at = index;
--- a/crates/anvil_ledger/src/core/membership.rs
+++ b/crates/anvil_ledger/src/core/membership.rs
@@ -1,4 +1,4 @@
-//! Who votes and who catches up.
+//! Voters and learners of a ledger.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 /// Where a replica runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Site {
-    /// Name of its instance.
+    /// Identifier of its instance.
     pub instance: InstanceId,
     /// Its wire address.
     pub addr: SocketAddr,
@@ -20,31 +20,31 @@
 /// The replicas of a ledger.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Which ledger.
+    /// Identifier of the ledger; 0 for none.
     pub ledger: LedgerId,
-    /// Those whose disks make a majority.
+    /// Replicas that count towards a majority.
     pub voters: BTreeMap<ReplicaId, Site>,
-    /// Those that catch up.
+    /// Replicas that receive the log but don't vote yet.
     pub learners: BTreeMap<ReplicaId, Site>,
 }
 
 impl Membership {
-    /// How many replicas in all.
+    /// Number of voters and learners.
     pub fn len(&self) -> usize {
         self.voters.len() + self.learners.len()
     }
 
-    /// Whether it names nobody.
+    /// Whether there are neither voters nor learners.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// How many voters make a majority.
+    /// Number of voters that make a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether those that satisfy `f` are a majority of the voters.
+    /// Whether a majority of the voters satisfies `f`.
     pub fn agreed(&self, f: impl Fn(ReplicaId) -> bool) -> bool {
         let count = self.voters.keys().filter(|id| f(**id)).count();
         !self.voters.is_empty() && count >= self.majority()
@@ -56,12 +56,12 @@
         all.map(|(id, site)| (*id, site))
     }
 
-    /// Where a replica runs, when it belongs to the ledger.
+    /// Where a replica runs, if it is a member.
     pub fn site(&self, id: ReplicaId) -> Option<&Site> {
         self.voters.get(&id).or_else(|| self.learners.get(&id))
     }
 
-    /// Takes a replica in as a learner, in the place of an older learner of its instance.
+    /// The membership with a new learner, in place of an older learner of the same instance.
     pub fn with_learner(&self, id: ReplicaId, site: Site) -> Self {
         let mut changed = self.clone();
         changed
@@ -71,7 +71,7 @@
         changed
     }
 
-    /// Notes that a replica, the same disk, is reached at another address now.
+    /// The membership with a new address for the same disk.
     pub fn with_site(&self, id: ReplicaId, site: Site) -> Self {
         let mut changed = self.clone();
         let voter = changed.voters.get_mut(&id);
@@ -81,7 +81,7 @@
         changed
     }
 
-    /// Makes a learner a voter.
+    /// The membership with a learner promoted to voter.
     pub fn with_voter(&self, id: ReplicaId) -> Self {
         let mut changed = self.clone();
         if let Some(site) = changed.learners.remove(&id) {
@@ -91,20 +91,20 @@
     }
 
     /// The replicas of an instance.
-    pub fn of_instance(&self, instance: &str) -> impl Iterator<Item = ReplicaId> {
+    pub fn replicas_of_instance(&self, instance: &str) -> impl Iterator<Item = ReplicaId> {
         let of_it = move |site: &Site| *site.instance == *instance;
         let all = self.replicas().filter(move |(_, site)| of_it(site));
         all.map(|(id, _)| id)
     }
 
-    /// Takes a learner out.
+    /// The membership without a learner.
     pub fn without_learner(&self, id: ReplicaId) -> Self {
         let mut changed = self.clone();
         changed.learners.remove(&id);
         changed
     }
 
-    /// Takes a voter out.
+    /// The membership without a voter.
     pub fn without_voter(&self, id: ReplicaId) -> Self {
         let mut changed = self.clone();
         changed.voters.remove(&id);
@@ -112,7 +112,7 @@
     }
 
     /// Whether at most one voter differs: then any two majorities share a replica.
-    pub fn is_one_step_from(&self, other: &Self) -> bool {
+    pub fn differs_by_at_most_one_voter(&self, other: &Self) -> bool {
         let here = |id: &&ReplicaId| !other.voters.contains_key(*id);
         let there = |id: &&ReplicaId| !self.voters.contains_key(*id);
         let differing =
--- a/crates/anvil_ledger/src/core/change.rs
+++ b/crates/anvil_ledger/src/core/membership_change.rs
@@ -1,8 +1,8 @@
 //! Membership changes, one at a time.
 //!
-//! Failure: two voters changed at once can make two majorities that share no replica, and then
-//! two leaders commit different entries. One change is begun only after the one before it and an
-//! entry of the present term are committed, and it moves one voter at most.
+//! If two voters changed at once, there could be two majorities without a common replica, and two
+//! leaders could commit different entries. A change therefore begins only once the one before it
+//! and an entry of the present term are committed, and it changes at most one voter.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 use super::replica::{Replica, Role};
 use super::{Entry, Membership, Payload, ReplicaId, Site};
 
-/// Most entries that a learner may lack when it becomes a voter.
-const CAUGHT_UP: u64 = 64;
+/// Maximum number of committed entries that a learner may lack when it becomes a voter.
+const MAX_LEARNER_LAG: u64 = 64;
 
 impl Replica {
-    /// Begins the next change, if one is due and none is under way.
-    pub(super) fn change_members(&mut self) {
+    /// Begins the next membership change, if one is due and none is pending.
+    pub(super) fn advance_membership(&mut self) {
         let Role::Leader(lead) = &self.role else {
             return;
         };
@@ -28,24 +28,24 @@
         self.joining
             .retain(|id, site| known.site(*id) != Some(&*site));
         self.removing
-            .retain(|instance| known.of_instance(instance).next().is_some());
+            .retain(|instance| known.replicas_of_instance(instance).next().is_some());
         if let Some(next) = self.next_membership() {
-            self.change_to(next);
+            self.append_membership(next);
         }
     }
 
     /// Writes the first entry of a new ledger, unless this replica belongs to one already.
-    pub(super) fn found(&mut self, membership: Membership) {
+    pub(super) fn found_ledger(&mut self, membership: Membership) {
         if self.ledger() != 0 || self.log.last().index != 0 {
             return;
         }
         self.set_term(self.hard.term + 1, None);
-        let id = self.next_id();
+        let id = self.next_entry_id();
         self.append(Entry {
             id,
             payload: Payload::Membership(membership),
         });
-        self.stand_trial();
+        self.start_pre_vote();
     }
 
     fn next_membership(&self) -> Option<Membership> {
@@ -65,36 +65,36 @@
             .learners
             .iter()
             .find(|(id, _)| self.caught_up(**id))?;
-        let old = self.lost_disk_of(*id, site);
+        let old = self.replaced_disk_of(*id, site);
         Some(old.map_or_else(
             || membership.with_voter(*id),
             |old| membership.without_voter(old),
         ))
     }
 
-    /// The ledger without a replica that an operator takes out.
+    /// The membership without a replica that an operator removes.
     ///
-    /// Failure: an operator takes out a live replica while others are down, and the rest has no
-    /// majority that can be reached. It waits until a majority of the rest was heard of lately.
-    /// The leader itself stays: another one has to lead first.
+    /// If an operator removes a live replica while others are down, the rest may be left without a
+    /// reachable majority. The removal therefore waits until a majority of the rest has responded
+    /// recently. The leader does not remove itself: another replica has to lead first.
     fn next_removal(&self) -> Option<Membership> {
         let membership = self.membership();
         let named = self.removing.iter();
-        let mut ids = named.flat_map(|instance| membership.of_instance(instance));
+        let mut ids = named.flat_map(|instance| membership.replicas_of_instance(instance));
         let id = ids.find(|id| *id != self.id)?;
         if membership.learners.contains_key(&id) {
             return Some(membership.without_learner(id));
         }
         let rest = membership.without_voter(id);
-        rest.agreed(|other| self.heard_lately(other))
+        rest.agreed(|other| self.responded_recently(other))
             .then_some(rest)
     }
 
     /// The voter whose instance has come back with another disk.
     ///
-    /// It is taken out before the new one votes, and only once the new one has caught up: the
-    /// lost disk would otherwise count in the majority although it can never answer.
-    fn lost_disk_of(&self, learner: ReplicaId, site: &Site) -> Option<ReplicaId> {
+    /// It is removed before the new replica votes, and only once the new one has caught up: the
+    /// lost disk would otherwise count for the majority although it can never answer.
+    fn replaced_disk_of(&self, learner: ReplicaId, site: &Site) -> Option<ReplicaId> {
         let mut voters = self.membership().voters.iter();
         let same = voters.find(|(id, old)| **id != learner && old.instance == site.instance);
         same.map(|(id, _)| *id).filter(|id| *id != self.id)
@@ -106,20 +106,20 @@
         };
         let limit: Duration = self.cfg.election;
         let close = |progress: &Progress| {
-            let recent = self.now < progress.heard + limit;
-            recent && progress.matched > 0 && progress.matched + CAUGHT_UP >= self.committed
+            let recent = self.now < progress.last_response + limit;
+            recent && progress.matched > 0 && progress.matched + MAX_LEARNER_LAG >= self.committed
         };
         lead.progress.get(&id).is_some_and(close)
     }
 
-    fn change_to(&mut self, next: Membership) {
-        let id = self.next_id();
+    fn append_membership(&mut self, next: Membership) {
+        let id = self.next_entry_id();
         let now = self.now;
         let replicas: Vec<_> = next.replicas().map(|(id, _)| id).collect();
         if let Some(lead) = self.leadership() {
             lead.progress.retain(|id, _| replicas.contains(id));
             for replica in replicas {
-                lead.welcome(replica, id.index, now);
+                lead.track(replica, id.index, now);
             }
         }
         self.append(Entry {
--- a/crates/anvil_ledger/src/core/message.rs
+++ b/crates/anvil_ledger/src/core/message.rs
@@ -1,84 +1,90 @@
-//! What replicas tell each other.
+//! Messages between replicas.
 
 use anvil_world::ids::{LogIndex, Term};
 use serde::{Deserialize, Serialize};
 
 use super::{Entry, EntryId, LedgerId, ReplicaId, Round, SnapshotMeta};
 
-/// A message with its way. One addressed to another disk than the receiver's is dropped.
+/// A message with sender and receiver. A replica drops a message addressed to another disk than its
+/// own.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Which ledger; 0 from a replica that has joined none yet.
+    /// The sender's ledger; 0 from a replica that has joined none yet.
     pub ledger: LedgerId,
-    /// Who sent it.
+    /// Sender.
     pub from: ReplicaId,
-    /// Whose it is.
+    /// Receiver.
     pub to: ReplicaId,
-    /// What it says.
+    /// Contents.
     pub message: Message,
 }
 
-/// What one replica tells another.
+/// Message between two replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Would you vote for me (`trial`), or: vote for me.
-    AskVote {
-        /// The term I stand for.
+    /// A candidate's request for a vote, or for a pre-vote.
+    #[serde(rename = "AskVote")]
+    RequestVote {
+        /// The term that the candidate runs for.
         term: Term,
-        /// My last entry.
+        /// The candidate's last entry.
         last: EntryId,
-        /// Whether this only asks; it changes nothing at the receiver.
-        trial: bool,
+        /// Whether this is a pre-vote, which changes no term and no vote at the receiver.
+        #[serde(rename = "trial")]
+        pre_vote: bool,
     },
-    /// Answer to `AskVote`.
+    /// Answer to `RequestVote`.
     Vote {
-        /// The term that was asked about, or the receiver's own newer one.
+        /// The requested term, or the receiver's own newer one.
         term: Term,
-        /// Whether the question was a trial.
-        trial: bool,
-        /// Yes or no.
+        /// Whether this answers a pre-vote.
+        #[serde(rename = "trial")]
+        pre_vote: bool,
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// The leader's entries; without entries, a sign of life.
+    /// Entries from the leader; without entries it is a heartbeat.
     Append {
         /// The leader's term.
         term: Term,
         /// The entry before the first one sent.
         prev: EntryId,
-        /// What follows it.
+        /// The entries after `prev`.
         entries: Vec<Entry>,
         /// Newest committed position.
         committed: LogIndex,
-        /// Newest confirmation round.
+        /// Newest read confirmation round.
         round: Round,
     },
     /// Answer to `Append` and `Offer`.
     Ack {
-        /// The receiver's term.
+        /// The answering replica's term.
         term: Term,
-        /// Up to where its disk holds the leader's log.
+        /// Position up to which the disk of the answering replica is known to match the leader's
+        /// log.
         matched: LogIndex,
-        /// Where the leader should try, when `prev` was not there.
+        /// Position from which the leader should retry, if `prev` was not found.
         missing: Option<LogIndex>,
-        /// The confirmation round it has seen.
+        /// Newest read confirmation round received.
         round: Round,
     },
-    /// The entries that you lack are gone; fetch this snapshot from me.
+    /// The entries that the follower lacks are compacted; it has to fetch this snapshot from the
+    /// sender.
     Offer {
         /// The leader's term.
         term: Term,
-        /// What it stands for.
+        /// Position and membership of the snapshot.
         meta: Box<SnapshotMeta>,
-        /// Newest confirmation round.
+        /// Newest read confirmation round.
         round: Round,
     },
 }
 
 impl Message {
-    /// The term it speaks of.
+    /// The term in the message.
     pub fn term(&self) -> Term {
         match self {
-            Self::AskVote { term, .. }
+            Self::RequestVote { term, .. }
             | Self::Vote { term, .. }
             | Self::Append { term, .. }
             | Self::Ack { term, .. }
--- a/crates/anvil_ledger/src/core/read.rs
+++ b/crates/anvil_ledger/src/core/read.rs
@@ -1,8 +1,8 @@
-//! Confirmed reads.
+//! Linearizable reads.
 //!
-//! Failure: a leader that was deposed without noticing answers from an old state, and an operator
-//! sees an accepted change vanish. A read is answered only after a majority has acknowledged,
-//! in a round that began after the read arrived, that this replica still leads.
+//! A leader that was deposed without noticing would answer from an old state, and an operator would
+//! see an accepted change vanish. A read is answered only after a majority has acknowledged, in a
+//! round that began after the read arrived, that this replica still leads.
 
 use super::leadership::{Leadership, WaitingRead};
 use super::replica::{Replica, Role};
@@ -16,10 +16,10 @@
             return;
         };
         if committed < lead.first {
-            lead.early.push(id);
+            lead.early_reads.push(id);
             return;
         }
-        // A round under way began before this read; the next one confirms it.
+        // The round in progress began before this read; the next one confirms it.
         let under_way = lead.reads.front();
         let under_way = under_way.is_some_and(|read| read.round <= lead.round);
         lead.reads.push_back(WaitingRead {
@@ -36,22 +36,22 @@
         if let Some(lead) = self.leadership() {
             lead.round += 1;
         }
-        self.beat();
+        self.send_heartbeats();
         self.release_reads();
     }
 
-    /// Reads that came before this term's first entry was committed can be confirmed now.
-    pub(super) fn read_early(&mut self) {
+    /// Submits the reads that arrived before this term's first entry was committed.
+    pub(super) fn submit_early_reads(&mut self) {
         let committed = self.committed;
         let Some(lead) = self.leadership().filter(|lead| committed >= lead.first) else {
             return;
         };
-        for id in std::mem::take(&mut lead.early) {
+        for id in std::mem::take(&mut lead.early_reads) {
             self.read(id);
         }
     }
 
-    /// Answers the reads whose round a majority has acknowledged.
+    /// Confirms the reads whose round a majority has acknowledged.
     pub(super) fn release_reads(&mut self) {
         let Role::Leader(lead) = &self.role else {
             return;
@@ -85,7 +85,7 @@
 
     pub(super) fn refuse_reads(&mut self, lead: &Leadership) {
         let waiting: Vec<RequestId> = lead.reads.iter().map(|read| read.id).collect();
-        for id in waiting.into_iter().chain(lead.early.iter().copied()) {
+        for id in waiting.into_iter().chain(lead.early_reads.iter().copied()) {
             self.refuse(id);
         }
     }
--- a/crates/anvil_ledger/src/core/replica.rs
+++ b/crates/anvil_ledger/src/core/replica.rs
@@ -1,4 +1,5 @@
-//! One replica of the log.
+//! One replica of the log: its state, and the dispatch of events to the handlers in the other
+//! files.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -10,23 +11,23 @@
 use super::election::Votes;
 use super::leadership::Leadership;
 use super::log::Log;
-use super::write::{Held, Writes};
+use super::write::{HeldMessage, Writes};
 use super::{
     Action, CoreError, Entry, EntryId, Envelope, Event, HardState, Membership, Message, Payload,
     ReplicaId, Round, Site, SnapshotMeta,
 };
 
-/// How fast replicas notice things, and how much of the log they keep.
+/// Timing of a replica, and how much of the log it keeps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CoreSettings {
-    /// How often a leader gives a sign of life.
+    /// Interval of a leader's heartbeats.
     pub heartbeat: Duration,
-    /// How long a follower waits for one at least; it waits for up to twice as long, by chance,
-    /// so that two rarely stand for election at the same time. A leader that has not heard from
-    /// a majority for this long steps down.
+    /// Election timeout. A follower waits between once and twice this long for a heartbeat, at
+    /// random, so that two rarely become candidates at the same time. A leader that has not heard
+    /// from a majority for this long steps down.
     pub election: Duration,
-    /// A leader whose entries wait for a majority for so long leaves the lead to another replica;
-    /// `None` keeps it.
+    /// A leader whose entries wait this long for a majority hands over leadership; `None` disables
+    /// that.
     pub slow_commit: Option<Duration>,
     /// Entries kept before a snapshot, so that a follower that lags a little needs no snapshot.
     pub trailing: LogIndex,
@@ -44,14 +45,15 @@
     }
 }
 
-/// For how long after its start a replica stands for election without a follower's patience, as times of
-/// that. Replicas that start together come up within 0.3 s of each other, and need to connect.
-const EAGER_TIMES: u32 = 3;
+/// Time after its start, in election timeouts, in which a replica waits only for two heartbeats
+/// before it starts a pre-vote. Replicas that start together come up within 0.3 s of each other,
+/// and need to connect.
+const STARTUP_ELECTION_TIMEOUTS: u32 = 3;
 
-/// What a replica finds on its disk.
+/// What a replica recovers from its disk.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Restored {
-    /// The disk's number.
+    /// Identifier of the disk.
     pub id: ReplicaId,
     /// Term and vote.
     pub hard: HardState,
@@ -59,14 +61,14 @@
     pub snapshot: Option<SnapshotMeta>,
     /// The entry before the first one kept.
     pub base: EntryId,
-    /// Entries kept, from `base` on.
+    /// Entries kept, after `base`.
     pub entries: Vec<Entry>,
 }
 
 #[derive(Debug)]
 pub(super) enum Role {
     Follower,
-    Trial(Votes),
+    PreCandidate(Votes),
     Candidate(Votes),
     Leader(Box<Leadership>),
 }
@@ -88,24 +90,24 @@
     pub(super) fetching: Option<EntryId>,
     pub(super) role: Role,
     pub(super) leader: Option<ReplicaId>,
-    /// Until when it leaves the lead to others, after it was too slow.
-    pub(super) yields_until: Option<Duration>,
-    /// The newest term that had a leader, and when this replica first heard of it.
-    pub(super) led_since: Option<(Term, Duration)>,
-    /// When it first heard of the leader before that one.
-    pub(super) led_before: Option<Duration>,
-    pub(super) heard: Option<Duration>,
-    /// Until when it stands for election without a follower's patience: it has just started, and
-    /// has heard from no leader yet.
-    pub(super) eager_until: Duration,
-    pub(super) deadline: Duration,
-    /// Up to where the log is known to be the present leader's.
+    /// End of the pause in which it does not become a candidate, after it handed over leadership.
+    pub(super) candidacy_paused_until: Option<Duration>,
+    /// The newest term that had a leader, and when this replica first learned of it.
+    pub(super) leader_since: Option<(Term, Duration)>,
+    /// When this replica first learned of the leader before that one.
+    pub(super) previous_leader_since: Option<Duration>,
+    pub(super) last_leader_contact: Option<Duration>,
+    /// End of the time after its start in which it becomes a candidate early. Zero once it has
+    /// heard from a leader.
+    pub(super) fast_election_until: Duration,
+    pub(super) election_deadline: Duration,
+    /// Position up to which the log is known to match the present leader's.
     pub(super) verified: LogIndex,
-    /// The leader's newest confirmation round.
-    pub(super) round_seen: Round,
+    /// The leader's newest read confirmation round.
+    pub(super) newest_round: Round,
     pub(super) writes: Writes,
     /// Messages that wait for a sync.
-    pub(super) held: VecDeque<Held>,
+    pub(super) held: VecDeque<HeldMessage>,
     pub(super) joining: BTreeMap<ReplicaId, Site>,
     pub(super) removing: BTreeSet<InstanceId>,
     pub(super) out: Vec<Action>,
@@ -113,7 +115,7 @@
 }
 
 impl Replica {
-    /// A replica as its disk knows it.
+    /// A replica with the state recovered from its disk.
     pub fn new(restored: Restored, cfg: CoreSettings, seed: u64, now: Duration) -> Self {
         let Restored {
             id,
@@ -148,14 +150,14 @@
             fetching: None,
             role: Role::Follower,
             leader: None,
-            yields_until: None,
-            led_since: None,
-            led_before: None,
-            heard: None,
-            eager_until: now + EAGER_TIMES * cfg.election,
-            deadline: now,
+            candidacy_paused_until: None,
+            leader_since: None,
+            previous_leader_since: None,
+            last_leader_contact: None,
+            fast_election_until: now + STARTUP_ELECTION_TIMEOUTS * cfg.election,
+            election_deadline: now,
             verified: 0,
-            round_seen: 0,
+            newest_round: 0,
             writes: Writes::new(last),
             held: VecDeque::new(),
             joining: BTreeMap::new(),
@@ -163,18 +165,18 @@
             out: Vec::new(),
             stopped: None,
         };
-        if !replica.is_alone() {
+        if !replica.is_sole_voter() {
             replica.wait_for_leader();
         }
         replica
     }
 
-    /// Whether it is the only voter: then there is nobody to wait for.
-    fn is_alone(&self) -> bool {
+    /// Whether this replica is the only voter: then it has nobody to wait for.
+    fn is_sole_voter(&self) -> bool {
         self.votes() && self.membership().voters.len() == 1
     }
 
-    /// Takes one event and says what is to be done about it.
+    /// Handles one event and returns the actions it calls for.
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Action> {
         if self.stopped.is_some() {
             return Vec::new();
@@ -201,19 +203,19 @@
             Event::Remove(instance) => {
                 self.removing.insert(instance);
             }
-            Event::Found(membership) => self.found(membership),
+            Event::Found(membership) => self.found_ledger(membership),
             Event::Synced(seq) => self.synced(seq),
-            Event::Saved(meta) => self.saved(meta),
-            Event::Fetched { meta, data } => self.fetched(meta, data),
+            Event::Saved(meta) => self.handle_snapshot_saved(meta),
+            Event::Fetched { meta, data } => self.handle_snapshot_fetched(meta, data),
         }
         Ok(())
     }
 
     fn tick(&mut self) {
         if matches!(self.role, Role::Leader(_)) {
-            self.lead();
-        } else if self.now >= self.deadline {
-            self.stand_trial();
+            self.tick_leader();
+        } else if self.now >= self.election_deadline {
+            self.start_pre_vote();
         }
     }
 
@@ -224,38 +226,44 @@
             to,
             message,
         } = envelope;
-        // A message to a disk that this instance had before must not move this one: its old vote
-        // and its old acknowledgements are gone with it.
+        // A message to a disk that this instance had before must not reach this one: the old disk's
+        // vote and acknowledgements are lost with it.
         let other_ledger = ledger != 0 && self.ledger() != 0 && ledger != self.ledger();
         if to != self.id || other_ledger {
             return Ok(());
         }
         match message {
-            Message::AskVote { term, last, trial } => self.asked(from, term, last, trial),
+            Message::RequestVote {
+                term,
+                last,
+                pre_vote,
+            } => self.handle_vote_request(from, term, last, pre_vote),
             Message::Vote {
                 term,
-                trial,
+                pre_vote,
                 granted,
-            } => self.voted(from, term, trial, granted),
+            } => self.handle_vote(from, term, pre_vote, granted),
             Message::Append {
                 term,
                 prev,
                 entries,
                 committed,
                 round,
-            } => return self.appended(from, term, prev, entries, committed, round),
+            } => return self.handle_append(from, term, prev, entries, committed, round),
             Message::Ack {
                 term,
                 matched,
                 missing,
                 round,
-            } => self.acked(from, term, matched, missing, round),
-            Message::Offer { term, meta, round } => return self.offered(from, term, *meta, round),
+            } => self.handle_ack(from, term, matched, missing, round),
+            Message::Offer { term, meta, round } => {
+                return self.handle_snapshot_offer(from, term, *meta, round);
+            }
         }
         Ok(())
     }
 
-    /// The disk's number.
+    /// Identifier of the disk.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
@@ -270,21 +278,21 @@
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Who leads, as far as this replica knows.
+    /// The leader, as far as this replica knows.
     pub fn leader(&self) -> Option<ReplicaId> {
         self.leader
     }
 
-    /// Whether a majority (at the leader) or the leader (elsewhere) was heard of lately.
+    /// Whether this replica leads, or has heard from the leader within the election timeout.
     pub fn in_touch(&self) -> bool {
-        self.leads() || self.heard_leader_lately()
+        self.leads() || self.has_recent_leader_contact()
     }
 
-    /// Whether it has to ask to be taken in.
+    /// Whether this replica has to ask for membership.
     ///
-    /// Failure: a new disk is taken in by a leader that is cut off; the entry that says so never
-    /// commits, the next leader knows nothing of it, and the replica waits for ever. It asks on
-    /// until it votes, whenever it hears from no leader.
+    /// A leader that is cut off may add a new disk; that entry never commits, the next leader does
+    /// not know it, and the replica would wait for ever. So it asks again whenever it hears from no
+    /// leader, until it votes.
     pub fn seeks_ledger(&self) -> bool {
         !self.votes() && !self.in_touch()
     }
@@ -304,17 +312,17 @@
         self.log.base()
     }
 
-    /// An entry that is still held.
+    /// The entry at a position, if it is still held.
     pub fn entry(&self, index: LogIndex) -> Option<&Entry> {
         self.log.get(index)
     }
 
-    /// Who votes and who catches up, as of the newest entry.
+    /// The membership as of the newest entry, committed or not.
     pub fn membership(&self) -> &Membership {
         &self.memberships[self.memberships.len() - 1].1
     }
 
-    /// Who votes and who catches up, as of this committed position.
+    /// The membership as of this committed position.
     pub fn membership_at(&self, index: LogIndex) -> Option<&Membership> {
         let mut newest_first = self.memberships.iter().rev();
         let found = newest_first.find(|(at, _)| *at <= index);
@@ -325,31 +333,32 @@
         self.membership().ledger
     }
 
-    /// Whether this replica votes, as of its newest entry.
+    /// Whether this replica is a voter, as of its newest entry.
     pub fn votes(&self) -> bool {
         self.membership().voters.contains_key(&self.id)
     }
 
-    pub(super) fn heard_leader_lately(&self) -> bool {
+    pub(super) fn has_recent_leader_contact(&self) -> bool {
         let limit = self.cfg.election;
-        self.heard.is_some_and(|heard| self.now < heard + limit)
+        self.last_leader_contact
+            .is_some_and(|at| self.now < at + limit)
     }
 
-    /// Starts waiting for a sign of life, for a time that differs from the others'.
+    /// Restarts the election timer, with a random timeout.
     ///
-    /// Failure: all replicas lose power and are back together. Each waits out a follower's patience
-    /// with a leader that none of them has, and callers get neither money nor a routing table
-    /// for half a second. One that has just started knows of no leader, so it asks after the time of
-    /// two heartbeats, in which a leader that lives would have reached it; whoever hears a leader
-    /// refuses the trial, so a replica that restarts alone changes nothing.
+    /// When all replicas lose power and restart together, a full election timeout would delay
+    /// grants and routing tables by half a second, although there is no leader to wait for. A
+    /// replica that has just started therefore waits only for the time of two heartbeats, in which
+    /// a live leader would have reached it. Replicas that hear from a leader refuse the pre-vote,
+    /// so a single restart changes nothing.
     pub(super) fn wait_for_leader(&mut self) {
-        let share = self.rng.random_range(1.0..2.0);
-        let patience = if self.now < self.eager_until {
+        let factor = self.rng.random_range(1.0..2.0);
+        let timeout = if self.now < self.fast_election_until {
             2 * self.cfg.heartbeat
         } else {
             self.cfg.election
         };
-        self.deadline = self.now + patience.mul_f64(share);
+        self.election_deadline = self.now + timeout.mul_f64(factor);
     }
 
     pub(super) fn send(&mut self, to: ReplicaId, message: Message) {
@@ -363,7 +372,7 @@
         }));
     }
 
-    /// Hands out what is newly committed.
+    /// Hands out the newly committed entries.
     pub(super) fn apply(&mut self) {
         let entries = self.log.slice(self.applied + 1, self.committed, usize::MAX);
         if let Some(last) = entries.last() {
--- a/crates/anvil_ledger/src/core/snapshot.rs
+++ b/crates/anvil_ledger/src/core/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: they shorten the log and bring laggards up to date.
+//! Snapshots: they compact the log and bring followers up to date that lack compacted entries.
 
 use anvil_world::ids::Term;
 use bytes::Bytes;
@@ -8,8 +8,8 @@
 use super::{Action, ReplicaId, Round, SnapshotMeta};
 
 impl Replica {
-    /// This replica's own snapshot is on disk: older entries can go.
-    pub(super) fn saved(&mut self, meta: SnapshotMeta) {
+    /// Compacts the log after this replica's own snapshot has reached its disk.
+    pub(super) fn handle_snapshot_saved(&mut self, meta: SnapshotMeta) {
         let newer = self
             .snapshot
             .as_ref()
@@ -24,22 +24,23 @@
             self.log.compact(upto);
             self.out.push(Action::Compact(upto));
         }
-        self.forget_memberships();
+        self.prune_memberships();
     }
 
-    /// The leader no longer has the entries that this replica needs.
-    pub(super) fn offered(
+    /// Handles a leader's offer of a snapshot: the leader no longer has the entries that this
+    /// replica needs.
+    pub(super) fn handle_snapshot_offer(
         &mut self,
         from: ReplicaId,
         term: Term,
         meta: SnapshotMeta,
         round: Round,
     ) -> Result<(), CoreError> {
-        if !self.hear_leader(from, term, round)? {
+        if !self.accept_leader(from, term, round)? {
             return Ok(());
         }
         if self.log.id_at(meta.last.index) == Some(meta.last) || meta.last.index <= self.committed {
-            // Everything up to there is here already.
+            // All entries covered by the snapshot are held already.
             self.verified = self
                 .verified
                 .max(meta.last.index.min(self.log.last().index));
@@ -47,12 +48,12 @@
             self.fetching = Some(meta.last);
             self.out.push(Action::Fetch { from, meta });
         }
-        self.answer(from, None);
+        self.acknowledge(from, None);
         Ok(())
     }
 
-    /// The snapshot is here; log and state are replaced unless they have caught up meanwhile.
-    pub(super) fn fetched(&mut self, meta: SnapshotMeta, data: Bytes) {
+    /// Replaces log and state by a fetched snapshot, unless they have caught up meanwhile.
+    pub(super) fn handle_snapshot_fetched(&mut self, meta: SnapshotMeta, data: Bytes) {
         let wanted = self.fetching.take() == Some(meta.last);
         if !wanted || meta.last.index <= self.committed {
             return;
@@ -69,7 +70,7 @@
         self.out.push(Action::Install { seq, meta, data });
     }
 
-    /// The shell could not fetch the snapshot; the next offer starts again.
+    /// Reports that the snapshot could not be fetched; the leader's next offer starts again.
     pub fn fetch_failed(&mut self) {
         self.fetching = None;
     }
--- a/crates/anvil_ledger/src/core/write.rs
+++ b/crates/anvil_ledger/src/core/write.rs
@@ -1,8 +1,8 @@
-//! What waits for the disk.
+//! Pending disk writes, and the messages that wait for them.
 //!
-//! Failure: a replica that acknowledges before its disk has synced forgets the entry or the vote
-//! in a crash, and the majority that was counted never was one. Every acknowledgement and every
-//! vote is therefore held until the write it rests on is reported as synced.
+//! A replica that acknowledged an entry or a vote before its disk had synced could lose it in a
+//! crash, and the majority that was counted would not exist. Every acknowledgement and every vote
+//! is therefore held until the write it rests on is reported as synced.
 
 use std::collections::VecDeque;
 
@@ -13,9 +13,9 @@
 
 /// A write that is not synced yet.
 #[derive(Debug)]
-struct UnderWay {
+struct PendingWrite {
     seq: WriteSeq,
-    /// Up to where the disk holds the log after it.
+    /// Last log position on disk after this write.
     upto: LogIndex,
 }
 
@@ -23,9 +23,9 @@
 pub(super) struct Writes {
     issued: WriteSeq,
     synced: WriteSeq,
-    /// Up to where the disk holds the log.
+    /// Last log position that is synced.
     durable: LogIndex,
-    pending: VecDeque<UnderWay>,
+    pending: VecDeque<PendingWrite>,
     /// The newest write that carries a hard state.
     hard: WriteSeq,
     hard_changed: bool,
@@ -53,8 +53,8 @@
         self.hard_changed || !self.entries.is_empty()
     }
 
-    /// The write that carries all changes made so far.
-    fn newest(&self) -> WriteSeq {
+    /// Sequence number of the write that carries all changes made so far.
+    fn covering_seq(&self) -> WriteSeq {
         self.issued + WriteSeq::from(self.dirty())
     }
 
@@ -75,14 +75,14 @@
         self.entries.retain(|entry| entry.id.index < index);
     }
 
-    /// Numbers a write that replaces the whole log.
+    /// Issues a write that replaces the whole log.
     pub fn replace(&mut self, last: LogIndex) -> WriteSeq {
         for write in &mut self.pending {
             write.upto = 0;
         }
         self.durable = 0;
         self.issued += 1;
-        self.pending.push_back(UnderWay {
+        self.pending.push_back(PendingWrite {
             seq: self.issued,
             upto: last,
         });
@@ -99,7 +99,7 @@
 
 /// A message that waits for a sync.
 #[derive(Debug)]
-pub(super) struct Held {
+pub(super) struct HeldMessage {
     /// The write it rests on.
     after: WriteSeq,
     to: ReplicaId,
@@ -115,55 +115,55 @@
         self.writes.entries.push(entry);
     }
 
-    /// Drops entries that the leader does not have, and the memberships they made.
+    /// Drops entries that the leader does not have, and the memberships in them.
     pub(super) fn truncate_from(&mut self, index: LogIndex) {
         self.log.truncate_from(index);
         self.writes.truncate_from(index);
         self.memberships.retain(|(at, _)| *at < index);
     }
 
-    /// Takes a term over, with the vote given in it.
+    /// Sets the term, with the vote given in it.
     ///
-    /// Failure: what was known of an older leader's log, kept in a newer term, lets this replica
-    /// acknowledge and apply entries that the new leader does not have; replicas differ. Whoever
-    /// moves the term, also a candidate, forgets it here.
+    /// If `verified` survived a change of term, this replica could acknowledge and apply entries
+    /// that the new leader does not have, and replicas would differ. Every change of term, also a
+    /// candidate's own, resets it here.
     pub(super) fn set_term(&mut self, term: u64, vote: Option<ReplicaId>) {
         if term != self.hard.term {
             self.verified = 0;
-            self.round_seen = 0;
+            self.newest_round = 0;
         }
         self.hard.term = term;
         self.hard.vote = vote;
         self.writes.hard_changed = true;
     }
 
-    /// Sends as soon as everything decided so far is synced.
-    pub(super) fn send_synced(&mut self, to: ReplicaId, message: Message) {
+    /// Sends a message as soon as everything decided so far is synced.
+    pub(super) fn send_after_sync(&mut self, to: ReplicaId, message: Message) {
         if self.writes.idle() {
             self.send(to, message);
         } else {
-            let after = self.writes.newest();
-            self.held.push_back(Held { after, to, message });
+            let after = self.writes.covering_seq();
+            self.held.push_back(HeldMessage { after, to, message });
         }
     }
 
-    /// Sends as soon as term and vote are synced.
-    pub(super) fn send_in_term(&mut self, to: ReplicaId, message: Message) {
+    /// Sends a message as soon as term and vote are synced.
+    pub(super) fn send_after_hard_state(&mut self, to: ReplicaId, message: Message) {
         if self.writes.hard_pending() {
-            self.send_synced(to, message);
+            self.send_after_sync(to, message);
         } else {
             self.send(to, message);
         }
     }
 
-    /// Hands out one write with all changes of this event.
+    /// Issues one write with all changes of this event.
     ///
     /// It goes before the messages of the same event, so that the disk starts first.
     pub(super) fn flush(&mut self) {
         if !self.writes.dirty() {
             return;
         }
-        let seq = self.writes.newest();
+        let seq = self.writes.covering_seq();
         let entries = std::mem::take(&mut self.writes.entries);
         let hard = self.writes.hard_changed.then_some(self.hard);
         if hard.is_some() {
@@ -172,7 +172,7 @@
         self.writes.hard_changed = false;
         self.writes.issued = seq;
         let upto = self.log.last().index;
-        self.writes.pending.push_back(UnderWay { seq, upto });
+        self.writes.pending.push_back(PendingWrite { seq, upto });
         let first = entries.first().map(|entry| entry.id.index - 1);
         let prev = first.and_then(|index| self.log.id_at(index));
         let write = Write {
@@ -192,20 +192,20 @@
         self.advance_after_sync();
     }
 
-    /// Sends a held message; its own vote for itself it counts at once.
-    fn release(&mut self, held: Held) {
-        let Held { to, message, .. } = held;
+    /// Sends a held message, or counts it at once if it is this replica's vote for itself.
+    fn release(&mut self, held: HeldMessage) {
+        let HeldMessage { to, message, .. } = held;
         match message {
             Message::Vote {
                 term,
-                trial,
+                pre_vote,
                 granted,
-            } if to == self.id => self.voted(to, term, trial, granted),
+            } if to == self.id => self.handle_vote(to, term, pre_vote, granted),
             message => self.send(to, message),
         }
     }
 
-    pub(super) fn next_id(&self) -> EntryId {
+    pub(super) fn next_entry_id(&self) -> EntryId {
         EntryId {
             term: self.hard.term,
             index: self.log.last().index + 1,
--- a/crates/anvil_ledger/tests/core_guards.rs
+++ b/crates/anvil_ledger/tests/core_guards.rs
@@ -99,12 +99,12 @@
         }));
     }
 
-    fn vote(&mut self, trial: bool) {
+    fn vote(&mut self, pre_vote: bool) {
         self.hear(
             2,
             Message::Vote {
                 term: 4,
-                trial,
+                pre_vote,
                 granted: true,
             },
         );
@@ -173,10 +173,10 @@
 #[test]
 fn a_vote_leaves_only_after_the_sync() {
     let mut driver = Driver::new();
-    let ask = Message::AskVote {
+    let ask = Message::RequestVote {
         term: 4,
         last: EntryId { term: 2, index: 2 },
-        trial: false,
+        pre_vote: false,
     };
     driver.hear(2, ask);
     assert!(!driver.sends_votes());
@@ -427,7 +427,7 @@
     assert!(driver.actions.iter().any(why));
     driver.actions.clear();
     driver.pass(2 * cfg.election);
-    let asks = |action: &Action| matches!(action, Action::Send(sent) if matches!(sent.message, Message::AskVote { .. }));
+    let asks = |action: &Action| matches!(action, Action::Send(sent) if matches!(sent.message, Message::RequestVote { .. }));
     assert!(!driver.actions.iter().any(asks), "the others stand first");
     driver.pass(2 * cfg.election);
     assert!(driver.actions.iter().any(asks), "somebody must lead");
