--- a/crates/anvil_ledger/src/core/error.rs
+++ b/crates/anvil_ledger/src/core/error.rs
@@ -20,7 +20,9 @@
         other: ReplicaId,
     },
     /// A leader's entry differs from a committed one.
-    #[snafu(display("entry {index} is committed up to {committed} and would be replaced"))]
+    #[snafu(display(
+        "committed entry would be replaced: entry {index}, committed up to {committed}"
+    ))]
     CommittedReplaced {
         /// Position of the entry.
         index: LogIndex,
@@ -28,13 +30,13 @@
         committed: LogIndex,
     },
     /// A membership change of more than one voter.
-    #[snafu(display("more than one voter changes at {index}"))]
+    #[snafu(display("membership change of more than one voter: entry {index}"))]
     MultipleVoterChange {
         /// Position of the change.
         index: LogIndex,
     },
     /// Entries with a gap before them.
-    #[snafu(display("entry {found} follows {last}"))]
+    #[snafu(display("gap in the log: entry {found} after {last}"))]
     Gap {
         /// Position of the last entry held.
         last: LogIndex,
--- a/crates/anvil_ledger/src/storage.rs
+++ b/crates/anvil_ledger/src/storage.rs
@@ -1,19 +1,20 @@
 //! The data folder of a replica: log, snapshot and identity.
 //!
-//! | file | what it holds |
+//! | file | contents |
 //! |---|---|
-//! | `identity` | the disk's random number |
+//! | `identity` | the random identifier of the disk |
 //! | `log-NNNNNNNNNN` | a segment of the log: a header, then checksummed frames |
 //! | `snapshot` | the newest snapshot, replaced as a whole |
-//! | `lock` | nothing; held while a process uses the folder |
+//! | `lock` | empty; locked while a process uses the folder |
 //!
-//! A frame is acknowledged only after it is synced. At recovery a torn tail is cut; damage in
-//! what was synced is reported and never skipped over. After a failed write or sync nothing more
-//! is written, because nobody can say what the disk holds.
+//! A write is acknowledged only after it is synced. Recovery cuts a torn tail; damage in bytes that
+//! were synced is reported and never skipped. After a failed write or sync nothing more is written,
+//! because the contents of the disk are unknown.
 //!
-//! * [`disk`]: the few operations a folder must offer, so that tests can make each one fail.
-//! * [`store`]: [`Storage`], what a replica writes. [`writer`]: the thread that does it.
-//! * [`frame`], [`segment`], [`snapshot`]: the formats. [`recover`]: reading them back.
+//! * [`disk`]: the operations that a folder offers, so that tests can make each one fail.
+//! * [`store`]: [`Storage`], which writes the log. [`writer`]: the thread that runs it.
+//! * [`frame`], [`segment`], [`snapshot`]: the file formats. [`recover`]: reading them back.
+//! * [`harm`]: fault injection for whole processes.
 
 pub mod disk;
 mod error;
@@ -25,11 +26,11 @@
 pub mod store;
 pub mod writer;
 
-pub use disk::{Disk, Done, Op};
+pub use disk::{Disk, Op, OpOutput};
 pub use error::{Damage, StorageError};
 pub use recover::Recovered;
 pub use store::Storage;
 pub use writer::{Job, Report, Writer};
 
-/// Version of all formats of the data folder.
+/// Version of all file formats of the data folder.
 pub const FORMAT: u16 = 1;
--- a/crates/anvil_ledger/src/storage/disk.rs
+++ b/crates/anvil_ledger/src/storage/disk.rs
@@ -1,4 +1,4 @@
-//! The few operations that a data folder must offer.
+//! The operations on a data folder, behind a closure so that tests can replace or fail each one.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -9,30 +9,30 @@
 /// One operation on a folder. Files are named without a path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Op<'a> {
-    /// Names of all files.
+    /// Lists the names of all files.
     List,
-    /// A whole file.
+    /// Reads a whole file.
     Read(&'a str),
-    /// Makes an empty file, in the place of an older one.
+    /// Creates an empty file, in place of an older one.
     Create(&'a str),
-    /// Writes at the end of a file.
+    /// Appends to a file.
     Append(&'a str, &'a [u8]),
-    /// Cuts a file to a length, in bytes.
+    /// Truncates a file to a length, in bytes.
     Truncate(&'a str, u64),
-    /// Returns once the file's bytes last.
+    /// Returns once the file's bytes are durable.
     Sync(&'a str),
-    /// Gives a file another name, in the place of an older one.
+    /// Renames a file, in place of an older one.
     Rename(&'a str, &'a str),
-    /// Takes a file away.
+    /// Removes a file.
     Remove(&'a str),
-    /// Returns once the folder's names last.
+    /// Returns once the folder's directory entries are durable.
     SyncFolder,
 }
 
-/// What an operation brought.
+/// Output of an operation.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub enum Done {
-    /// Nothing to tell.
+pub enum OpOutput {
+    /// For operations without output.
     #[default]
     Nothing,
     /// For [`Op::List`].
@@ -44,37 +44,37 @@
 /// A folder, as a closure that carries out operations.
 #[derive(Clone)]
 pub struct Disk {
-    run: Arc<dyn Fn(Op<'_>) -> io::Result<Done> + Send + Sync>,
+    run: Arc<dyn Fn(Op<'_>) -> io::Result<OpOutput> + Send + Sync>,
 }
 
 impl Disk {
-    /// A folder that does what `run` does.
-    pub fn new(run: impl Fn(Op<'_>) -> io::Result<Done> + Send + Sync + 'static) -> Self {
+    /// A folder whose operations `run` carries out.
+    pub fn new(run: impl Fn(Op<'_>) -> io::Result<OpOutput> + Send + Sync + 'static) -> Self {
         Self { run: Arc::new(run) }
     }
 
     /// Carries out one operation.
-    pub fn run(&self, op: Op<'_>) -> io::Result<Done> {
+    pub fn run(&self, op: Op<'_>) -> io::Result<OpOutput> {
         (self.run)(op)
     }
 
-    /// Names of all files.
+    /// Lists the names of all files.
     pub fn list(&self) -> io::Result<Vec<String>> {
         match self.run(Op::List)? {
-            Done::Names(names) => Ok(names),
+            OpOutput::Names(names) => Ok(names),
             _ => Ok(Vec::new()),
         }
     }
 
-    /// A whole file.
+    /// Reads a whole file.
     pub fn read(&self, name: &str) -> io::Result<Vec<u8>> {
         match self.run(Op::Read(name))? {
-            Done::Bytes(bytes) => Ok(bytes),
+            OpOutput::Bytes(bytes) => Ok(bytes),
             _ => Ok(Vec::new()),
         }
     }
 
-    /// A folder of the machine, made if it is not there. No other process may use it meanwhile.
+    /// A folder of the file system, created if missing and locked against other processes.
     pub fn folder(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
         let lock = OpenOptions::new()
@@ -86,7 +86,7 @@
         Ok(Self::unlocked(path.to_owned(), Some(lock)))
     }
 
-    /// A folder that is only read, also while a process uses it.
+    /// A folder that is only read, and may be in use by another process.
     pub fn read_only(path: &Path) -> Self {
         Self::unlocked(path.to_owned(), None)
     }
@@ -96,7 +96,7 @@
         Self::new(move |op| {
             let _held = &lock;
             let mut open = open.lock().unwrap_or_else(PoisonError::into_inner);
-            on_folder(&path, &mut open, op)
+            run_on_folder(&path, &mut open, op)
         })
     }
 }
@@ -104,21 +104,25 @@
 /// The file that is locked while a process uses the folder.
 pub const LOCK: &str = "lock";
 
-fn on_folder(path: &Path, open: &mut BTreeMap<String, File>, op: Op<'_>) -> io::Result<Done> {
+fn run_on_folder(
+    path: &Path,
+    open: &mut BTreeMap<String, File>,
+    op: Op<'_>,
+) -> io::Result<OpOutput> {
     match op {
-        Op::List => return names(path).map(Done::Names),
-        Op::Read(name) => return fs::read(path.join(name)).map(Done::Bytes),
+        Op::List => return file_names(path).map(OpOutput::Names),
+        Op::Read(name) => return fs::read(path.join(name)).map(OpOutput::Bytes),
         Op::Create(name) => {
             let file = File::create(path.join(name))?;
             open.insert(name.into(), file);
         }
-        Op::Append(name, bytes) => opened(path, open, name)?.write_all(bytes)?,
+        Op::Append(name, bytes) => open_file(path, open, name)?.write_all(bytes)?,
         Op::Truncate(name, length) => {
             open.remove(name);
             let file = OpenOptions::new().write(true).open(path.join(name))?;
             file.set_len(length)?;
         }
-        Op::Sync(name) => opened(path, open, name)?.sync_data()?,
+        Op::Sync(name) => open_file(path, open, name)?.sync_data()?,
         Op::Rename(from, to) => {
             open.remove(to);
             fs::rename(path.join(from), path.join(to))?;
@@ -132,10 +136,10 @@
         }
         Op::SyncFolder => File::open(path)?.sync_all()?,
     }
-    Ok(Done::Nothing)
+    Ok(OpOutput::Nothing)
 }
 
-fn opened<'a>(
+fn open_file<'a>(
     path: &Path,
     open: &'a mut BTreeMap<String, File>,
     name: &str,
@@ -148,7 +152,7 @@
         .ok_or_else(|| io::Error::from(io::ErrorKind::NotFound))
 }
 
-fn names(path: &Path) -> io::Result<Vec<String>> {
+fn file_names(path: &Path) -> io::Result<Vec<String>> {
     let mut found = Vec::new();
     for entry in fs::read_dir(path)? {
         if let Ok(name) = entry?.file_name().into_string() {
--- a/crates/anvil_ledger/src/storage/error.rs
+++ b/crates/anvil_ledger/src/storage/error.rs
@@ -1,25 +1,25 @@
-//! What can go wrong with a data folder.
+//! Errors of a data folder.
 
 use snafu::Snafu;
 
 use super::FORMAT;
 
-/// What is wrong with a file.
+/// Kind of damage to a file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum Damage {
-    /// Bytes that were synced no longer have their checksum.
-    #[snafu(display("the checksum does not fit bytes that were synced"))]
+    /// Bytes that were synced no longer match their checksum.
+    #[snafu(display("the checksum does not match bytes that were synced"))]
     Checksum,
-    /// The header is too short, or not one of ours.
+    /// The header is too short, or not of this kind of file.
     #[snafu(display("the header is missing or not of this kind of file"))]
     Header,
-    /// The content is not what its checksum promises to be.
-    #[snafu(display("the content can't be read although its checksum fits"))]
+    /// The checksum matches but the content can't be decoded.
+    #[snafu(display("the content can't be decoded although its checksum matches"))]
     Content,
-    /// An entry that does not follow the one before it.
+    /// An entry does not follow the one before it.
     #[snafu(display("an entry does not follow the one before it"))]
     Gap,
-    /// A segment of the log is not there.
+    /// A segment of the log is missing.
     #[snafu(display("a segment before this one is missing"))]
     MissingSegment,
     /// The log begins after the snapshot's end.
@@ -31,44 +31,45 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StorageError {
-    /// The operating system refused an operation: disk full, failing sync, no permission.
-    #[snafu(display("{operation} {file}: {source}"))]
+    /// The operating system refused an operation, as with a full disk, a failing sync or a missing
+    /// permission.
+    #[snafu(display("can't {operation} {file}: {source}"))]
     Io {
-        /// What was tried.
+        /// The operation.
         operation: &'static str,
-        /// On which file.
+        /// The file.
         file: String,
-        /// Why it failed.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The folder holds damaged bytes.
+    /// A file holds damaged bytes.
     #[snafu(display("{file} is damaged at byte {offset}: {damage}"))]
     Damaged {
-        /// Which file.
+        /// The file.
         file: String,
-        /// Where in it.
+        /// Position in the file, in bytes.
         offset: u64,
-        /// What is wrong.
+        /// Kind of damage.
         damage: Damage,
     },
-    /// Written by another version.
-    #[snafu(display("{file} has format {found}; this build reads {FORMAT}"))]
+    /// A file was written in another format version.
+    #[snafu(display("unsupported format of {file}: found {found}, this build reads {FORMAT}"))]
     Format {
-        /// Which file.
+        /// The file.
         file: String,
-        /// Its version.
+        /// Its format version.
         found: u16,
     },
-    /// Content that can't be written.
-    #[snafu(display("{file} can't be encoded: {source}"))]
+    /// Content can't be encoded.
+    #[snafu(display("can't encode {file}: {source}"))]
     Encode {
-        /// Which file.
+        /// The file.
         file: String,
-        /// Why.
+        /// The cause.
         source: bincode::error::EncodeError,
     },
-    /// An earlier write or sync failed; what the disk holds is not known.
-    #[snafu(display("nothing is written after an earlier failure"))]
+    /// An earlier write or sync failed; the contents of the disk are unknown.
+    #[snafu(display("write refused: an earlier write or sync failed"))]
     Failed,
 }
 
--- a/crates/anvil_ledger/src/storage/frame.rs
+++ b/crates/anvil_ledger/src/storage/frame.rs
@@ -1,29 +1,29 @@
-//! Frames: the unit in which the log is written and checked.
+//! Frames: the unit in which files are written and checked.
 //!
 //! ```text
 //! mark 4 | length 4 | synced 8 | checksum 4 | body
 //! ```
 //!
-//! All numbers are little end first. The checksum covers length, synced and body. `synced` says
-//! how much of the file was synced when the frame was written.
+//! All numbers are little-endian. The checksum covers length, synced and body. `synced` is the
+//! length of the file that was synced when the frame was written.
 //!
-//! Failure: after a power cut the end of the file may hold any mixture of old and new bytes, and
-//! a worn disk may flip a byte of what was synced long ago. Both look like a wrong checksum, but
-//! the first must be cut and the second must never be. `synced` tells them apart: a later frame
-//! proves that the bytes before its `synced` were acknowledged, so damage there is reported. To
-//! have such a proof for the last frame too, an empty one is written after each sync.
+//! After a power cut the end of a file may hold any mixture of old and new bytes, and a worn disk
+//! may flip a byte of what was synced long ago. Both look like a wrong checksum, but the first must
+//! be cut and the second must never be. `synced` tells them apart: a later frame proves that the
+//! bytes before its `synced` were acknowledged, so damage there is reported. To have such a proof
+//! for the last frame too, an empty one is written after each sync.
 
 use std::ops::Range;
 
 use super::{Damage, StorageError};
 
-/// Begins each frame; also where a search for later frames looks.
+/// First bytes of each frame; a search for later frames looks for them.
 const MARK: [u8; 4] = *b"AVF1";
-/// Bytes before the body.
+/// Number of bytes before the body.
 const HEAD: usize = 20;
 
-/// Writes a frame behind what `buf` holds.
-pub fn put(buf: &mut Vec<u8>, synced: u64, body: &[u8]) {
+/// Appends a frame to `buf`.
+pub fn append(buf: &mut Vec<u8>, synced: u64, body: &[u8]) {
     let length = u32::try_from(body.len()).unwrap_or(u32::MAX);
     buf.extend_from_slice(&MARK);
     buf.extend_from_slice(&length.to_le_bytes());
@@ -40,32 +40,32 @@
     hasher.finalize()
 }
 
-/// A frame that was read.
+/// A frame with a matching checksum.
 struct Frame {
     synced: u64,
     body: Range<usize>,
 }
 
-fn number<const N: usize>(bytes: &[u8], at: usize) -> Option<[u8; N]> {
+fn read_array<const N: usize>(bytes: &[u8], at: usize) -> Option<[u8; N]> {
     bytes.get(at..at + N)?.try_into().ok()
 }
 
-/// The frame at this byte, if there is a whole one.
-fn at(bytes: &[u8], start: usize) -> Option<Frame> {
-    if number::<4>(bytes, start)? != MARK {
+/// The frame that begins at this byte, if it is complete and its checksum matches.
+fn frame_at(bytes: &[u8], start: usize) -> Option<Frame> {
+    if read_array::<4>(bytes, start)? != MARK {
         return None;
     }
-    let length = u32::from_le_bytes(number(bytes, start + 4)?);
-    let synced = u64::from_le_bytes(number(bytes, start + 8)?);
-    let expected = u32::from_le_bytes(number(bytes, start + 16)?);
+    let length = u32::from_le_bytes(read_array(bytes, start + 4)?);
+    let synced = u64::from_le_bytes(read_array(bytes, start + 8)?);
+    let expected = u32::from_le_bytes(read_array(bytes, start + 16)?);
     let first = start + HEAD;
     let body = first..first.checked_add(usize::try_from(length).ok()?)?;
     let content = bytes.get(body.clone())?;
     (checksum(length, synced, content) == expected).then_some(Frame { synced, body })
 }
 
-/// Reads all frames from `start` on and gives each body with its place to `f`; returns where the
-/// whole frames end. What follows is a torn tail.
+/// Reads all frames from `start` on, passing the offset and body of each to `f`; returns the end of
+/// the complete frames. What follows is a torn tail.
 pub fn scan(
     file: &str,
     bytes: &[u8],
@@ -73,23 +73,23 @@
     mut f: impl FnMut(usize, &[u8]) -> Result<(), StorageError>,
 ) -> Result<usize, StorageError> {
     let mut position = start;
-    while let Some(frame) = at(bytes, position) {
+    while let Some(frame) = frame_at(bytes, position) {
         f(position, &bytes[frame.body.clone()])?;
         position = frame.body.end;
     }
-    if acknowledged(bytes, position) {
+    if was_synced(bytes, position) {
         return Err(StorageError::damaged(file, position, Damage::Checksum));
     }
     Ok(position)
 }
 
-/// Whether a whole frame after this byte says that the byte was synced.
-fn acknowledged(bytes: &[u8], position: usize) -> bool {
+/// Whether a complete frame after this byte shows that the byte was synced.
+fn was_synced(bytes: &[u8], position: usize) -> bool {
     let rest = bytes.get(position + 1..).unwrap_or_default();
     let starts = rest.windows(MARK.len()).enumerate();
-    let mut marks = starts.filter(|(_, window)| *window == MARK);
-    marks.any(|(offset, _)| {
-        let later = at(bytes, position + 1 + offset);
+    let mut later_marks = starts.filter(|(_, window)| *window == MARK);
+    later_marks.any(|(offset, _)| {
+        let later = frame_at(bytes, position + 1 + offset);
         later.is_some_and(|frame| frame.synced > position as u64)
     })
 }
--- a/crates/anvil_ledger/src/storage/harm.rs
+++ b/crates/anvil_ledger/src/storage/harm.rs
@@ -1,8 +1,8 @@
-//! A disk that misbehaves on command, for fault injection from outside of a process.
+//! Disk faults that can be switched on from outside a process, for fault injection.
 //!
-//! The command is the text of a file that is read before each write: `full` refuses every write as
-//! a disk without room does, `slow 200` has each write wait for so many milliseconds, and anything
-//! else, or no file, lets the disk be.
+//! The command is the text of a file that is read before each write: `full` fails every write as a
+//! disk without space does, `slow 200` delays each write by so many milliseconds, and any other
+//! text, or no file, injects nothing.
 
 use std::fs;
 use std::io;
@@ -12,22 +12,22 @@
 
 use super::disk::{Disk, Op};
 
-/// This disk, harmed as the file at `orders` says.
-pub fn obeying(disk: Disk, orders: PathBuf) -> Disk {
+/// Wraps a disk so that its writes fail or wait as the command file says.
+pub fn obeying(disk: Disk, command_file: PathBuf) -> Disk {
     Disk::new(move |op| {
-        if writes(op) {
-            harm(&fs::read_to_string(&orders).unwrap_or_default())?;
+        if is_write(op) {
+            inject(&fs::read_to_string(&command_file).unwrap_or_default())?;
         }
         disk.run(op)
     })
 }
 
-fn writes(op: Op<'_>) -> bool {
+fn is_write(op: Op<'_>) -> bool {
     !matches!(op, Op::List | Op::Read(_) | Op::Remove(_))
 }
 
-fn harm(order: &str) -> io::Result<()> {
-    let mut words = order.split_whitespace();
+fn inject(command: &str) -> io::Result<()> {
+    let mut words = command.split_whitespace();
     match (words.next(), words.next().and_then(|ms| ms.parse().ok())) {
         (Some("full"), _) => Err(io::ErrorKind::StorageFull.into()),
         (Some("slow"), Some(ms)) => {
--- a/crates/anvil_ledger/src/storage/recover.rs
+++ b/crates/anvil_ledger/src/storage/recover.rs
@@ -1,4 +1,4 @@
-//! Reading a data folder back.
+//! Recovery: reads snapshot and segments of a data folder and checks that they fit together.
 
 use std::collections::VecDeque;
 
@@ -11,22 +11,22 @@
 use super::{Damage, Disk, StorageError};
 use crate::core::{Entry, EntryId, HardState};
 
-/// One segment that was read.
+/// Summary of a segment that was read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SegmentView {
-    /// Its number.
+    /// Number of the segment.
     pub number: u64,
     /// Newest position of an entry in it, 0 for none.
     pub newest: LogIndex,
-    /// Frames after the header.
+    /// Number of batches after the header.
     pub batches: u64,
-    /// Bytes of whole frames.
+    /// Length of the complete frames, in bytes.
     pub end: u64,
-    /// Bytes after them.
+    /// Length of the torn tail after them, in bytes.
     pub torn: u64,
 }
 
-/// What a data folder holds.
+/// Contents of a data folder.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Recovered {
     /// The newest snapshot.
@@ -37,9 +37,9 @@
     pub base: EntryId,
     /// Entries, without a gap.
     pub entries: VecDeque<Entry>,
-    /// The files of the log, oldest first.
+    /// The segments of the log, oldest first.
     pub segments: Vec<SegmentView>,
-    /// Segments with a lower number than this are void: the log begins anew after them.
+    /// Segments with a lower number than this are obsolete: the log begins anew after them.
     pub stale_below: u64,
 }
 
@@ -58,14 +58,14 @@
         entry.map(|entry| entry.id)
     }
 
-    /// Goes on with a segment. Entries after its base are void; a base that is not here belongs
-    /// to an installed snapshot, whose log begins anew.
-    fn begin(&mut self, file: &str, header: &Header) -> Result<(), StorageError> {
+    /// Continues with the next segment. Entries after its base are dropped; an unknown base belongs
+    /// to an installed snapshot, after which the log begins anew.
+    fn begin_segment(&mut self, file: &str, header: &Header) -> Result<(), StorageError> {
         let base = header.base;
         if self.segments.is_empty() {
             self.base = base;
         } else if self.id_at(base.index) == Some(base) {
-            self.keep_to(base.index);
+            self.truncate_after(base.index);
         } else if self.covers(base.index) {
             self.entries.clear();
             self.base = base;
@@ -82,13 +82,13 @@
         index <= covered
     }
 
-    fn keep_to(&mut self, index: LogIndex) {
+    fn truncate_after(&mut self, index: LogIndex) {
         let count = index.saturating_sub(self.base.index);
         self.entries
             .truncate(usize::try_from(count).unwrap_or(usize::MAX));
     }
 
-    fn take(&mut self, file: &str, offset: usize, batch: Batch) -> Result<(), StorageError> {
+    fn add_batch(&mut self, file: &str, offset: usize, batch: Batch) -> Result<(), StorageError> {
         if let Some(hard) = batch.hard {
             self.hard = hard;
         }
@@ -97,17 +97,17 @@
             if index <= self.base.index || index > self.last().index + 1 {
                 return Err(StorageError::damaged(file, offset, Damage::Gap));
             }
-            self.keep_to(index - 1);
+            self.truncate_after(index - 1);
             self.entries.push_back(entry);
         }
         Ok(())
     }
 
-    /// Lets the log begin after the snapshot when the two do not meet.
+    /// Drops the log in favour of the snapshot, if it does not contain the snapshot's last entry.
     ///
-    /// That is so after a crash between the snapshot's rename and the log's new beginning, and
-    /// after a crash that lost entries which others had made a majority for.
-    fn meet(&mut self) -> Result<(), StorageError> {
+    /// That happens after a crash between the snapshot's rename and the log's new beginning, and
+    /// after a crash that lost entries which a majority of other replicas had committed.
+    fn align_with_snapshot(&mut self) -> Result<(), StorageError> {
         let covered = self.snapshot.as_ref().map(|snapshot| snapshot.meta.last);
         let last = covered.unwrap_or_default();
         if self.base.index > last.index {
@@ -139,7 +139,7 @@
     for number in numbers {
         read_segment(disk, &mut found, number, newest == Some(number))?;
     }
-    found.meet()?;
+    found.align_with_snapshot()?;
     Ok(found)
 }
 
@@ -165,10 +165,10 @@
     })?;
     let torn = bytes.len() - end;
     if torn > 0 && !newest {
-        // A segment is synced whole before the next one is begun.
+        // A segment is synced completely before the next one is begun.
         return Err(StorageError::damaged(&file, end, Damage::Checksum));
     }
-    found.begin(&file, &header)?;
+    found.begin_segment(&file, &header)?;
     let mut view = SegmentView {
         number,
         newest: 0,
@@ -180,7 +180,7 @@
         view.batches += 1;
         let last = batch.entries.last().map_or(0, |entry| entry.id.index);
         view.newest = view.newest.max(last);
-        found.take(&file, offset, batch)?;
+        found.add_batch(&file, offset, batch)?;
     }
     found.segments.push(view);
     Ok(())
--- a/crates/anvil_ledger/src/storage/segment.rs
+++ b/crates/anvil_ledger/src/storage/segment.rs
@@ -1,8 +1,8 @@
 //! Segments: the files that make up the log.
 //!
-//! A segment begins with a header frame that repeats the hard state and the last entry before
-//! it, so that older segments can be removed. It appears under its name only when its header is
-//! synced. Entries replace whatever stands at their position and after it.
+//! A segment begins with a header frame that repeats the hard state and the last entry before it,
+//! so that older segments can be removed. It appears under its name only once its header is synced.
+//! Entries replace those at their position and all after it.
 
 use bincode::config::standard;
 use serde::{Deserialize, Serialize};
@@ -19,39 +19,40 @@
 pub struct Header {
     /// [`FORMAT`].
     pub format: u16,
-    /// Its number; segments follow each other without a gap.
+    /// Number of the segment; numbers are consecutive.
     pub number: u64,
-    /// The last entry before it.
+    /// The last entry before the segment.
     pub base: EntryId,
-    /// Term and vote when it was begun.
+    /// Term and vote when the segment was begun.
     pub hard: HardState,
 }
 
-/// Every later frame of a segment.
+/// Contents of every later frame of a segment.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// The new hard state, when it changed.
+    /// The new hard state, if it changed.
     pub hard: Option<HardState>,
     /// Entries, in order.
     pub entries: Vec<Entry>,
 }
 
-/// A segment's file name.
+/// File name of a segment.
 pub fn name(number: u64) -> String {
     format!("{PREFIX}{number:010}")
 }
 
-/// The number in a file name.
+/// Segment number in a file name, if it names a segment.
 pub fn number(name: &str) -> Option<u64> {
     name.strip_prefix(PREFIX)?.parse().ok()
 }
 
-/// The bytes of a value, for the body of a frame.
+/// Encodes a value as the body of a frame.
 pub fn encode<T: Serialize>(file: &str, value: &T) -> Result<Vec<u8>, StorageError> {
     bincode::serde::encode_to_vec(value, standard()).context(EncodeSnafu { file })
 }
 
-/// Reads a segment: its header, its batches with their places, and where they end.
+/// Reads a segment, passing each batch with its offset to `f`; returns the header and the end of
+/// the complete frames.
 pub fn read(
     file: &str,
     bytes: &[u8],
@@ -75,7 +76,7 @@
     Ok((header, end))
 }
 
-/// Reads the format first: another version may have other fields after it.
+/// Reads the format version first: another version may have other fields after it.
 fn decode_header(file: &str, body: &[u8]) -> Result<Header, StorageError> {
     let unreadable = |_| StorageError::damaged(file, 0, Damage::Header);
     let decoded = bincode::serde::decode_from_slice(body, standard());
--- a/crates/anvil_ledger/src/storage/snapshot.rs
+++ b/crates/anvil_ledger/src/storage/snapshot.rs
@@ -1,4 +1,4 @@
-//! The snapshot file: two frames, one with what it stands for and one with the state.
+//! The snapshot file: two frames, one with the metadata and one with the state.
 
 use bincode::config::standard;
 use bytes::Bytes;
@@ -9,13 +9,13 @@
 use super::{Damage, Disk, FORMAT, Op, StorageError, frame, segment};
 use crate::core::SnapshotMeta;
 
-/// The newest snapshot.
+/// File name of the newest snapshot.
 pub const NAME: &str = "snapshot";
-/// This replica's next snapshot until it is synced.
+/// File name of this replica's own next snapshot until it is published.
 pub const TEMPORARY: &str = "snapshot.tmp";
-/// Another replica's snapshot until it is synced. A name of its own, because the two are written
-/// by different threads.
-pub const INSTALLED: &str = "installed.tmp";
+/// File name of a snapshot from another replica until it is published. The two names differ because
+/// two threads write them.
+pub const INSTALLED_TEMPORARY: &str = "installed.tmp";
 
 #[derive(Serialize, Deserialize)]
 struct Header {
@@ -23,16 +23,16 @@
     meta: SnapshotMeta,
 }
 
-/// A snapshot as it was read.
+/// A snapshot as read from disk.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Snapshot {
-    /// What it stands for.
+    /// Position and membership.
     pub meta: SnapshotMeta,
-    /// The state.
+    /// The encoded state.
     pub data: Bytes,
 }
 
-/// Writes and syncs a temporary file, which nobody else reads.
+/// Writes and syncs a snapshot to a temporary file.
 pub fn prepare(
     disk: &Disk,
     file: &str,
@@ -44,8 +44,8 @@
         meta: meta.clone(),
     };
     let mut buf = Vec::with_capacity(data.len() + 256);
-    frame::put(&mut buf, 0, &segment::encode(NAME, &header)?);
-    frame::put(&mut buf, 0, data);
+    frame::append(&mut buf, 0, &segment::encode(NAME, &header)?);
+    frame::append(&mut buf, 0, data);
     let failed = |operation| IoSnafu { operation, file };
     disk.run(Op::Create(file)).context(failed("create"))?;
     disk.run(Op::Append(file, &buf)).context(failed("write"))?;
@@ -53,10 +53,10 @@
     Ok(())
 }
 
-/// Puts the temporary file in the place of the snapshot.
+/// Renames a temporary file to the newest snapshot.
 ///
-/// Failure: a snapshot overwritten in place is half old and half new after a crash. The rename
-/// swaps whole files, and the folder's sync makes it last before older log entries are removed.
+/// A snapshot overwritten in place would be half old and half new after a crash. The rename swaps
+/// whole files, and the sync of the folder makes it durable before older log entries are removed.
 pub fn publish(disk: &Disk, file: &str) -> Result<(), StorageError> {
     let failed = |operation| IoSnafu {
         operation,
@@ -81,7 +81,7 @@
         bodies.push((offset, body.to_vec()));
         Ok(())
     })?;
-    // It was synced before it got its name, so anything but two whole frames is damage.
+    // The file is synced before it gets its name, so anything but two complete frames is damage.
     let whole = bodies.len() == 2 && end == bytes.len();
     let Some(data) = bodies.pop().filter(|_| whole) else {
         return Err(StorageError::damaged(NAME, end, Damage::Checksum));
--- a/crates/anvil_ledger/src/storage/store.rs
+++ b/crates/anvil_ledger/src/storage/store.rs
@@ -1,4 +1,4 @@
-//! What a replica writes to its data folder.
+//! An open data folder: appends to the log, publishes snapshots, removes obsolete segments.
 
 use std::collections::VecDeque;
 
@@ -12,10 +12,10 @@
 use super::{Damage, Disk, FORMAT, Op, StorageError, frame, snapshot};
 use crate::core::{EntryId, HardState, ReplicaId, SnapshotMeta, Write};
 
-/// A segment longer than this is closed, in bytes, unless the storage is told otherwise.
+/// Default length from which on a segment is closed, in bytes.
 const SEGMENT_BYTES: u64 = 16 << 20;
 const IDENTITY: &str = "identity";
-/// A file that gets its name once it is synced.
+/// Name of a new file until it is synced.
 const TEMPORARY: &str = "new.tmp";
 
 #[derive(Serialize, Deserialize)]
@@ -25,7 +25,7 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Closed {
+struct ClosedSegment {
     number: u64,
     newest: LogIndex,
 }
@@ -34,24 +34,24 @@
 pub struct Storage {
     disk: Disk,
     id: ReplicaId,
-    closed: VecDeque<Closed>,
-    /// The segment that is written to.
+    closed: VecDeque<ClosedSegment>,
+    /// Number of the segment that is written to.
     number: u64,
     newest: LogIndex,
     length: u64,
     synced: u64,
     last: EntryId,
     hard: HardState,
-    /// The last position of the newest snapshot.
-    covered: LogIndex,
+    /// Last position covered by the newest snapshot.
+    snapshot_index: LogIndex,
     segment_bytes: u64,
     failed: bool,
 }
 
 impl Storage {
-    /// Opens a folder and reads it back. A folder without an identity gets `fresh` as its own.
-    pub fn open(disk: Disk, fresh: ReplicaId) -> Result<(Self, Recovered), StorageError> {
-        let id = identity(&disk, fresh)?;
+    /// Opens a folder and recovers its contents. A folder without an identity gets `new_id`.
+    pub fn open(disk: Disk, new_id: ReplicaId) -> Result<(Self, Recovered), StorageError> {
+        let id = load_or_create_identity(&disk, new_id)?;
         let found = recover(&disk)?;
         let mut storage = Self {
             disk,
@@ -63,21 +63,21 @@
             synced: 0,
             last: found.last(),
             hard: found.hard,
-            covered: found.snapshot.as_ref().map_or(0, |s| s.meta.last.index),
+            snapshot_index: found.snapshot.as_ref().map_or(0, |s| s.meta.last.index),
             segment_bytes: SEGMENT_BYTES,
             failed: false,
         };
-        storage.go_on(&found)?;
+        storage.resume(&found)?;
         Ok((storage, found))
     }
 
-    /// Closes segments that are longer than this, in bytes.
+    /// Sets the length from which on a segment is closed, in bytes.
     pub fn with_segment_bytes(mut self, bytes: u64) -> Self {
         self.segment_bytes = bytes;
         self
     }
 
-    /// Which disk this is.
+    /// Identifier of the disk.
     pub fn id(&self) -> ReplicaId {
         self.id
     }
@@ -87,10 +87,10 @@
         &self.disk
     }
 
-    /// Goes on behind what was read: cuts a torn tail and begins a new segment after it.
-    fn go_on(&mut self, found: &Recovered) -> Result<(), StorageError> {
+    /// Prepares for writing after recovery: cuts a torn tail and begins a new segment.
+    fn resume(&mut self, found: &Recovered) -> Result<(), StorageError> {
         for view in &found.segments {
-            self.closed.push_back(Closed {
+            self.closed.push_back(ClosedSegment {
                 number: view.number,
                 newest: view.newest,
             });
@@ -99,11 +99,11 @@
         if let Some(view) = found.segments.last() {
             let file = segment::name(view.number);
             if view.torn > 0 {
-                self.run("cut", &file, Op::Truncate(&file, view.end))?;
+                self.run("truncate", &file, Op::Truncate(&file, view.end))?;
             }
-            // Failure: a killed process leaves bytes that were written and never synced; they are
-            // read back, acknowledged by the next life, and lost in a power cut. Hence the sync
-            // before anything rests on what was read.
+            // A killed process leaves bytes that were written and never synced. Recovery reads
+            // them, the next incarnation would acknowledge them, and a power cut would lose them.
+            // Hence the sync before anything rests on them.
             self.run("sync", &file, Op::Sync(&file))?;
         }
         self.begin_segment(found.last())?;
@@ -115,8 +115,8 @@
             return Err(StorageError::Failed);
         }
         let done = self.disk.run(op);
-        // Failure: after a failed sync the kernel may drop the bytes and report the next sync as
-        // good. Whoever tried again would acknowledge what is lost; so nothing is tried again.
+        // After a failed sync the kernel may drop the bytes and report the next sync as successful.
+        // A retry would acknowledge lost bytes, so nothing is retried.
         self.failed = done.is_err();
         done.context(IoSnafu { operation, file })?;
         Ok(())
@@ -132,7 +132,7 @@
         };
         let mut buf = Vec::new();
         let file = segment::name(number);
-        frame::put(&mut buf, 0, &segment::encode(&file, &header)?);
+        frame::append(&mut buf, 0, &segment::encode(&file, &header)?);
         self.run("create", TEMPORARY, Op::Create(TEMPORARY))?;
         self.run("write", TEMPORARY, Op::Append(TEMPORARY, &buf))?;
         self.run("sync", TEMPORARY, Op::Sync(TEMPORARY))?;
@@ -146,9 +146,9 @@
         Ok(())
     }
 
-    /// Writes without a sync. Nothing of it may be acknowledged before [`Storage::sync`].
+    /// Writes without a sync. Nothing may be acknowledged before [`Storage::sync`].
     pub fn write(&mut self, write: &Write) -> Result<(), StorageError> {
-        // A segment begun below repeats the newest term in its header.
+        // A segment that is begun below repeats the newest hard state in its header.
         self.hard = write.hard.unwrap_or(self.hard);
         let replaces = !write.entries.is_empty() && write.prev.index < self.last.index;
         if replaces {
@@ -162,7 +162,7 @@
         };
         let file = segment::name(self.number);
         let mut buf = Vec::new();
-        frame::put(&mut buf, self.synced, &segment::encode(&file, &batch)?);
+        frame::append(&mut buf, self.synced, &segment::encode(&file, &batch)?);
         self.run("write", &file, Op::Append(&file, &buf))?;
         self.length += buf.len() as u64;
         if let Some(entry) = write.entries.last() {
@@ -172,26 +172,27 @@
         Ok(())
     }
 
-    /// Returns once everything written lasts.
+    /// Returns once all writes are durable.
     pub fn sync(&mut self) -> Result<(), StorageError> {
         let file = segment::name(self.number);
         if self.synced < self.length {
             self.run("sync", &file, Op::Sync(&file))?;
             self.synced = self.length;
-            // Not synced itself; see the module on frames for what it proves.
+            // Not synced itself; it proves that the frames before it were, see the `frame` module.
             let mut buf = Vec::new();
-            frame::put(&mut buf, self.synced, &[]);
+            frame::append(&mut buf, self.synced, &[]);
             self.run("write", &file, Op::Append(&file, &buf))?;
             self.length += buf.len() as u64;
         }
         Ok(())
     }
 
-    /// Begins a new segment after the entry `base`; entries that stood after it are void.
+    /// Closes the segment and begins a new one after the entry `base`; entries after `base` are
+    /// obsolete.
     fn close_segment(&mut self, base: EntryId) -> Result<(), StorageError> {
         let file = segment::name(self.number);
         self.run("sync", &file, Op::Sync(&file))?;
-        self.closed.push_back(Closed {
+        self.closed.push_back(ClosedSegment {
             number: self.number,
             newest: self.newest,
         });
@@ -200,42 +201,45 @@
 
     /// Makes the prepared snapshot the newest one; see [`snapshot::prepare`].
     ///
-    /// Failure: a snapshot that was prepared before another replica's newer one was installed
-    /// would take the state back behind the log's beginning. An older one is dropped.
+    /// A snapshot that was prepared before a newer one from another replica was installed would end
+    /// before the log begins. An older one is dropped.
     pub fn publish_snapshot(&mut self, meta: &SnapshotMeta) -> Result<(), StorageError> {
-        if meta.last.index <= self.covered {
+        if meta.last.index <= self.snapshot_index {
             return Ok(());
         }
         self.publish(snapshot::TEMPORARY, meta.last.index)
     }
 
-    fn publish(&mut self, file: &str, covered: LogIndex) -> Result<(), StorageError> {
+    fn publish(&mut self, file: &str, snapshot_index: LogIndex) -> Result<(), StorageError> {
         if self.failed {
             return Err(StorageError::Failed);
         }
         let done = snapshot::publish(&self.disk, file);
         self.failed = done.is_err();
-        self.covered = covered;
+        self.snapshot_index = snapshot_index;
         done
     }
 
-    /// Replaces everything by a snapshot from another replica.
+    /// Replaces log and state by a snapshot from another replica.
     pub fn install(&mut self, meta: &SnapshotMeta, data: &[u8]) -> Result<(), StorageError> {
-        let prepared = snapshot::prepare(&self.disk, snapshot::INSTALLED, meta, data);
+        let prepared = snapshot::prepare(&self.disk, snapshot::INSTALLED_TEMPORARY, meta, data);
         self.failed |= prepared.is_err();
         prepared?;
-        self.publish(snapshot::INSTALLED, meta.last.index)?;
+        self.publish(snapshot::INSTALLED_TEMPORARY, meta.last.index)?;
         self.close_segment(meta.last)?;
         self.remove_closed(|_| true)
     }
 
-    /// Removes files that hold only entries up to this position.
+    /// Removes segments that hold only entries up to this position.
     pub fn compact(&mut self, upto: LogIndex) -> Result<(), StorageError> {
         self.remove_closed(|closed| closed.newest <= upto)
     }
 
     /// Removes closed segments, oldest first, so that a crash in between leaves no gap.
-    fn remove_closed(&mut self, surplus: impl Fn(&Closed) -> bool) -> Result<(), StorageError> {
+    fn remove_closed(
+        &mut self,
+        surplus: impl Fn(&ClosedSegment) -> bool,
+    ) -> Result<(), StorageError> {
         while let Some(closed) = self.closed.pop_front_if(|closed| surplus(closed)) {
             let file = segment::name(closed.number);
             self.run("remove", &file, Op::Remove(&file))?;
@@ -245,12 +249,12 @@
     }
 }
 
-/// Reads the disk's number, or gives it one.
+/// Reads the identifier of the disk, or creates one.
 ///
-/// Failure: an instance comes back with an empty disk and its old name; if it voted as before, it
-/// could vote twice in a term and acknowledge entries it has lost. The number is random and lies
-/// on the disk only, so the emptied disk has another one and nobody counts it as the old replica.
-fn identity(disk: &Disk, fresh: ReplicaId) -> Result<ReplicaId, StorageError> {
+/// If an instance that comes back with an empty disk voted under its old identity, it could vote
+/// twice in a term and acknowledge entries that it has lost. The identifier is random and stored on
+/// the disk only, so an emptied disk gets another one and is not counted as the old replica.
+fn load_or_create_identity(disk: &Disk, new_id: ReplicaId) -> Result<ReplicaId, StorageError> {
     let failed = |operation| IoSnafu {
         operation,
         file: IDENTITY,
@@ -264,10 +268,10 @@
     }
     let identity = Identity {
         format: FORMAT,
-        id: fresh,
+        id: new_id,
     };
     let mut buf = Vec::new();
-    frame::put(&mut buf, 0, &segment::encode(IDENTITY, &identity)?);
+    frame::append(&mut buf, 0, &segment::encode(IDENTITY, &identity)?);
     disk.run(Op::Create(TEMPORARY)).context(failed("create"))?;
     disk.run(Op::Append(TEMPORARY, &buf))
         .context(failed("write"))?;
@@ -275,7 +279,7 @@
     disk.run(Op::Rename(TEMPORARY, IDENTITY))
         .context(failed("rename"))?;
     disk.run(Op::SyncFolder).context(failed("sync folder of"))?;
-    Ok(fresh)
+    Ok(new_id)
 }
 
 fn has_segments(disk: &Disk) -> Result<bool, StorageError> {
@@ -286,7 +290,7 @@
     Ok(names.iter().any(|name| segment::number(name).is_some()))
 }
 
-/// The disk's number, where it has one.
+/// Reads the identifier of the disk, if it has one.
 pub fn read_identity(disk: &Disk) -> Result<Option<ReplicaId>, StorageError> {
     let bytes = match disk.read(IDENTITY) {
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
--- a/crates/anvil_ledger/src/storage/writer.rs
+++ b/crates/anvil_ledger/src/storage/writer.rs
@@ -1,7 +1,6 @@
 //! The thread that writes and syncs, so that nothing else waits for the disk.
 //!
-//! Group commit: all jobs that have gathered while a sync was under way are written together and
-//! share the next sync.
+//! Group commit: all jobs that arrive during a sync are written together and share the next sync.
 
 use std::sync::mpsc::{Receiver, SyncSender, TryRecvError, sync_channel};
 use std::thread::{self, JoinHandle};
@@ -12,43 +11,44 @@
 use super::{Storage, StorageError};
 use crate::core::{SnapshotMeta, Write, WriteSeq};
 
-/// Jobs that may wait before whoever hands them out waits too: a round of the core hands out a few, so a
-/// disk may hang for seconds. The queue's places are set aside at the start, so each holds a pointer
-/// only: 130 KB in all, where 65,536 whole jobs held 8 MB of a replica's 11.
-const QUEUE: usize = 8_192;
+/// Number of queued jobs above which [`Writer::give`] blocks. The core issues a few jobs for each
+/// event, so a disk may hang for seconds before that. The channel allocates all its slots at the
+/// start, so each one holds only a pointer: 130 KB in all, where 65,536 whole jobs held 8 MB of a
+/// replica's 11.
+const QUEUE_CAPACITY: usize = 8_192;
 
-/// What the thread is told to do.
+/// A job for the writer thread.
 #[derive(Debug)]
 pub enum Job {
     /// Append and sync.
     Write(Write),
-    /// Replace everything by a snapshot, and sync.
+    /// Replace log and state by a snapshot, and sync.
     Install {
-        /// Its number among the writes.
+        /// Sequence number among the writes.
         seq: WriteSeq,
-        /// What it stands for.
+        /// Position and membership of the snapshot.
         meta: SnapshotMeta,
-        /// The state.
+        /// The encoded state.
         data: Bytes,
     },
-    /// The temporary snapshot is synced; make it the newest one.
+    /// Publish this replica's own prepared snapshot.
     Publish(SnapshotMeta),
-    /// Remove files with entries up to here only.
+    /// Remove segments that hold only entries up to this position.
     Compact(LogIndex),
 }
 
-/// What the thread has done.
+/// A report from the writer thread.
 #[derive(Debug)]
 pub enum Report {
     /// All writes up to this one are synced.
     Synced(WriteSeq),
-    /// The snapshot is the newest one.
+    /// The snapshot is published.
     Published(SnapshotMeta),
-    /// It has stopped for good.
+    /// The thread has stopped after a failure.
     Failed(StorageError),
 }
 
-/// The way to the thread. Dropping it lets the thread finish its jobs and end.
+/// Handle of the writer thread. When it is dropped, the thread finishes its jobs and ends.
 #[derive(Debug)]
 pub struct Writer {
     tx: SyncSender<Box<Job>>,
@@ -56,66 +56,71 @@
 }
 
 impl Writer {
-    /// Starts the thread. `group` is off only to measure what one sync for many writes brings.
+    /// Starts the thread. Group commit is switched off only to measure its effect.
     pub fn start(
         storage: Storage,
-        group: bool,
+        group_commit: bool,
         report: impl Fn(Report) + Send + 'static,
     ) -> std::io::Result<Self> {
-        let (tx, rx) = sync_channel(QUEUE);
+        let (tx, rx) = sync_channel(QUEUE_CAPACITY);
         let thread = thread::Builder::new()
             .name("ledger-disk".into())
-            .spawn(move || work(storage, &rx, group, &report))?;
+            .spawn(move || run_writer(storage, &rx, group_commit, &report))?;
         Ok(Self { tx, thread })
     }
 
-    /// Returns when all jobs are done and the folder is free for another process.
+    /// Returns once all jobs are done and the folder is free for another process.
     pub fn finish(self) {
         drop(self.tx);
         // A panic in the thread was printed when it happened.
         let _ = self.thread.join();
     }
 
-    /// Hands out a job; false when the thread has ended.
+    /// Queues a job; false if the thread has ended.
     pub fn give(&self, job: Job) -> bool {
         self.tx.send(Box::new(job)).is_ok()
     }
 }
 
-fn work(mut storage: Storage, rx: &Receiver<Box<Job>>, group: bool, report: &impl Fn(Report)) {
+fn run_writer(
+    mut storage: Storage,
+    rx: &Receiver<Box<Job>>,
+    group_commit: bool,
+    report: &impl Fn(Report),
+) {
     while let Ok(first) = rx.recv() {
-        if let Err(e) = round(&mut storage, *first, rx, group, report) {
+        if let Err(e) = run_jobs(&mut storage, *first, rx, group_commit, report) {
             report(Report::Failed(e));
             return;
         }
     }
 }
 
-/// Takes all jobs that wait, syncs once and reports.
-fn round(
+/// Runs all queued jobs, syncs once and reports.
+fn run_jobs(
     storage: &mut Storage,
     first: Job,
     rx: &Receiver<Box<Job>>,
-    group: bool,
+    group_commit: bool,
     report: &impl Fn(Report),
 ) -> Result<(), StorageError> {
     let mut newest = None;
     let mut next = Some(first);
     while let Some(job) = next {
-        newest = do_job(storage, job, report)?.or(newest);
+        newest = run_job(storage, job, report)?.or(newest);
         next = match rx.try_recv() {
-            Ok(job) if group => Some(*job),
+            Ok(job) if group_commit => Some(*job),
             Ok(job) => {
-                finish(storage, newest.take(), report)?;
+                sync_and_report(storage, newest.take(), report)?;
                 Some(*job)
             }
             Err(TryRecvError::Empty | TryRecvError::Disconnected) => None,
         };
     }
-    finish(storage, newest, report)
+    sync_and_report(storage, newest, report)
 }
 
-fn finish(
+fn sync_and_report(
     storage: &mut Storage,
     newest: Option<WriteSeq>,
     report: &impl Fn(Report),
@@ -127,7 +132,7 @@
     Ok(())
 }
 
-fn do_job(
+fn run_job(
     storage: &mut Storage,
     job: Job,
     report: &impl Fn(Report),
@@ -142,7 +147,7 @@
             return Ok(Some(seq));
         }
         Job::Publish(meta) => {
-            // The log may still lack entries that the snapshot covers; it goes first.
+            // The log is synced first: it may still lack entries that the snapshot covers.
             storage.sync()?;
             storage.publish_snapshot(&meta)?;
             report(Report::Published(meta));
--- a/crates/anvil_ledger/tests/support/mem_disk.rs
+++ b/crates/anvil_ledger/tests/support/mem_disk.rs
@@ -4,7 +4,7 @@
 use std::io::{Error, ErrorKind, Result};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use anvil_ledger::storage::{Disk, Done, Op};
+use anvil_ledger::storage::{Disk, Op, OpOutput};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
@@ -90,7 +90,7 @@
 }
 
 impl Folder {
-    fn run(&mut self, op: Op<'_>) -> Result<Done> {
+    fn run(&mut self, op: Op<'_>) -> Result<OpOutput> {
         let changes = !matches!(op, Op::List | Op::Read(_));
         if changes {
             self.operations += 1;
@@ -119,10 +119,10 @@
         Ok(&mut self.files[file])
     }
 
-    fn carry_out(&mut self, op: Op<'_>) -> Result<Done> {
+    fn carry_out(&mut self, op: Op<'_>) -> Result<OpOutput> {
         match op {
-            Op::List => return Ok(Done::Names(self.names.keys().cloned().collect())),
-            Op::Read(name) => return Ok(Done::Bytes(self.file(name)?.bytes.clone())),
+            Op::List => return Ok(OpOutput::Names(self.names.keys().cloned().collect())),
+            Op::Read(name) => return Ok(OpOutput::Bytes(self.file(name)?.bytes.clone())),
             Op::Create(name) => {
                 self.files.push(File::default());
                 self.names.insert(name.into(), self.files.len() - 1);
@@ -149,7 +149,7 @@
             }
             Op::SyncFolder => self.synced_names = self.names.clone(),
         }
-        Ok(Done::Nothing)
+        Ok(OpOutput::Nothing)
     }
 
     fn crash(&mut self, rng: &mut ChaCha8Rng) {
