--- a/crates/anvil_ledger/src/inspect.rs
+++ b/crates/anvil_ledger/src/inspect.rs
@@ -1,7 +1,7 @@
-//! Reads a data folder offline, checks it, and says what is in it.
+//! Reads a data folder offline, checks it, and reports its contents.
 //!
-//! Nothing is changed, so it may also look at a folder that a replica is using; the newest frame
-//! may then look torn, because it is being written.
+//! Nothing is changed, so a folder that a replica is using can be read too; its newest frame may
+//! then look torn, because it is being written.
 //!
 //! ```no_run
 //! # fn demo() -> Result<(), anvil_ledger::inspect::InspectError> {
@@ -27,36 +27,36 @@
 
 pub use report::{Report, StateView};
 
-/// A folder that is not in order.
+/// A folder that failed the checks.
 #[derive(Debug, Snafu)]
 pub enum InspectError {
     /// There is no such folder, or no replica has ever used it.
-    #[snafu(display("{folder} holds no replica: there is no identity in it"))]
+    #[snafu(display("no replica in {folder}: the identity file is missing"))]
     Empty {
         /// The folder.
         folder: String,
     },
-    /// It can't be read, or is damaged.
+    /// The folder can't be read, or is damaged.
     #[snafu(display("{source}"))]
     Storage {
-        /// What and where.
+        /// The cause.
         source: StorageError,
     },
-    /// Snapshot or entries can't be read as state.
+    /// Snapshot or entries can't be decoded or applied.
     #[snafu(display("{source}"))]
     Machine {
-        /// What.
+        /// The cause.
         source: MachineError,
     },
-    /// The state in the snapshot breaks an invariant.
+    /// The state violates an invariant.
     #[snafu(display("{source}"))]
     Invariant {
-        /// Which.
+        /// The violation.
         source: InvariantError,
     },
 }
 
-/// Checks a data folder and reports what it holds.
+/// Checks a data folder and reports its contents.
 pub fn inspect(folder: &Path) -> Result<Report, InspectError> {
     let name = folder.display().to_string();
     ensure!(folder.is_dir(), EmptySnafu { folder: name });
@@ -93,10 +93,10 @@
     changes.last().or(covered).cloned().unwrap_or_default()
 }
 
-/// Applies all that is held to the snapshot's state.
+/// Applies all entries to the state in the snapshot.
 ///
-/// Entries at the end may not be committed; applying them shows whether they are readable and
-/// keep the invariants.
+/// Entries at the end may not be committed; applying them shows whether they are readable and keep
+/// the invariants.
 fn check_state(found: &Recovered) -> Result<StateView, InspectError> {
     let snapshot = found.snapshot.as_ref();
     let mut machine = match snapshot {
--- a/crates/anvil_ledger/src/inspect/report.rs
+++ b/crates/anvil_ledger/src/inspect/report.rs
@@ -1,4 +1,4 @@
-//! What was found in a data folder.
+//! The report on a data folder.
 
 use std::fmt;
 
@@ -9,31 +9,31 @@
 use crate::storage::FORMAT;
 use crate::storage::recover::SegmentView;
 
-/// The state after all entries held.
+/// Counts of the state after all entries held.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StateView {
     /// The last entry applied.
     pub applied: LogIndex,
     /// Newest version of tree, members and fences.
     pub version: LogIndex,
-    /// Documents of the tree.
+    /// Number of documents in the tree.
     pub documents: usize,
-    /// Instances ever heard of.
+    /// Number of instances that ever joined.
     pub members: usize,
-    /// Budgets.
+    /// Number of budgets.
     pub budgets: usize,
-    /// Tokens paid in, over all budgets.
+    /// Tokens credited, over all budgets.
     pub credited: Tokens,
     /// Tokens charged, over all budgets.
     pub billed: Tokens,
     /// Tokens in open grants, not settled, over all budgets.
     pub outstanding: Tokens,
-    /// Grants that wait for evidence or an operator.
+    /// Number of fenced grants.
     pub fenced_grants: usize,
 }
 
 impl StateView {
-    /// Counts a state.
+    /// The counts of a state.
     pub fn of(state: &State) -> Self {
         let mut view = Self {
             applied: state.applied(),
@@ -53,12 +53,12 @@
     }
 }
 
-/// A data folder that is in order.
+/// Contents of a data folder that passed all checks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
     /// The folder.
     pub folder: String,
-    /// The disk's number.
+    /// Identifier of the disk.
     pub id: ReplicaId,
     /// Term and vote.
     pub hard: HardState,
@@ -68,11 +68,11 @@
     pub last: EntryId,
     /// The last entry that the snapshot covers.
     pub snapshot: Option<EntryId>,
-    /// Files of the log, oldest first.
+    /// Segments of the log, oldest first.
     pub segments: Vec<SegmentView>,
     /// Voters and learners, as of the last entry.
     pub membership: Membership,
-    /// What the entries make.
+    /// The state after all entries.
     pub state: StateView,
 }
 
@@ -116,7 +116,7 @@
             if segment.torn > 0 {
                 write!(
                     f,
-                    ", {} torn bytes at the end (never answered)",
+                    ", {} torn bytes at the end (never acknowledged)",
                     segment.torn
                 )?;
             }
--- a/crates/anvil_ledger/src/lib.rs
+++ b/crates/anvil_ledger/src/lib.rs
@@ -1,4 +1,4 @@
-//! The ledger: durable, replicated state that survives what the brief says fails.
+//! The ledger: durable, replicated state that survives crashes, lost disks and network partitions.
 //!
 //! ```
 //! use std::time::Duration;
@@ -12,7 +12,7 @@
 //! let membership = Membership { ledger: 1, voters: [(7, site)].into(), ..Membership::default() };
 //! let actions = replica.handle(Duration::ZERO, Event::Found(membership));
 //!
-//! // It leads only once its disk has synced what that rests on.
+//! // It leads only once its vote for itself is synced.
 //! let Some(Action::Write(write)) = actions.first() else { panic!("nothing to write") };
 //! assert!(!replica.leads());
 //! replica.handle(Duration::ZERO, Event::Synced(write.seq));
@@ -20,10 +20,11 @@
 //! ```
 //!
 //! * [`core`]: election, replication and membership of replicas, without I/O.
-//! * [`storage`]: log and snapshots under one data folder.
-//! * [`state`]: what the committed commands make: tree, budgets, claims, fences, members, audit.
-//! * [`machine`]: the state together with the [`lives`] of sidecars, the [`suspects`] and the [`limits`]; what a
-//!   snapshot holds.
+//! * [`storage`]: log and snapshots in one data folder.
+//! * [`state`]: the state machine of committed commands: settings tree, budgets, claims, fences,
+//!   members, audit trail.
+//! * [`machine`]: the state together with the lost incarnations of sidecars ([`lives`]), the
+//!   [`suspects`] and the [`limits`]; all of it is in a snapshot.
 //! * [`inspect`]: reads a data folder offline.
 
 pub mod core;
--- a/crates/anvil_ledger/src/limits.rs
+++ b/crates/anvil_ledger/src/limits.rs
@@ -1,8 +1,8 @@
-//! Limits that endpoints announced, as the routers heard them.
+//! Limits that endpoints announced, as reported by routers.
 //!
-//! Failure: a limited endpoint announces a limit in its answers, and each router sends it a request before it has
-//! heard so; hundreds of routers send hundreds. When the limit is over, a router that is one of hundreds hears so only with
-//! its next turn, minutes later.
+//! An endpoint announces a limit only in its answers, so without this record each of hundreds of
+//! routers would send a limited endpoint a request before it learned of the limit. After the limit
+//! ends, a router would learn of that only at its next turn, minutes later.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -12,15 +12,17 @@
 use anvil_world::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// A limit that no router has told of for so long is forgotten: its endpoint is gone, or gets no requests.
-const KEPT: Duration = Duration::from_mins(10);
-/// Limits that are kept: each of the largest fleet's endpoints, twice. The oldest go first.
-const MOST: usize = 16_384;
+/// A limit that no router has reported for this long is removed: its endpoint is gone, or gets no
+/// requests.
+const MAX_AGE: Duration = Duration::from_mins(10);
+/// Maximum number of limits: twice the number of endpoints in the largest fleet. The oldest are
+/// evicted first.
+const MAX_LIMITS: usize = 16_384;
 
 /// Limits by endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// The latest time that a limit was announced at. Leaders' clocks differ; this never falls.
+    /// The latest time in any report so far. Leaders' clocks differ; this never falls.
     clock: SystemTime,
     all: BTreeMap<InstanceId, EndpointLimit>,
     by_time: BTreeSet<(SystemTime, InstanceId)>,
@@ -37,7 +39,8 @@
 }
 
 impl Limits {
-    /// An endpoint announced one, or none any more. Returns those of which routers have to be told anew.
+    /// Records the limit that an endpoint announced, or that it has none any more. Returns the
+    /// endpoints whose limit changed.
     pub fn report(&mut self, report: &ReportLimit) -> BTreeSet<InstanceId> {
         self.clock = self.clock.max(report.at);
         let mut changed = BTreeSet::new();
@@ -50,23 +53,23 @@
             let limit = EndpointLimit { limit, at };
             self.all.insert(report.endpoint.clone(), limit);
         }
-        while let Some(oldest) = self.outdated() {
+        while let Some(oldest) = self.next_to_evict() {
             self.remove(&oldest);
             changed.insert(oldest);
         }
         changed
     }
 
-    /// All of them.
+    /// All limits by endpoint.
     pub fn all(&self) -> &BTreeMap<InstanceId, EndpointLimit> {
         &self.all
     }
 
-    /// The oldest one, where it is too old or one too many.
-    fn outdated(&self) -> Option<InstanceId> {
+    /// The oldest limit, if it is too old or there are too many.
+    fn next_to_evict(&self) -> Option<InstanceId> {
         let (at, endpoint) = self.by_time.first()?;
         let age = self.clock.duration_since(*at).unwrap_or_default();
-        (age >= KEPT || self.all.len() > MOST).then(|| endpoint.clone())
+        (age >= MAX_AGE || self.all.len() > MAX_LIMITS).then(|| endpoint.clone())
     }
 
     fn remove(&mut self, endpoint: &InstanceId) -> bool {
--- a/crates/anvil_ledger/src/machine.rs
+++ b/crates/anvil_ledger/src/machine.rs
@@ -1,5 +1,5 @@
-//! What a replica makes of the committed entries: the state, the lives of sidecars, and what routers tell of
-//! endpoints: requests under which they crashed, and limits that they announced.
+//! The state machine of a replica: the state, the lost incarnations of sidecars, and routers'
+//! reports on endpoints, namely requests during which they crashed and limits that they announced.
 
 use std::collections::BTreeSet;
 
@@ -17,44 +17,44 @@
 use crate::state::{InvariantError, State, Touched};
 use crate::suspects::Suspects;
 
-/// A state machine that can't go on. The replica stops.
+/// An error after which the state machine can't continue. The replica stops.
 #[derive(Debug, Snafu)]
 pub enum MachineError {
-    /// An invariant of the state does not hold.
+    /// An invariant of the state is violated.
     #[snafu(display("{source}"))]
     Invariant {
-        /// Which.
+        /// The violation.
         source: InvariantError,
     },
-    /// An entry or a snapshot that this build can't read.
-    #[snafu(display("an entry or a snapshot can't be read: {source}"))]
+    /// An entry or a snapshot can't be decoded by this build.
+    #[snafu(display("can't decode an entry or a snapshot: {source}"))]
     Decode {
-        /// Why.
+        /// The cause.
         source: bincode::error::DecodeError,
     },
-    /// A command or a state that can't be written.
-    #[snafu(display("a command or the state can't be written: {source}"))]
+    /// A command or the state can't be encoded.
+    #[snafu(display("can't encode a command or the state: {source}"))]
     Encode {
-        /// Why.
+        /// The cause.
         source: bincode::error::EncodeError,
     },
 }
 
-/// Everything that a snapshot holds.
+/// Contents of a snapshot.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Tree, money, members, claims, fences and audit trail.
+    /// Settings tree, budgets, members, claims, fences and audit trail.
     pub state: State,
-    /// Sidecar lives that were lost.
+    /// Lost incarnations of sidecars.
     pub lives: Lives,
-    /// Requests under which endpoints crashed.
+    /// Requests during which endpoints crashed.
     pub suspects: Suspects,
     /// Limits that endpoints announced.
     pub limits: Limits,
 }
 
 impl Machine {
-    /// Reads a snapshot.
+    /// Decodes a snapshot.
     pub fn restore(data: &[u8]) -> Result<Self, MachineError> {
         let decoded = bincode::serde::decode_from_slice(data, standard());
         let ((state, lives), read) = decoded.context(DecodeSnafu)?;
@@ -67,27 +67,27 @@
         })
     }
 
-    /// Writes a snapshot.
+    /// Encodes a snapshot.
     pub fn save(&self) -> Result<Bytes, MachineError> {
         let encoded = bincode::serde::encode_to_vec(self, standard());
         Ok(encoded.context(EncodeSnafu)?.into())
     }
 
-    /// Applies one committed entry; asserts the state's invariants.
+    /// Applies one committed entry; fails if an invariant of the state is violated.
     pub fn apply(&mut self, entry: &Entry) -> Result<Answer, MachineError> {
         let command = match &entry.payload {
             Payload::Blank | Payload::Membership(_) => Command::Noop,
             Payload::Data(data) => decode(data)?,
         };
-        let before = self.member_named_in(&command);
+        let before = self.affected_member(&command);
         let answer = self.state.apply(entry.id.index, entry.id.term, &command);
         self.state.holds().context(InvariantSnafu)?;
-        self.follow_lives(&command, before.as_ref(), &answer);
-        self.follow_routers(entry.id.index, &command);
+        self.track_incarnations(&command, before.as_ref(), &answer);
+        self.apply_router_reports(entry.id.index, &command);
         Ok(answer)
     }
 
-    fn member_named_in(&self, command: &Command) -> Option<Member> {
+    fn affected_member(&self, command: &Command) -> Option<Member> {
         let id = match command {
             Command::Join(Join { instance }) => &instance.id,
             Command::SetPresence(set) => &set.id,
@@ -96,7 +96,7 @@
         self.state.members().get(id).cloned()
     }
 
-    fn follow_routers(&mut self, index: LogIndex, command: &Command) {
+    fn apply_router_reports(&mut self, index: LogIndex, command: &Command) {
         let suspects = match command {
             Command::ReportCrash(report) => self.suspects.report(report),
             Command::ClearSuspects(clear) => self.suspects.clear(clear),
@@ -109,11 +109,11 @@
         let suspects = suspects.into_iter().map(Touched::Suspect);
         let limits = limits.into_iter().map(Touched::Limit);
         for touched in suspects.chain(limits) {
-            self.state.touch(index, touched);
+            self.state.record_change(index, touched);
         }
     }
 
-    fn follow_lives(&mut self, command: &Command, before: Option<&Member>, answer: &Answer) {
+    fn track_incarnations(&mut self, command: &Command, before: Option<&Member>, answer: &Answer) {
         match (command, answer) {
             (_, Answer::Denied(_)) => {}
             (Command::Join(join), _) => self.lives.joined(before, &join.instance),
@@ -132,7 +132,7 @@
     }
 }
 
-/// The next part of a snapshot; that of an earlier build ends before it.
+/// Decodes the next part of a snapshot; a snapshot of an earlier build ends before it.
 fn next_part<T: Default + DeserializeOwned>(rest: &mut &[u8]) -> Result<T, MachineError> {
     if rest.is_empty() {
         return Ok(T::default());
@@ -143,13 +143,13 @@
     Ok(part)
 }
 
-/// A command as the log holds it.
+/// Encodes a command for the log.
 pub fn encode(command: &Command) -> Result<Bytes, MachineError> {
     let encoded = bincode::serde::encode_to_vec(command, standard());
     Ok(encoded.context(EncodeSnafu)?.into())
 }
 
-/// Reads a command of the log.
+/// Decodes a command from the log.
 pub fn decode(data: &[u8]) -> Result<Command, MachineError> {
     let decoded = bincode::serde::decode_from_slice(data, standard());
     let (command, _) = decoded.context(DecodeSnafu)?;
--- a/crates/anvil_ledger/src/state.rs
+++ b/crates/anvil_ledger/src/state.rs
@@ -1,6 +1,6 @@
-//! What the committed commands make: a deterministic state machine.
+//! The deterministic state machine of committed commands.
 //!
-//! Every replica applies the same commands in the same order and comes to the same [`State`].
+//! Every replica applies the same commands in the same order and reaches the same [`State`].
 //! Nothing here reads a clock, a file or a random number; the leader puts times into commands.
 //!
 //! ```
@@ -17,11 +17,11 @@
 mod invariant;
 mod members;
 mod money;
-mod once;
+mod operator_change;
 mod receipts;
+mod recent_changes;
 mod references;
 mod routing;
-mod spread;
 mod tree;
 
 use anvil_world::command::{AuditEntry, ClaimRecord, FenceNumber, Order};
@@ -35,16 +35,16 @@
 use members::Members;
 use money::Money;
 use receipts::Receipts;
-use spread::Spread;
-pub use spread::Touched;
+use recent_changes::RecentChanges;
+pub use recent_changes::Touched;
 use tree::Tree;
 
-/// The ledger's state after some number of committed commands.
+/// The ledger's state after all commands applied so far.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct State {
     applied: LogIndex,
     tree: Tree,
-    /// Number of the routing table in force, 0 before the first.
+    /// Version of the routing table in force, 0 before the first.
     routing: RoutingVersion,
     money: Money,
     members: Members,
@@ -52,17 +52,18 @@
     fencing: BTreeMap<InstanceId, FenceNumber>,
     receipts: Receipts,
     audit: Audit,
-    spread: Spread,
+    #[serde(rename = "spread")]
+    recent_changes: RecentChanges,
     violated: Option<InvariantError>,
 }
 
 impl State {
-    /// Applies one committed command. Called once for each index, in order.
+    /// Applies one committed command. Has to be called once for each index, in order.
     pub fn apply(&mut self, index: LogIndex, term: Term, command: &Command) -> Answer {
         self.check_order(index);
         self.applied = index;
         let result = match command {
-            // All but the first are kept beside the state; see `machine`.
+            // All but `Noop` change parts that are kept outside this state; see `machine`.
             Command::Noop
             | Command::ReportCrash(_)
             | Command::ClearSuspects(_)
@@ -87,9 +88,10 @@
         result.unwrap_or_else(Answer::Denied)
     }
 
-    /// Something that is kept beside the state and that followers hold has changed at this index.
-    pub fn touch(&mut self, index: LogIndex, touched: Touched) {
-        self.spread.touch(index, touched);
+    /// Records that something which followers copy, but is kept outside this state, changed at this
+    /// index.
+    pub fn record_change(&mut self, index: LogIndex, touched: Touched) {
+        self.recent_changes.record(index, touched);
     }
 
     /// The last index applied, 0 for none.
@@ -97,14 +99,14 @@
         self.applied
     }
 
-    /// The newest index that changed the tree, the members or the fenced routers.
+    /// The newest index at which anything changed that followers copy.
     pub fn version(&self) -> LogIndex {
-        self.spread.version()
+        self.recent_changes.version()
     }
 
-    /// What changed after a version; `None` where that is too long ago to be known.
+    /// What changed after a version; `None` if that is too long ago to be known.
     pub fn touched_since(&self, version: LogIndex) -> Option<BTreeSet<Touched>> {
-        self.spread.since(version)
+        self.recent_changes.since(version)
     }
 
     /// The settings tree.
@@ -112,17 +114,17 @@
         self.tree.entries()
     }
 
-    /// Number of the routing table in force, 0 before the first.
+    /// Version of the routing table in force, 0 before the first.
     pub fn routing(&self) -> RoutingVersion {
         self.routing
     }
 
-    /// All instances that were ever heard of, in their newest life.
+    /// All instances that ever joined, in their newest incarnation.
     pub fn members(&self) -> &BTreeMap<InstanceId, Member> {
         self.members.all()
     }
 
-    /// Routers whose grants are refused, with the newest fenced life.
+    /// Fenced routers, with the newest fenced incarnation.
     pub fn fenced(&self) -> &BTreeMap<InstanceId, Incarnation> {
         self.members.fenced()
     }
@@ -137,12 +139,12 @@
         self.money.budgets(after)
     }
 
-    /// Open grants of a router, of all its lives.
+    /// Open grants of all incarnations of a router.
     pub fn grants_of(&self, router: &str) -> impl Iterator<Item = &Grant> {
         self.money.grants_of(router)
     }
 
-    /// All grants that are fenced and wait for evidence or an operator.
+    /// All fenced grants; each waits for evidence or an operator.
     pub fn fenced_grants(&self) -> impl Iterator<Item = &Grant> {
         self.money.fenced_grants()
     }
@@ -162,7 +164,7 @@
         self.fencing.get(sidecar).copied().unwrap_or_default()
     }
 
-    /// Whether every invariant held at every apply. A replica that gets an error stops.
+    /// The first invariant violation at any apply, if there was one. The replica then has to stop.
     pub fn holds(&self) -> Result<(), InvariantError> {
         match &self.violated {
             None => Ok(()),
@@ -170,24 +172,24 @@
         }
     }
 
-    /// Checks every budget anew: slow, for tests and for reading a data folder offline.
+    /// Checks every budget again: slow, for tests and for reading a data folder offline.
     pub fn check_all(&self) -> Result<(), InvariantError> {
         self.holds()?;
         self.money.check_all()
     }
 
-    /// Guards against a log that is applied with a hole or twice, which would show as replicas
-    /// that differ. The log's owner counts indexes itself, so only a fault in it gets here.
+    /// Guards against a log that is applied with a gap or twice, which would show as replicas that
+    /// differ. The replicated log counts indexes itself, so only a fault in it can trigger this.
     fn check_order(&mut self, index: LogIndex) {
         if index != self.applied + 1 {
-            self.violate(InvariantError::Order {
+            self.record_violation(InvariantError::Order {
                 applied: self.applied,
                 index,
             });
         }
     }
 
-    fn violate(&mut self, e: InvariantError) {
+    fn record_violation(&mut self, e: InvariantError) {
         // The first violation is the cause; later ones may only follow from it.
         self.violated.get_or_insert(e);
     }
--- a/crates/anvil_ledger/src/state/audit.rs
+++ b/crates/anvil_ledger/src/state/audit.rs
@@ -1,15 +1,15 @@
-//! The audit trail: every change that an operator made.
+//! The audit trail: every change made by an operator.
 
 use std::collections::VecDeque;
 
 use anvil_world::command::AuditEntry;
 use serde::{Deserialize, Serialize};
 
-/// How many lines the state keeps. The oldest go first; the log and its snapshots that are
-/// archived by operators hold the rest.
-const KEPT: usize = 20_000;
+/// Number of lines kept in the state. The oldest are evicted first; archived logs and snapshots
+/// hold the rest.
+const MAX_LINES: usize = 20_000;
 
-/// The newest lines.
+/// The newest lines of the audit trail.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Audit {
     lines: VecDeque<AuditEntry>,
@@ -18,7 +18,7 @@
 impl Audit {
     pub(super) fn write(&mut self, entry: AuditEntry) {
         self.lines.push_back(entry);
-        if self.lines.len() > KEPT {
+        if self.lines.len() > MAX_LINES {
             self.lines.pop_front();
         }
     }
--- a/crates/anvil_ledger/src/state/claims.rs
+++ b/crates/anvil_ledger/src/state/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of non-idempotent requests.
+//! Claims of non-idempotent requests: one sidecar runs a request, also when it is retried.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -8,7 +8,7 @@
 use anvil_world::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Which sidecar runs which key, for as long as a retry may come.
+/// Claims by request key, kept for as long as a retry may arrive.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Claims {
     keep: Duration,
@@ -33,12 +33,12 @@
         self.keep = keep;
     }
 
-    /// Claims a key, or tells who claimed it first.
+    /// Claims a key, or returns the claim that holds it already.
     pub(super) fn claim(&mut self, claim: &Claim) -> ClaimRecord {
         self.clock = self.clock.max(claim.at);
-        self.forget();
+        self.expire();
         if let Some(first) = self.get(&claim.key) {
-            return as_seen_by(claim, first);
+            return answer_to(claim, first);
         }
         self.by_time.insert((claim.at, claim.key.clone()));
         let kept = (claim.clone(), ClaimState::Open);
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Notes a claim's end. `NotRun` takes the claim away, so that a retry may run.
+    /// Records the outcome of a claim. `NotRun` removes the claim, so that a retry may run.
     pub(super) fn settle(&mut self, settle: &SettleClaim) -> Result<Answer, Denial> {
         let Some((claim, state)) = self.by_key.get_mut(&settle.key) else {
             return Err(Denial::Unknown {
@@ -58,8 +58,8 @@
                 name: settle.key.id.to_string(),
             });
         };
-        // The first known end stands: a late "not run" must not free a key that completed.
-        // The end of another claim than the one that stands says nothing about it.
+        // The first known outcome stands: a late "not run" must not release a key whose request has
+        // completed. An outcome of another claim than the present one is ignored.
         if *state != ClaimState::Open || claim.id != settle.id {
             return Ok(Answer::Done);
         }
@@ -82,7 +82,7 @@
         })
     }
 
-    fn forget(&mut self) {
+    fn expire(&mut self) {
         let oldest = self.clock.checked_sub(self.keep).unwrap_or(UNIX_EPOCH);
         while let Some((at, _)) = self.by_time.first()
             && *at < oldest
@@ -94,9 +94,9 @@
     }
 }
 
-/// The first claim, as it answers a later one. A resent claim is still fresh: its first answer
-/// was lost on the way, and nobody else was told that it is theirs.
-fn as_seen_by(claim: &Claim, first: ClaimRecord) -> ClaimRecord {
+/// The present claim, as the answer to a later one. A resent claim is still fresh: its first answer
+/// was lost, and nobody else was told that the claim is theirs.
+fn answer_to(claim: &Claim, first: ClaimRecord) -> ClaimRecord {
     let resent = first.claim.id == claim.id && first.state == ClaimState::Open;
     ClaimRecord {
         fresh: resent,
--- a/crates/anvil_ledger/src/state/invariant.rs
+++ b/crates/anvil_ledger/src/state/invariant.rs
@@ -1,42 +1,42 @@
-//! What must hold after every apply.
+//! Invariants that hold after every apply.
 
 use anvil_world::prelude::*;
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// An invariant that was broken. The replica that sees one stops and says so.
+/// A violated invariant. The replica that detects it reports it and stops.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Snafu)]
 pub enum InvariantError {
     /// `billed + open grants <= credited` does not hold.
     #[snafu(display(
-        "budget {budget}: billed {billed} and {outstanding} granted of {credited} credited"
+        "budget {budget} overspent: {billed} billed and {outstanding} granted of {credited} credited"
     ))]
     Budget {
         /// The budget.
         budget: BudgetId,
-        /// Tokens paid in.
+        /// Tokens credited.
         credited: Tokens,
         /// Tokens charged.
         billed: Tokens,
         /// Tokens in open grants.
         outstanding: Tokens,
     },
-    /// Commands were not applied one after the other.
-    #[snafu(display("index {index} applied after {applied}"))]
+    /// Commands were not applied in consecutive order.
+    #[snafu(display("commands applied out of order: index {index} after {applied}"))]
     Order {
-        /// The last index.
+        /// The last index applied.
         applied: LogIndex,
-        /// The one that came.
+        /// The index that was to be applied next.
         index: LogIndex,
     },
-    /// A revision fell.
-    #[snafu(display("{path}: revision {new} after {old}"))]
+    /// A document's revision did not rise.
+    #[snafu(display("revision of {path} did not rise: {new} after {old}"))]
     Revision {
-        /// The document.
+        /// Path of the document.
         path: TreePath,
-        /// What stood.
+        /// Its revision before the change.
         old: Revision,
-        /// What came.
+        /// Its revision after the change.
         new: Revision,
     },
 }
--- a/crates/anvil_ledger/src/state/members.rs
+++ b/crates/anvil_ledger/src/state/members.rs
@@ -1,4 +1,4 @@
-//! Who belongs to the fleet, and which routers are fenced.
+//! Membership of the fleet: instances with their presence, and fenced routers.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 use anvil_world::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use super::once::{Done, Sent};
+use super::operator_change::{AppliedChange, OperatorChange};
 use super::{State, Touched};
 
-/// Instances in their newest life, and fenced routers.
+/// Instances in their newest incarnation, and the newest fenced incarnation of each fenced router.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Members {
     all: BTreeMap<InstanceId, Member>,
@@ -31,13 +31,13 @@
 }
 
 impl State {
-    /// An instance comes. An older life of a router is over with that, so it is fenced.
+    /// Adds an instance or updates it. A new incarnation of a router fences the older ones.
     pub(super) fn join(&mut self, index: LogIndex, instance: &Instance) -> Result<Answer, Denial> {
         let known = self.members.all.get(&instance.id);
         if let Some(known) = known {
             let same_life = known.instance.incarnation == instance.incarnation;
-            let lost = known.presence == Presence::Gone;
-            if known.instance.incarnation > instance.incarnation || (same_life && lost) {
+            let declared_gone = known.presence == Presence::Gone;
+            if known.instance.incarnation > instance.incarnation || (same_life && declared_gone) {
                 return Err(Denial::OldIncarnation);
             }
             if known.instance == *instance {
@@ -53,7 +53,7 @@
             presence,
         };
         self.members.all.insert(instance.id.clone(), member);
-        self.touch_member(index, &instance.id);
+        self.record_member_change(index, &instance.id);
         if instance.role == Role::Router {
             self.fence_older(index, &instance.id, instance.incarnation);
         }
@@ -78,7 +78,7 @@
         }
         member.presence = set.presence;
         let lost_router = set.presence == Presence::Gone && member.instance.role == Role::Router;
-        self.touch_member(index, &set.id);
+        self.record_member_change(index, &set.id);
         if lost_router {
             self.fence(index, &set.id, set.incarnation);
         }
@@ -87,16 +87,18 @@
 
     pub(super) fn drain(&mut self, index: LogIndex, drain: &Drain) -> Result<Answer, Denial> {
         let content = format!("drain {}", drain.instance);
-        let sent = Sent {
+        let operator_change = OperatorChange {
             id: &drain.id,
             operator: &drain.operator,
             at: drain.at,
             content: content.as_bytes(),
         };
-        self.once(&sent, |state| state.empty(index, &drain.instance))
+        self.apply_once(&operator_change, |state| {
+            state.mark_leaving(index, &drain.instance)
+        })
     }
 
-    fn empty(&mut self, index: LogIndex, id: &InstanceId) -> Result<Done, Denial> {
+    fn mark_leaving(&mut self, index: LogIndex, id: &InstanceId) -> Result<AppliedChange, Denial> {
         let member = self.members.all.get(id).ok_or_else(|| unknown(id))?;
         let before = presence_text(member.presence);
         let set = SetPresence {
@@ -105,7 +107,7 @@
             presence: Presence::Leaving,
         };
         self.set_presence(index, &set)?;
-        Ok(Done {
+        Ok(AppliedChange {
             subject: format!("instances/{id}"),
             revision: self.version(),
             before: Some(before.into()),
@@ -113,7 +115,7 @@
         })
     }
 
-    /// Fences a router's life and all older ones.
+    /// Fences an incarnation of a router and all older ones.
     pub(super) fn fence(&mut self, index: LogIndex, router: &InstanceId, upto: Incarnation) {
         let known = self.members.fenced.get(router);
         if known.is_some_and(|known| *known >= upto) {
@@ -121,13 +123,15 @@
         }
         self.members.fenced.insert(router.clone(), upto);
         self.money.fence(router, upto);
-        self.spread.touch(index, Touched::Fence(router.clone()));
+        self.recent_changes
+            .record(index, Touched::Fence(router.clone()));
     }
 
-    /// Fences every life of a router that is older than the one that is here now.
+    /// Fences every incarnation of a router that is older than the present one.
     ///
-    /// Failure: a router restarts, and what its old life reserved is held for ever. Fencing is
-    /// always safe, for a fenced grant is closed only by evidence or by an operator.
+    /// Without this, tokens reserved by the old incarnation of a restarted router would stay
+    /// reserved for ever. Fencing is always safe, because a fenced grant is closed only by evidence
+    /// or by an operator.
     pub(super) fn fence_older(&mut self, index: LogIndex, router: &InstanceId, now: Incarnation) {
         let oldest_open = self.money.grants_of(router).map(|grant| grant.incarnation);
         let older = oldest_open.filter(|incarnation| *incarnation < now).max();
@@ -136,8 +140,9 @@
         }
     }
 
-    fn touch_member(&mut self, index: LogIndex, id: &InstanceId) {
-        self.spread.touch(index, Touched::Member(id.clone()));
+    fn record_member_change(&mut self, index: LogIndex, id: &InstanceId) {
+        self.recent_changes
+            .record(index, Touched::Member(id.clone()));
     }
 }
 
--- a/crates/anvil_ledger/src/state/money.rs
+++ b/crates/anvil_ledger/src/state/money.rs
@@ -1,9 +1,8 @@
 //! Budgets and grants.
 //!
-//! Failure: routers are cut off from the ledger and from each other while callers spend. No
-//! clock and no connection protects a budget then. What does: every token was set aside for one
-//! router, here, before that router spent it, and `billed + open grants <= credited` is checked
-//! at every apply.
+//! Routers may be cut off from the ledger and from each other while callers spend tokens, so no
+//! clock or connection can protect a budget. Instead every token is reserved here for one router
+//! before that router spends it, and `billed + open grants <= credited` is checked at every apply.
 
 mod apply;
 
@@ -17,42 +16,43 @@
 
 use super::InvariantError;
 
-/// One ask gets at most this part of what is left, unless less would be of no use. It keeps the
-/// first router that asks from taking what the others need next; see docs/design/02-money.md.
-const SHARE_OF_REST: Tokens = 4;
+/// A grant is at most this fraction of what is left in the budget, unless the ask needs more to be
+/// of any use. It keeps the first router that asks from taking what others need next; see
+/// docs/design/02-money.md.
+const GRANT_SHARE_DIVISOR: Tokens = 4;
 
-/// The last batch of a router, for answering a resent one.
+/// Answer to the last batch of a router, for the case that the batch is resent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct LastBatch {
     incarnation: Incarnation,
     answer: GrantBatchAnswer,
 }
 
-/// Budgets with their open grants, and who holds which.
+/// Budgets with their open grants, indexed by grant and by router.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Money {
     budgets: BTreeMap<BudgetId, Budget>,
     budget_of: BTreeMap<GrantId, BudgetId>,
     by_router: BTreeMap<InstanceId, BTreeSet<GrantId>>,
-    /// Recalled grants by router: every batch's answer names them, so they must not be searched
-    /// for among all that a router holds.
+    /// Recalled grants by router. Every answer to a batch lists them, so they must not be searched
+    /// for among all grants of the router.
     recalled: BTreeMap<InstanceId, BTreeSet<GrantId>>,
     last_batch: BTreeMap<InstanceId, LastBatch>,
-    /// Budgets that are to be worth less than what is billed and granted already.
+    /// Target credit of each budget that was lowered below what is billed and granted already.
     lowering: BTreeMap<BudgetId, Tokens>,
     last_grant: GrantId,
 }
 
 impl Money {
-    pub(super) fn declare(&mut self, id: &BudgetId) {
+    pub(super) fn ensure_budget(&mut self, id: &BudgetId) {
         self.budgets.entry(id.clone()).or_default();
     }
 
-    /// Sets what a budget is worth in all.
+    /// Sets the total credit of a budget.
     ///
-    /// Failure: an operator lowers a budget below what routers hold in open grants, and they go on
-    /// spending it. The grants are called back at once, and the budget sinks to its new worth as
-    /// they come in; what is granted stays covered meanwhile, so the invariant holds throughout.
+    /// If an operator lowers a budget below what is billed and in open grants, routers would go on
+    /// spending the grants. They are recalled at once, and the credit falls to its target as they
+    /// are closed. Granted tokens stay covered meanwhile, so the invariant holds throughout.
     pub(super) fn set_credited(&mut self, id: &BudgetId, credited: Tokens) {
         self.lowering.remove(id);
         let budget = self.budgets.entry(id.clone()).or_default();
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Lets a lowered budget sink as far as its open grants allow by now.
-    pub(super) fn sink(&mut self, id: &BudgetId) {
+    /// Lowers the credit of a budget towards its target, as far as its open grants allow.
+    pub(super) fn lower_to_target(&mut self, id: &BudgetId) {
         if let Some(credited) = self.lowering.get(id).copied() {
             self.set_credited(id, credited);
         }
@@ -135,7 +135,7 @@
         budget.open.get(&id)
     }
 
-    fn open_budget(&mut self, grant: GrantId) -> Result<&mut Budget, Denial> {
+    fn budget_of_grant(&mut self, grant: GrantId) -> Result<&mut Budget, Denial> {
         let budget = self.budget_of.get(&grant);
         let budget = budget.and_then(|id| self.budgets.get_mut(id));
         budget.ok_or_else(|| Denial::Unknown {
@@ -150,7 +150,7 @@
         id: GrantId,
         charge: impl FnOnce(&Grant) -> Tokens,
     ) -> Result<Grant, Denial> {
-        let budget = self.open_budget(id)?;
+        let budget = self.budget_of_grant(id)?;
         let grant = budget.open.get(&id);
         let grant = grant.ok_or(ContractError::NoGrant { grant: id })?;
         if grant.state != GrantState::Fenced {
@@ -159,19 +159,20 @@
         let charged = charge(grant);
         budget.settle(id, charged)?;
         let closed = budget.close(id)?;
-        self.forget(&closed);
+        self.unlink(&closed);
         Ok(closed)
     }
 
-    fn forget(&mut self, grant: &Grant) {
+    fn unlink(&mut self, grant: &Grant) {
         self.budget_of.remove(&grant.id);
-        take_out(&mut self.by_router, &grant.router, grant.id);
-        take_out(&mut self.recalled, &grant.router, grant.id);
+        remove_from(&mut self.by_router, &grant.router, grant.id);
+        remove_from(&mut self.recalled, &grant.router, grant.id);
     }
 
-    /// Near the end of a budget what is left lies unspent in some router's grant. Calling it back
-    /// lets the router that has callers use it; without this they are refused although the money
-    /// is there.
+    /// Recalls all open grants of a budget.
+    ///
+    /// Near the end of a budget the remaining tokens lie unspent in some routers' grants. Without a
+    /// recall, a router with callers would refuse them although tokens are left.
     fn recall(&mut self, id: &BudgetId) {
         let Some(budget) = self.budgets.get_mut(id) else {
             return;
@@ -184,8 +185,8 @@
         }
     }
 
-    /// Guards against a report that charges more than was granted: a faulty router must not
-    /// have half of a batch applied, so every report is looked at before the first one counts.
+    /// Guards against a report that charges more than was granted. Every report is checked before
+    /// the first one is applied, so that a faulty router can't have half a batch applied.
     fn check_reports(&self, batch: &GrantBatch) -> Result<(), Denial> {
         for report in &batch.reports {
             let Some(grant) = self.grant(report.grant) else {
@@ -206,21 +207,21 @@
         Ok(())
     }
 
-    /// Takes one report. Returns the grant's number when it is closed by it.
-    fn report(&mut self, report: &GrantReport) -> Option<GrantId> {
-        let budget = self.open_budget(report.grant).ok()?;
+    /// Applies one report. Returns the grant's number if the report closes it.
+    fn apply_report(&mut self, report: &GrantReport) -> Option<GrantId> {
+        let budget = self.budget_of_grant(report.grant).ok()?;
         budget.settle(report.grant, report.settled).ok()?;
         budget.give_back(report.grant, report.returned).ok()?;
         if !report.close {
             return None;
         }
         let closed = budget.close(report.grant).ok()?;
-        self.forget(&closed);
+        self.unlink(&closed);
         Some(closed.id)
     }
 
-    /// Opens a grant for an ask, or says why not and calls unspent grants back.
-    fn ask(&mut self, batch: &GrantBatch, ask: &GrantAsk) -> Result<Grant, GrantRefusal> {
+    /// Opens a grant for an ask, or refuses it and recalls unspent grants.
+    fn open_grant(&mut self, batch: &GrantBatch, ask: &GrantAsk) -> Result<Grant, GrantRefusal> {
         let Some(budget) = self.budgets.get_mut(&ask.budget) else {
             return Err(GrantRefusal {
                 budget: ask.budget.clone(),
@@ -244,7 +245,7 @@
             budget: ask.budget.clone(),
             router: batch.router.clone(),
             incarnation: batch.incarnation,
-            amount: ask.wanted.min(left / SHARE_OF_REST).max(least),
+            amount: ask.wanted.min(left / GRANT_SHARE_DIVISOR).max(least),
             settled: 0,
             returned: 0,
             state: GrantState::Open,
@@ -264,7 +265,7 @@
     }
 }
 
-fn take_out(
+fn remove_from(
     by_router: &mut BTreeMap<InstanceId, BTreeSet<GrantId>>,
     router: &InstanceId,
     grant: GrantId,
--- a/crates/anvil_ledger/src/state/money/apply.rs
+++ b/crates/anvil_ledger/src/state/money/apply.rs
@@ -1,4 +1,4 @@
-//! Applies what routers and operators say of money.
+//! Applies the commands of routers and operators to budgets and grants.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 
 use super::LastBatch;
 use crate::state::State;
-use crate::state::once::{Done, Sent};
+use crate::state::operator_change::{AppliedChange, OperatorChange};
 
 impl State {
     pub(in crate::state) fn grant_batch(
@@ -15,17 +15,17 @@
         index: LogIndex,
         batch: &GrantBatch,
     ) -> Result<Answer, Denial> {
-        self.check_life(batch)?;
-        if let Some(answer) = self.resent(batch)? {
+        self.check_incarnation(batch)?;
+        if let Some(answer) = self.resent_answer(batch)? {
             return Ok(Answer::Grants(answer));
         }
         self.money.check_reports(batch)?;
-        if self.is_new_life(batch) {
+        if self.is_new_incarnation(batch) {
             self.fence_older(index, &batch.router, batch.incarnation);
         }
-        let touched = self.budgets_of(batch);
-        let answer = self.apply_batch(batch, &touched);
-        for budget in &touched {
+        let affected = self.affected_budgets(batch);
+        let answer = self.apply_batch(batch, &affected);
+        for budget in &affected {
             self.check_budget(budget);
         }
         let last = LastBatch {
@@ -36,9 +36,9 @@
         Ok(Answer::Grants(answer))
     }
 
-    /// Failure: a router is frozen, fenced and replaced, then thaws and sends what it had ready.
-    /// Its batch must not open a grant that nobody would ever close.
-    fn check_life(&self, batch: &GrantBatch) -> Result<(), Denial> {
+    /// Guards against a router that was frozen, fenced and replaced, then resumes and sends a batch
+    /// it had prepared: it would open a grant that nobody closes.
+    fn check_incarnation(&self, batch: &GrantBatch) -> Result<(), Denial> {
         if self.members.is_fenced(&batch.router, batch.incarnation) {
             return Err(Denial::Fenced);
         }
@@ -52,14 +52,14 @@
         Ok(())
     }
 
-    /// Whether this is the first batch of a router's life: only then can an older life's grants
-    /// be open without a fence.
-    fn is_new_life(&self, batch: &GrantBatch) -> bool {
+    /// Whether this is the first batch of a router's incarnation: only then can an older
+    /// incarnation have open grants that are not fenced.
+    fn is_new_incarnation(&self, batch: &GrantBatch) -> bool {
         let last = self.money.last_batch.get(&batch.router);
         last.is_none_or(|last| last.incarnation != batch.incarnation)
     }
 
-    fn resent(&self, batch: &GrantBatch) -> Result<Option<GrantBatchAnswer>, Denial> {
+    fn resent_answer(&self, batch: &GrantBatch) -> Result<Option<GrantBatchAnswer>, Denial> {
         let last = self.money.last_batch.get(&batch.router);
         let Some(last) = last.filter(|last| last.incarnation == batch.incarnation) else {
             return Ok(None);
@@ -74,20 +74,20 @@
     fn apply_batch(
         &mut self,
         batch: &GrantBatch,
-        touched: &BTreeSet<BudgetId>,
+        affected: &BTreeSet<BudgetId>,
     ) -> GrantBatchAnswer {
         let mut answer = GrantBatchAnswer {
             seq: batch.seq,
             ..GrantBatchAnswer::default()
         };
         for report in &batch.reports {
-            answer.closed.extend(self.money.report(report));
+            answer.closed.extend(self.money.apply_report(report));
         }
-        for budget in touched {
-            self.money.sink(budget);
+        for budget in affected {
+            self.money.lower_to_target(budget);
         }
         for ask in &batch.asks {
-            match self.money.ask(batch, ask) {
+            match self.money.open_grant(batch, ask) {
                 Ok(grant) => answer.opened.push(grant),
                 Err(refusal) => answer.refused.push(refusal),
             }
@@ -97,7 +97,7 @@
         answer
     }
 
-    fn budgets_of(&self, batch: &GrantBatch) -> BTreeSet<BudgetId> {
+    fn affected_budgets(&self, batch: &GrantBatch) -> BTreeSet<BudgetId> {
         let reported = batch.reports.iter();
         let reported = reported.filter_map(|report| self.money.budget_of.get(&report.grant));
         let asked = batch.asks.iter().map(|ask| &ask.budget);
@@ -109,7 +109,7 @@
         id: GrantId,
         charged: Tokens,
     ) -> Result<Answer, Denial> {
-        // Settling merges by maximum, so evidence below the router's own report changes nothing.
+        // Settling takes the maximum, so evidence below the router's own report changes nothing.
         let closed = self.money.close_fenced(id, |_| charged)?;
         self.check_budget(&closed.budget);
         let left = self.budget(&closed.budget).map_or(0, Budget::left);
@@ -118,16 +118,18 @@
 
     pub(in crate::state) fn top_up(&mut self, top_up: &TopUp) -> Result<Answer, Denial> {
         let content = format!("top-up {} {}", top_up.budget, top_up.amount);
-        let sent = Sent {
+        let operator_change = OperatorChange {
             id: &top_up.id,
             operator: &top_up.operator,
             at: top_up.at,
             content: content.as_bytes(),
         };
-        self.once(&sent, |state| state.credit(&top_up.budget, top_up.amount))
+        self.apply_once(&operator_change, |state| {
+            state.credit(&top_up.budget, top_up.amount)
+        })
     }
 
-    fn credit(&mut self, id: &BudgetId, amount: Tokens) -> Result<Done, Denial> {
+    fn credit(&mut self, id: &BudgetId, amount: Tokens) -> Result<AppliedChange, Denial> {
         let budget = self.money.budgets.get_mut(id);
         let budget = budget.ok_or_else(|| Denial::Unknown {
             what: Noun::Budget,
@@ -137,7 +139,7 @@
         budget.credit(amount)?;
         let after = budget.credited;
         self.check_budget(id);
-        Ok(Done {
+        Ok(AppliedChange {
             subject: format!("budgets/{id}"),
             revision: self.version(),
             before: Some(format!("credited = {before}").into()),
@@ -147,25 +149,25 @@
 
     pub(in crate::state) fn write_off(&mut self, write_off: &WriteOff) -> Result<Answer, Denial> {
         let content = format!("write-off {} {}", write_off.grant, write_off.bill);
-        let sent = Sent {
+        let operator_change = OperatorChange {
             id: &write_off.id,
             operator: &write_off.operator,
             at: write_off.at,
             content: content.as_bytes(),
         };
-        self.once(&sent, |state| {
-            state.give_up(write_off.grant, write_off.bill)
+        self.apply_once(&operator_change, |state| {
+            state.close_written_off(write_off.grant, write_off.bill)
         })
     }
 
-    fn give_up(&mut self, grant: GrantId, bill: Tokens) -> Result<Done, Denial> {
+    fn close_written_off(&mut self, grant: GrantId, bill: Tokens) -> Result<AppliedChange, Denial> {
         let mut before = 0;
         let closed = self.money.close_fenced(grant, |grant| {
             before = grant.outstanding();
             grant.settled.saturating_add(bill)
         })?;
         self.check_budget(&closed.budget);
-        Ok(Done {
+        Ok(AppliedChange {
             subject: format!("budgets/{}/grants/{}", closed.budget, closed.id),
             revision: self.version(),
             before: Some(format!("outstanding = {before}").into()),
@@ -175,7 +177,7 @@
 
     fn check_budget(&mut self, id: &BudgetId) {
         if let Err(e) = self.money.check(id) {
-            self.violate(e);
+            self.record_violation(e);
         }
     }
 }
--- a/crates/anvil_ledger/src/state/receipts.rs
+++ b/crates/anvil_ledger/src/state/receipts.rs
@@ -1,8 +1,8 @@
-//! First answers to operators' changes, so that a resent change is not made twice.
+//! Receipts of operators' changes, so that a resent change is not applied twice.
 //!
-//! Failure: an operator sends a top-up, loses the answer and sends it again. Without a receipt
-//! the budget is credited twice. Receipts are forgotten after [`KEPT`]; an id that is older than
-//! that is refused, so that forgetting one never makes room for a second credit.
+//! An operator who sends a top-up and loses the answer sends it again; without a receipt the budget
+//! would be credited twice. Receipts are kept for [`RETENTION`]. A change with an older id is
+//! refused, so that an expired receipt never allows a second credit.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -12,13 +12,13 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_128;
 
-/// How long a receipt is kept, by the time in the change's id.
-const KEPT: Duration = Duration::from_hours(7 * 24);
+/// How long a receipt is kept, counted from the time in the change's id.
+const RETENTION: Duration = Duration::from_hours(7 * 24);
 /// How far an operator's clock may be ahead of the ledger's.
-const AHEAD: Duration = Duration::from_hours(24);
+const MAX_CLOCK_LEAD: Duration = Duration::from_hours(24);
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Kept {
+struct StoredReceipt {
     content: u128,
     revision: Revision,
 }
@@ -26,9 +26,9 @@
 /// Receipts by the time in their id, then by id.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Receipts {
-    /// The latest time any change came with. Leaders' clocks differ; this never falls.
+    /// The latest time in any change so far. Leaders' clocks differ; this never falls.
     clock: SystemTime,
-    kept: BTreeMap<(SystemTime, ChangeId), Kept>,
+    kept: BTreeMap<(SystemTime, ChangeId), StoredReceipt>,
 }
 
 impl Default for Receipts {
@@ -41,9 +41,10 @@
 }
 
 impl Receipts {
-    /// Whether the change is new: `Ok(None)`; made before: `Ok` with its first receipt.
+    /// Looks up the receipt of a change: `None` if the change is new.
     ///
-    /// `content` is everything that the change says, so that an id is not used for two things.
+    /// `content` is the whole content of the change; an id that comes back with another content is
+    /// refused.
     pub(super) fn check(
         &mut self,
         id: &ChangeId,
@@ -51,7 +52,7 @@
         content: &[u8],
     ) -> Result<Option<ChangeReceipt>, Denial> {
         self.clock = self.clock.max(at);
-        self.forget();
+        self.expire();
         let made = self.made_at(id)?;
         let Some(kept) = self.kept.get(&(made, id.clone())) else {
             return Ok(None);
@@ -66,7 +67,7 @@
         }))
     }
 
-    /// Keeps the receipt of a change that was made.
+    /// Stores the receipt of an applied change.
     pub(super) fn keep(
         &mut self,
         id: &ChangeId,
@@ -75,7 +76,7 @@
     ) -> Result<ChangeReceipt, Denial> {
         let made = self.made_at(id)?;
         let content = xxh3_128(content);
-        let kept = Kept { content, revision };
+        let kept = StoredReceipt { content, revision };
         self.kept.insert((made, id.clone()), kept);
         Ok(ChangeReceipt {
             id: id.clone(),
@@ -86,14 +87,14 @@
 
     fn made_at(&self, id: &ChangeId) -> Result<SystemTime, Denial> {
         let made = change_made_at(id).filter(|made| {
-            let oldest = self.clock.checked_sub(KEPT).unwrap_or(UNIX_EPOCH);
-            (oldest..=self.clock + AHEAD).contains(made)
+            let oldest = self.clock.checked_sub(RETENTION).unwrap_or(UNIX_EPOCH);
+            (oldest..=self.clock + MAX_CLOCK_LEAD).contains(made)
         });
         made.ok_or_else(|| Denial::BadChangeId { id: id.clone() })
     }
 
-    fn forget(&mut self) {
-        let oldest = self.clock.checked_sub(KEPT).unwrap_or(UNIX_EPOCH);
+    fn expire(&mut self) {
+        let oldest = self.clock.checked_sub(RETENTION).unwrap_or(UNIX_EPOCH);
         while let Some(first) = self.kept.first_entry()
             && first.key().0 < oldest
         {
--- a/crates/anvil_ledger/src/state/spread.rs
+++ b/crates/anvil_ledger/src/state/recent_changes.rs
@@ -1,15 +1,15 @@
-//! What changed when, so that followers are sent only that.
+//! The most recent changes by version, so that a follower is sent only what it lacks.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use anvil_world::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// How many changes are remembered. A follower further behind gets everything: at 11,000
+/// Number of versions recorded. A follower that is further behind gets everything: at 11,000
 /// changes and 2,200 joins a day this is more than seven hours.
-const REMEMBERED: usize = 4_096;
+const MAX_RECORDED: usize = 4_096;
 
-/// One thing that followers hold a copy of.
+/// Something that followers hold a copy of.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Touched {
     /// A document.
@@ -18,24 +18,24 @@
     Member(InstanceId),
     /// A fenced router.
     Fence(InstanceId),
-    /// A request under which endpoints crashed.
+    /// A request during which endpoints crashed.
     Suspect(RequestDigest),
     /// A limit that an endpoint announced.
     Limit(InstanceId),
 }
 
-/// The newest changes by version.
+/// The most recent changes by version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Spread {
-    /// The newest version that is not remembered any more.
+pub(super) struct RecentChanges {
+    /// The newest version that is no longer recorded.
     forgotten: LogIndex,
     recent: BTreeMap<LogIndex, BTreeSet<Touched>>,
 }
 
-impl Spread {
-    pub(super) fn touch(&mut self, index: LogIndex, touched: Touched) {
+impl RecentChanges {
+    pub(super) fn record(&mut self, index: LogIndex, touched: Touched) {
         self.recent.entry(index).or_default().insert(touched);
-        if self.recent.len() > REMEMBERED
+        if self.recent.len() > MAX_RECORDED
             && let Some((oldest, _)) = self.recent.pop_first()
         {
             self.forgotten = oldest;
--- a/crates/anvil_ledger/src/state/references.rs
+++ b/crates/anvil_ledger/src/state/references.rs
@@ -1,6 +1,6 @@
-//! Which documents name which others.
+//! References between documents.
 //!
-//! Kept as a graph, so that a change looks at its own document and not at the whole tree.
+//! They are kept as a graph, so that a change is checked without reading the whole tree.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use anvil_world::settings::Problem;
 use serde::{Deserialize, Serialize};
 
-/// Documents by who names them, and bearer keys by whose they are.
+/// For each document those that reference it, and for each bearer key the team that owns it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct References {
     named_by: BTreeMap<TreePath, BTreeSet<TreePath>>,
@@ -18,49 +18,51 @@
 }
 
 impl References {
-    /// Everything that a document names must be there, and its bearer keys must be its own.
+    /// Checks that all documents referenced by a document exist, and that no other document owns
+    /// its bearer keys.
     pub(super) fn check_put(
         &self,
         path: &TreePath,
         document: &Document,
         has: impl Fn(&TreePath) -> bool,
     ) -> Result<(), Denial> {
-        for (key, named) in named(document) {
-            if !has(&named) {
-                let found = named.to_string();
-                return Err(refuse(
+        for (key, referenced) in referenced(document) {
+            if !has(&referenced) {
+                let found = referenced.to_string();
+                return Err(reference_error(
                     path,
                     Problem::new(key, found, "a document that exists"),
                 ));
             }
         }
         for key in keys(document) {
-            // Two teams with one key could not be told apart, so one would pay for the other.
+            // Two teams with one key could not be told apart, so one would be charged for the
+            // other.
             let owner = self.key_owner.get(key);
             if let Some(owner) = owner.filter(|owner| *owner != path) {
                 let found = format!("a key of {owner}");
-                return Err(refuse(
+                return Err(reference_error(
                     path,
-                    Problem::new("keys", found, "a key of its own"),
+                    Problem::new("keys", found, "a key that no other team has"),
                 ));
             }
         }
         Ok(())
     }
 
-    /// A document that others name stays.
+    /// Refuses to remove a document that others reference.
     pub(super) fn check_remove(&self, path: &TreePath) -> Result<(), Denial> {
         let Some(first) = self.named_by.get(path).and_then(BTreeSet::first) else {
             return Ok(());
         };
-        let found = format!("named by {first}");
-        let problem = Problem::new("remove", found, "a document that no other names");
-        Err(refuse(path, problem))
+        let found = format!("referenced by {first}");
+        let problem = Problem::new("remove", found, "a document that no other references");
+        Err(reference_error(path, problem))
     }
 
     pub(super) fn add(&mut self, path: &TreePath, document: &Document) {
-        for (_, named) in named(document) {
-            let by = self.named_by.entry(named).or_default();
+        for (_, referenced) in referenced(document) {
+            let by = self.named_by.entry(referenced).or_default();
             by.insert(path.clone());
         }
         for key in keys(document) {
@@ -69,11 +71,11 @@
     }
 
     pub(super) fn remove(&mut self, path: &TreePath, document: &Document) {
-        for (_, named) in named(document) {
-            if let Some(by) = self.named_by.get_mut(&named) {
+        for (_, referenced) in referenced(document) {
+            if let Some(by) = self.named_by.get_mut(&referenced) {
                 by.remove(path);
                 if by.is_empty() {
-                    self.named_by.remove(&named);
+                    self.named_by.remove(&referenced);
                 }
             }
         }
@@ -83,15 +85,15 @@
     }
 }
 
-fn refuse(path: &TreePath, problem: Problem) -> Denial {
+fn reference_error(path: &TreePath, problem: Problem) -> Denial {
     Denial::Reference {
         path: path.clone(),
         problem,
     }
 }
 
-/// What a document names, with the key it stands under.
-fn named(document: &Document) -> Vec<(&'static str, TreePath)> {
+/// The documents that a document references, each with the settings key of the reference.
+fn referenced(document: &Document) -> Vec<(&'static str, TreePath)> {
     match document {
         Document::Fleet(_)
         | Document::Routing
--- a/crates/anvil_ledger/src/state/routing.rs
+++ b/crates/anvil_ledger/src/state/routing.rs
@@ -1,8 +1,8 @@
-//! The routing table: one document that only a higher number replaces.
+//! The routing table: one document that only a higher version replaces.
 //!
-//! Failure: two operators send tables at the same time, an answer is lost and its order comes
-//! again, or an old order arrives late. Were any of these taken, an accepted table would revert.
-//! The number decides alone, so the order in which they arrive does not matter.
+//! Two operators may send tables at the same time, a table may be resent after its answer was lost,
+//! or an old one may arrive late. If any of these were applied, an accepted table would be
+//! reverted. Only the version decides, so the order of arrival does not matter.
 
 use anvil_world::command::{AuditEntry, ReplaceRouting, change_id};
 use anvil_world::prelude::*;
@@ -19,8 +19,8 @@
         for (budget, credited) in &new.credits {
             self.money.set_credited(budget, *credited);
         }
-        self.spread
-            .touch(index, Touched::Document(TreePath::Routing));
+        self.recent_changes
+            .record(index, Touched::Document(TreePath::Routing));
         self.audit.write(AuditEntry {
             at: new.at,
             operator: new.operator.clone(),
--- a/crates/anvil_ledger/src/state/tree.rs
+++ b/crates/anvil_ledger/src/state/tree.rs
@@ -8,11 +8,11 @@
 use anvil_world::settings::Problem;
 use serde::{Deserialize, Serialize};
 
-use super::once::{Done, Sent};
+use super::operator_change::{AppliedChange, OperatorChange};
 use super::references::References;
 use super::{InvariantError, State, Touched};
 
-/// Documents by path. Nothing but a change of that path touches a document's bytes.
+/// Documents by path. Only a change of its own path changes a document's bytes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Tree {
     entries: BTreeMap<TreePath, TreeEntry>,
@@ -24,8 +24,9 @@
         &self.entries
     }
 
-    /// Compare-and-set. Failure: two operators read the same revision and both write; without
-    /// this the later one silently undoes the earlier one. The loser is told who won and what.
+    /// Refuses a change whose expected revision is not the current one. If two operators read the
+    /// same revision and both wrote, the later one would silently undo the earlier one. The answer
+    /// contains the current operator and text.
     fn check_revision(&self, change: &Change) -> Result<(), Denial> {
         let current = self.entries.get(&change.path);
         let revision = current.map_or(0, |entry| entry.revision);
@@ -96,16 +97,22 @@
 impl State {
     pub(super) fn change(&mut self, index: LogIndex, change: &Change) -> Result<Answer, Denial> {
         let content = content(change);
-        let sent = Sent {
+        let operator_change = OperatorChange {
             id: &change.id,
             operator: &change.operator,
             at: change.at,
             content: &content,
         };
-        self.once(&sent, |state| state.compare_and_set(index, change))
+        self.apply_once(&operator_change, |state| {
+            state.compare_and_set(index, change)
+        })
     }
 
-    fn compare_and_set(&mut self, index: LogIndex, change: &Change) -> Result<Done, Denial> {
+    fn compare_and_set(
+        &mut self,
+        index: LogIndex,
+        change: &Change,
+    ) -> Result<AppliedChange, Denial> {
         if change.path == TreePath::Routing {
             let message =
                 "routing: found a change by revision; allowed is a replacement by version";
@@ -116,10 +123,10 @@
         self.tree.check_revision(change)?;
         let before = self.tree.entries.get(&change.path).cloned();
         let after = self.edit(index, change)?;
-        self.check_rises(index, &change.path, before.as_ref());
+        self.check_revision_rises(index, &change.path, before.as_ref());
         let touched = Touched::Document(change.path.clone());
-        self.spread.touch(index, touched);
-        Ok(Done {
+        self.recent_changes.record(index, touched);
+        Ok(AppliedChange {
             subject: change.path.to_string(),
             revision: index,
             before: before.map(|entry| entry.text),
@@ -127,33 +134,33 @@
         })
     }
 
-    /// Carries out a change that was found to be in turn. Returns the text that stands after it.
+    /// Applies a change whose revision was checked. Returns the new text.
     fn edit(&mut self, index: LogIndex, change: &Change) -> Result<Option<Arc<str>>, Denial> {
         match &change.edit {
             Edit::Put(text) => {
                 let document = self.tree.put(index, change, text)?;
-                self.adopt(&change.path, &document);
+                self.apply_document(&change.path, &document);
                 Ok(Some(text.clone()))
             }
             Edit::Remove => {
-                self.check_spent(&change.path)?;
+                self.check_budget_spent(&change.path)?;
                 self.tree.remove(&change.path)?;
                 Ok(None)
             }
         }
     }
 
-    /// What the state itself reads out of documents.
-    fn adopt(&mut self, path: &TreePath, document: &Document) {
+    /// Updates the parts of the state that depend on a document.
+    fn apply_document(&mut self, path: &TreePath, document: &Document) {
         match (path, document) {
-            (TreePath::Budget(id), _) => self.money.declare(id),
+            (TreePath::Budget(id), _) => self.money.ensure_budget(id),
             (_, Document::Fleet(fleet)) => self.claims.set_keep(fleet.keep_claims),
             _ => {}
         }
     }
 
-    /// A budget that still holds money is not removed.
-    fn check_spent(&self, path: &TreePath) -> Result<(), Denial> {
+    /// Refuses to remove a budget that still has tokens.
+    fn check_budget_spent(&self, path: &TreePath) -> Result<(), Denial> {
         let TreePath::Budget(id) = path else {
             return Ok(());
         };
@@ -162,18 +169,23 @@
         if held == 0 {
             return Ok(());
         }
-        let found = format!("{held} tokens not spent");
+        let found = format!("{held} unspent tokens");
         Err(Denial::Reference {
             path: path.clone(),
-            problem: Problem::new("remove", found, "a budget that is spent"),
+            problem: Problem::new("remove", found, "a budget without unspent tokens"),
         })
     }
 
-    /// Revisions are log positions, so they can only rise; a fall means a faulty log.
-    fn check_rises(&mut self, index: LogIndex, path: &TreePath, before: Option<&TreeEntry>) {
+    /// Revisions are log positions, so they can only rise; anything else means a faulty log.
+    fn check_revision_rises(
+        &mut self,
+        index: LogIndex,
+        path: &TreePath,
+        before: Option<&TreeEntry>,
+    ) {
         let old = before.map_or(0, |entry| entry.revision);
         if old >= index {
-            self.violate(InvariantError::Revision {
+            self.record_violation(InvariantError::Revision {
                 path: path.clone(),
                 old,
                 new: index,
@@ -182,7 +194,7 @@
     }
 }
 
-/// Everything that a change says but for its id and time.
+/// The content of a change without its id and time.
 fn content(change: &Change) -> Vec<u8> {
     let head = format!("{} {} ", change.path, change.expected);
     let edit = match &change.edit {
--- a/crates/anvil_ledger/src/suspects.rs
+++ b/crates/anvil_ledger/src/suspects.rs
@@ -1,7 +1,8 @@
-//! Requests under which endpoints crashed, as all routers together saw it.
+//! Requests during which endpoints crashed, from the reports of all routers.
 //!
-//! Failure: a request crashes each endpoint that begins to run it, and comes again at one router after the other.
-//! Each router knows of one crash or two, and a router that starts anew of none, so all of them send it on.
+//! A request may crash each endpoint that begins to run it, while its retries arrive at one router
+//! after another. Each router alone knows of one crash or two, and a restarted router of none, so
+//! without a common record all of them would dispatch it again.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -10,18 +11,18 @@
 use anvil_world::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Requests that are remembered: those of a zone that is lost at once fit in.
-const REMEMBERED: usize = 16_384;
-/// Requests that are forgotten together, when there are too many.
-const FORGOTTEN_AT_ONCE: usize = 4_096;
-/// Weight from which on routers are told of a request: more than one crash. The first one says little, and there
-/// are many of those.
-const TOLD_FROM: u32 = 3;
+/// Maximum number of recorded requests: enough for those of a zone that is lost at once.
+const MAX_SUSPECTS: usize = 16_384;
+/// Number of requests that are evicted together when the maximum is exceeded.
+const EVICTION_BATCH: usize = 4_096;
+/// Minimum weight of a request that is announced to routers: more than one crash. A first crash is
+/// weak evidence, and there are many of those.
+const MIN_ANNOUNCED_WEIGHT: u32 = 3;
 
 /// Suspected requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspects {
-    /// The latest time that a report came with. Leaders' clocks differ; this never falls.
+    /// The latest time in any report so far. Leaders' clocks differ; this never falls.
     clock: SystemTime,
     all: BTreeMap<RequestDigest, Suspect>,
 }
@@ -36,51 +37,53 @@
 }
 
 impl Suspects {
-    /// An endpoint crashed. Returns the requests of which routers have to be told anew.
+    /// Records a crash. Returns the requests whose announcement changed.
     pub fn report(&mut self, report: &ReportCrash) -> BTreeSet<RequestDigest> {
         self.clock = self.clock.max(report.at);
-        let mut changed = self.forget();
+        let mut changed = self.expire();
         for (request, run) in &report.requests {
             let new = || Suspect::new(self.clock);
             let suspect = self.all.entry(*request).or_insert_with(new);
-            if suspect.crashed(&report.endpoint, *run, self.clock) && is_told(suspect) {
+            if suspect.crashed(&report.endpoint, *run, self.clock) && is_announced(suspect) {
                 changed.insert(*request);
             }
         }
-        changed.append(&mut self.bound());
+        changed.append(&mut self.evict_excess());
         changed
     }
 
-    /// Endpoints have answered requests. Returns those of which routers have to be told anew.
+    /// Removes requests that endpoints have answered. Returns those whose announcement changed.
     pub fn clear(&mut self, clear: &ClearSuspects) -> BTreeSet<RequestDigest> {
         let cleared = clear.requests.iter().copied();
         self.remove(cleared.collect())
     }
 
-    /// What routers are told of a request.
+    /// The record of a request, if it is announced to routers.
     pub fn get(&self, request: RequestDigest) -> Option<&Suspect> {
-        self.all.get(&request).filter(|suspect| is_told(suspect))
+        self.all
+            .get(&request)
+            .filter(|suspect| is_announced(suspect))
     }
 
-    /// All that routers are told.
+    /// All records that are announced to routers.
     pub fn told(&self) -> impl Iterator<Item = (RequestDigest, &Suspect)> {
         let all = self
             .all
             .iter()
             .map(|(request, suspect)| (*request, suspect));
-        all.filter(|(_, suspect)| is_told(suspect))
+        all.filter(|(_, suspect)| is_announced(suspect))
     }
 
-    fn forget(&mut self) -> BTreeSet<RequestDigest> {
+    fn expire(&mut self) -> BTreeSet<RequestDigest> {
         let all = self.all.iter();
         let over = all.filter(|(_, suspect)| suspect.is_over(self.clock));
         let over = over.map(|(request, _)| *request).collect();
         self.remove(over)
     }
 
-    /// Forgets those against which least speaks, the oldest ones first, when there are too many.
-    fn bound(&mut self) -> BTreeSet<RequestDigest> {
-        if self.all.len() <= REMEMBERED {
+    /// Above the maximum, evicts the requests with the lowest weight, the oldest first.
+    fn evict_excess(&mut self) -> BTreeSet<RequestDigest> {
+        if self.all.len() <= MAX_SUSPECTS {
             return BTreeSet::new();
         }
         let weight = |suspect: &Suspect| (suspect.weight(), suspect.since);
@@ -89,19 +92,19 @@
             .map(|(request, suspect)| (weight(suspect), *request))
             .collect();
         ranked.sort_unstable();
-        let least = ranked.into_iter().take(FORGOTTEN_AT_ONCE);
+        let least = ranked.into_iter().take(EVICTION_BATCH);
         self.remove(least.map(|(_, request)| request).collect())
     }
 
     fn remove(&mut self, requests: Vec<RequestDigest>) -> BTreeSet<RequestDigest> {
         let removed = requests.into_iter().filter_map(|request| {
             let suspect = self.all.remove(&request)?;
-            is_told(&suspect).then_some(request)
+            is_announced(&suspect).then_some(request)
         });
         removed.collect()
     }
 }
 
-fn is_told(suspect: &Suspect) -> bool {
-    suspect.weight() >= TOLD_FROM
+fn is_announced(suspect: &Suspect) -> bool {
+    suspect.weight() >= MIN_ANNOUNCED_WEIGHT
 }
