--- a/crates/anvil_ledger/src/core/election.rs
+++ b/crates/anvil_ledger/src/core/election.rs
@@ -37,24 +37,20 @@
             self.id,
             Message::Vote {
                 term: self.hard.term,
-                pre_vote: false,
+                trial: false,
                 granted: true,
             },
         );
         self.request_votes(self.hard.term, false);
     }
 
-    fn request_votes(&mut self, term: Term, pre_vote: bool) {
+    fn request_votes(&mut self, term: Term, trial: bool) {
         let last = self.log.last();
         let me = self.id;
         let others: Vec<_> = self.membership().voters.keys().copied().collect();
         for to in others.into_iter().filter(|to| *to != me) {
-            let ask = Message::RequestVote {
-                term,
-                last,
-                pre_vote,
-            };
-            if pre_vote {
+            let ask = Message::AskVote { term, last, trial };
+            if trial {
                 self.send(to, ask);
             } else {
                 self.send_after_sync(to, ask);
@@ -68,19 +64,19 @@
         from: ReplicaId,
         term: Term,
         last: EntryId,
-        pre_vote: bool,
+        trial: bool,
     ) {
-        if !pre_vote && term > self.hard.term {
+        if !trial && term > self.hard.term {
             self.adopt_term(term);
         }
         let complete = last >= self.log.last();
-        let granted = if pre_vote {
+        let granted = if trial {
             term > self.hard.term && complete && !self.in_touch()
         } else {
             let free = self.hard.vote.is_none_or(|vote| vote == from);
             term == self.hard.term && complete && free
         };
-        if granted && !pre_vote {
+        if granted && !trial {
             self.set_term(term, Some(from));
             self.wait_for_leader();
         }
@@ -89,20 +85,14 @@
             from,
             Message::Vote {
                 term,
-                pre_vote,
+                trial,
                 granted,
             },
         );
     }
 
     /// Handles an answer to a vote request.
-    pub(super) fn handle_vote(
-        &mut self,
-        from: ReplicaId,
-        term: Term,
-        pre_vote: bool,
-        granted: bool,
-    ) {
+    pub(super) fn handle_vote(&mut self, from: ReplicaId, term: Term, trial: bool, granted: bool) {
         if !granted {
             if term > self.hard.term {
                 self.adopt_term(term);
@@ -111,8 +101,8 @@
         }
         let next = self.hard.term + 1;
         match &mut self.role {
-            Role::PreCandidate(votes) if pre_vote && term == next => votes.insert(from),
-            Role::Candidate(votes) if !pre_vote && term == self.hard.term => votes.insert(from),
+            Role::PreCandidate(votes) if trial && term == next => votes.insert(from),
+            Role::Candidate(votes) if !trial && term == self.hard.term => votes.insert(from),
             _ => return,
         };
         self.count_votes();
--- a/crates/anvil_ledger/src/core/leader.rs
+++ b/crates/anvil_ledger/src/core/leader.rs
@@ -125,9 +125,9 @@
     /// With seven replicas the first one's turn would come again before its own cooldown ends, and
     /// elections would take longer than any leadership.
     fn may_hand_over(&self) -> bool {
-        let recent = |at: Duration| self.now < at + HAND_OVER_COOLDOWN;
-        !self.candidacy_paused_until.is_some_and(recent)
-            && !self.previous_leader_since.is_some_and(recent)
+        let within_cooldown = |at: Duration| self.now < at + HAND_OVER_COOLDOWN;
+        !self.candidacy_paused_until.is_some_and(within_cooldown)
+            && !self.previous_leader_since.is_some_and(within_cooldown)
     }
 
     /// Records that the present term has a leader, this replica or another.
--- a/crates/anvil_ledger/src/core/message.rs
+++ b/crates/anvil_ledger/src/core/message.rs
@@ -23,23 +23,20 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// A candidate's request for a vote, or for a pre-vote.
-    #[serde(rename = "AskVote")]
-    RequestVote {
+    AskVote {
         /// The term that the candidate runs for.
         term: Term,
         /// The candidate's last entry.
         last: EntryId,
         /// Whether this is a pre-vote, which changes no term and no vote at the receiver.
-        #[serde(rename = "trial")]
-        pre_vote: bool,
+        trial: bool,
     },
-    /// Answer to `RequestVote`.
+    /// Answer to `AskVote`.
     Vote {
         /// The requested term, or the receiver's own newer one.
         term: Term,
         /// Whether this answers a pre-vote.
-        #[serde(rename = "trial")]
-        pre_vote: bool,
+        trial: bool,
         /// Whether the vote is granted.
         granted: bool,
     },
@@ -84,7 +81,7 @@
     /// The term in the message.
     pub fn term(&self) -> Term {
         match self {
-            Self::RequestVote { term, .. }
+            Self::AskVote { term, .. }
             | Self::Vote { term, .. }
             | Self::Append { term, .. }
             | Self::Ack { term, .. }
--- a/crates/anvil_ledger/src/core/replica.rs
+++ b/crates/anvil_ledger/src/core/replica.rs
@@ -205,8 +205,8 @@
             }
             Event::Found(membership) => self.found_ledger(membership),
             Event::Synced(seq) => self.synced(seq),
-            Event::Saved(meta) => self.handle_snapshot_saved(meta),
-            Event::Fetched { meta, data } => self.handle_snapshot_fetched(meta, data),
+            Event::Saved(meta) => self.handle_saved(meta),
+            Event::Fetched { meta, data } => self.handle_fetched(meta, data),
         }
         Ok(())
     }
@@ -233,16 +233,14 @@
             return Ok(());
         }
         match message {
-            Message::RequestVote {
-                term,
-                last,
-                pre_vote,
-            } => self.handle_vote_request(from, term, last, pre_vote),
+            Message::AskVote { term, last, trial } => {
+                self.handle_vote_request(from, term, last, trial)
+            }
             Message::Vote {
                 term,
-                pre_vote,
+                trial,
                 granted,
-            } => self.handle_vote(from, term, pre_vote, granted),
+            } => self.handle_vote(from, term, trial, granted),
             Message::Append {
                 term,
                 prev,
@@ -257,7 +255,7 @@
                 round,
             } => self.handle_ack(from, term, matched, missing, round),
             Message::Offer { term, meta, round } => {
-                return self.handle_snapshot_offer(from, term, *meta, round);
+                return self.handle_offer(from, term, *meta, round);
             }
         }
         Ok(())
@@ -341,7 +339,7 @@
     pub(super) fn has_recent_leader_contact(&self) -> bool {
         let limit = self.cfg.election;
         self.last_leader_contact
-            .is_some_and(|at| self.now < at + limit)
+            .is_some_and(|contact| self.now < contact + limit)
     }
 
     /// Restarts the election timer, with a random timeout.
--- a/crates/anvil_ledger/src/core/write.rs
+++ b/crates/anvil_ledger/src/core/write.rs
@@ -198,9 +198,9 @@
         match message {
             Message::Vote {
                 term,
-                pre_vote,
+                trial,
                 granted,
-            } if to == self.id => self.handle_vote(to, term, pre_vote, granted),
+            } if to == self.id => self.handle_vote(to, term, trial, granted),
             message => self.send(to, message),
         }
     }
--- a/crates/anvil_ledger/src/lives.rs
+++ b/crates/anvil_ledger/src/lives.rs
@@ -41,11 +41,11 @@
         if before.instance.role != Role::Sidecar {
             return;
         }
-        let bound = match before.presence {
+        let charge_bound = match before.presence {
             Presence::Leaving => ChargeBound::Upto(self.newest_grant),
             Presence::Live | Presence::Silent | Presence::Gone => ChargeBound::Any,
         };
-        self.record_lost(&before.instance.id, bound);
+        self.record_lost(&before.instance.id, charge_bound);
     }
 
     /// Records that a sidecar has come back in another incarnation: the one before it has ended.
@@ -58,18 +58,21 @@
         }
     }
 
-    fn record_lost(&mut self, id: &InstanceId, bound: ChargeBound) {
-        let known = self.lost.entry(id.clone()).or_insert(bound);
-        *known = (*known).max(bound);
+    fn record_lost(&mut self, id: &InstanceId, charge_bound: ChargeBound) {
+        let known = self.lost.entry(id.clone()).or_insert(charge_bound);
+        *known = (*known).max(charge_bound);
     }
 
     /// Sidecars with a lost incarnation that may have charged this grant.
     pub fn may_have_charged(&self, grant: GrantId) -> impl Iterator<Item = &InstanceId> {
-        let may_reach = move |bound: &ChargeBound| match bound {
+        let may_reach = move |charge_bound: &ChargeBound| match charge_bound {
             ChargeBound::Upto(newest) => grant <= *newest,
             ChargeBound::Any => true,
         };
-        let lost = self.lost.iter().filter(move |(_, bound)| may_reach(bound));
+        let lost = self
+            .lost
+            .iter()
+            .filter(move |(_, charge_bound)| may_reach(charge_bound));
         lost.map(|(id, _)| id)
     }
 }
--- a/crates/anvil_ledger/src/storage/frame.rs
+++ b/crates/anvil_ledger/src/storage/frame.rs
@@ -23,7 +23,7 @@
 const HEAD: usize = 20;
 
 /// Appends a frame to `buf`.
-pub fn append(buf: &mut Vec<u8>, synced: u64, body: &[u8]) {
+pub fn append_frame(buf: &mut Vec<u8>, synced: u64, body: &[u8]) {
     let length = u32::try_from(body.len()).unwrap_or(u32::MAX);
     buf.extend_from_slice(&MARK);
     buf.extend_from_slice(&length.to_le_bytes());
--- a/crates/anvil_ledger/src/storage/harm.rs
+++ b/crates/anvil_ledger/src/storage/harm.rs
@@ -1,6 +1,6 @@
 //! Disk faults that can be switched on from outside a process, for fault injection.
 //!
-//! The command is the text of a file that is read before each write: `full` fails every write as a
+//! The requested fault is the text of a file that is read before each write: `full` fails every write as a
 //! disk without space does, `slow 200` delays each write by so many milliseconds, and any other
 //! text, or no file, injects nothing.
 
@@ -26,8 +26,8 @@
     !matches!(op, Op::List | Op::Read(_) | Op::Remove(_))
 }
 
-fn inject(command: &str) -> io::Result<()> {
-    let mut words = command.split_whitespace();
+fn inject(fault: &str) -> io::Result<()> {
+    let mut words = fault.split_whitespace();
     match (words.next(), words.next().and_then(|ms| ms.parse().ok())) {
         (Some("full"), _) => Err(io::ErrorKind::StorageFull.into()),
         (Some("slow"), Some(ms)) => {
--- a/crates/anvil_ledger/src/storage/recover.rs
+++ b/crates/anvil_ledger/src/storage/recover.rs
@@ -60,7 +60,7 @@
 
     /// Continues with the next segment. Entries after its base are dropped; an unknown base belongs
     /// to an installed snapshot, after which the log begins anew.
-    fn begin_segment(&mut self, file: &str, header: &Header) -> Result<(), StorageError> {
+    fn start_segment(&mut self, file: &str, header: &Header) -> Result<(), StorageError> {
         let base = header.base;
         if self.segments.is_empty() {
             self.base = base;
@@ -168,7 +168,7 @@
         // A segment is synced completely before the next one is begun.
         return Err(StorageError::damaged(&file, end, Damage::Checksum));
     }
-    found.begin_segment(&file, &header)?;
+    found.start_segment(&file, &header)?;
     let mut view = SegmentView {
         number,
         newest: 0,
--- a/crates/anvil_ledger/src/storage/snapshot.rs
+++ b/crates/anvil_ledger/src/storage/snapshot.rs
@@ -44,8 +44,8 @@
         meta: meta.clone(),
     };
     let mut buf = Vec::with_capacity(data.len() + 256);
-    frame::append(&mut buf, 0, &segment::encode(NAME, &header)?);
-    frame::append(&mut buf, 0, data);
+    frame::append_frame(&mut buf, 0, &segment::encode(NAME, &header)?);
+    frame::append_frame(&mut buf, 0, data);
     let failed = |operation| IoSnafu { operation, file };
     disk.run(Op::Create(file)).context(failed("create"))?;
     disk.run(Op::Append(file, &buf)).context(failed("write"))?;
--- a/crates/anvil_ledger/src/storage/store.rs
+++ b/crates/anvil_ledger/src/storage/store.rs
@@ -132,7 +132,7 @@
         };
         let mut buf = Vec::new();
         let file = segment::name(number);
-        frame::append(&mut buf, 0, &segment::encode(&file, &header)?);
+        frame::append_frame(&mut buf, 0, &segment::encode(&file, &header)?);
         self.run("create", TEMPORARY, Op::Create(TEMPORARY))?;
         self.run("write", TEMPORARY, Op::Append(TEMPORARY, &buf))?;
         self.run("sync", TEMPORARY, Op::Sync(TEMPORARY))?;
@@ -162,7 +162,7 @@
         };
         let file = segment::name(self.number);
         let mut buf = Vec::new();
-        frame::append(&mut buf, self.synced, &segment::encode(&file, &batch)?);
+        frame::append_frame(&mut buf, self.synced, &segment::encode(&file, &batch)?);
         self.run("write", &file, Op::Append(&file, &buf))?;
         self.length += buf.len() as u64;
         if let Some(entry) = write.entries.last() {
@@ -180,7 +180,7 @@
             self.synced = self.length;
             // Not synced itself; it proves that the frames before it were, see the `frame` module.
             let mut buf = Vec::new();
-            frame::append(&mut buf, self.synced, &[]);
+            frame::append_frame(&mut buf, self.synced, &[]);
             self.run("write", &file, Op::Append(&file, &buf))?;
             self.length += buf.len() as u64;
         }
@@ -271,7 +271,7 @@
         id: new_id,
     };
     let mut buf = Vec::new();
-    frame::append(&mut buf, 0, &segment::encode(IDENTITY, &identity)?);
+    frame::append_frame(&mut buf, 0, &segment::encode(IDENTITY, &identity)?);
     disk.run(Op::Create(TEMPORARY)).context(failed("create"))?;
     disk.run(Op::Append(TEMPORARY, &buf))
         .context(failed("write"))?;
--- a/crates/anvil_ledger/tests/core_guards.rs
+++ b/crates/anvil_ledger/tests/core_guards.rs
@@ -99,12 +99,12 @@
         }));
     }
 
-    fn vote(&mut self, pre_vote: bool) {
+    fn vote(&mut self, trial: bool) {
         self.hear(
             2,
             Message::Vote {
                 term: 4,
-                pre_vote,
+                trial,
                 granted: true,
             },
         );
@@ -173,10 +173,10 @@
 #[test]
 fn a_vote_leaves_only_after_the_sync() {
     let mut driver = Driver::new();
-    let ask = Message::RequestVote {
+    let ask = Message::AskVote {
         term: 4,
         last: EntryId { term: 2, index: 2 },
-        pre_vote: false,
+        trial: false,
     };
     driver.hear(2, ask);
     assert!(!driver.sends_votes());
@@ -427,7 +427,7 @@
     assert!(driver.actions.iter().any(why));
     driver.actions.clear();
     driver.pass(2 * cfg.election);
-    let asks = |action: &Action| matches!(action, Action::Send(sent) if matches!(sent.message, Message::RequestVote { .. }));
+    let asks = |action: &Action| matches!(action, Action::Send(sent) if matches!(sent.message, Message::AskVote { .. }));
     assert!(!driver.actions.iter().any(asks), "the others stand first");
     driver.pass(2 * cfg.election);
     assert!(driver.actions.iter().any(asks), "somebody must lead");
--- a/crates/anvil_ledger/tests/storage_failures.rs
+++ b/crates/anvil_ledger/tests/storage_failures.rs
@@ -271,7 +271,7 @@
     let mut buf = Vec::new();
     let future: (u16, u64, u64) = (9, 1, 2);
     let body = bincode::serde::encode_to_vec(future, bincode::config::standard())?;
-    anvil_ledger::storage::frame::append(&mut buf, 0, &body);
+    anvil_ledger::storage::frame::append_frame(&mut buf, 0, &body);
     let folder = disk.disk();
     drop(Storage::open(folder.clone(), DISK)?);
     folder.run(anvil_ledger::storage::Op::Create("log-0000000001"))?;
