--- a/crates/anvil_ledger/src/core/election.rs
+++ b/crates/anvil_ledger/src/core/election.rs
@@ -59,7 +59,7 @@
     }
 
     /// Handles a request for this replica's vote or pre-vote.
-    pub(super) fn handle_vote_request(
+    pub(super) fn on_vote_request(
         &mut self,
         from: ReplicaId,
         term: Term,
@@ -92,7 +92,7 @@
     }
 
     /// Handles an answer to a vote request.
-    pub(super) fn handle_vote(&mut self, from: ReplicaId, term: Term, trial: bool, granted: bool) {
+    pub(super) fn on_vote(&mut self, from: ReplicaId, term: Term, trial: bool, granted: bool) {
         if !granted {
             if term > self.hard.term {
                 self.adopt_term(term);
--- a/crates/anvil_ledger/src/core/follower.rs
+++ b/crates/anvil_ledger/src/core/follower.rs
@@ -41,7 +41,7 @@
     }
 
     /// Handles entries or a heartbeat from the leader.
-    pub(super) fn handle_append(
+    pub(super) fn on_append(
         &mut self,
         from: ReplicaId,
         term: Term,
--- a/crates/anvil_ledger/src/core/leader.rs
+++ b/crates/anvil_ledger/src/core/leader.rs
@@ -263,7 +263,7 @@
     /// A follower whose disk hangs acknowledges entries only after the sync. If heartbeats carried
     /// entries, a leader would hear from nobody while disks hang, and step down. A message without
     /// entries is answered at once, also while the next position is a guess.
-    fn send_entries(&mut self, to: ReplicaId, heartbeat: bool) {
+    fn send_entries(&mut self, to: ReplicaId, heartbeat_only: bool) {
         let term = self.hard.term;
         let committed = self.committed;
         let Some(lead) = self.leadership() else {
@@ -277,7 +277,7 @@
             self.offer_snapshot(to, round);
             return;
         };
-        let entries = if heartbeat {
+        let entries = if heartbeat_only {
             Vec::new()
         } else {
             let last = self.log.last().index;
@@ -314,7 +314,7 @@
     }
 
     /// Handles a follower's acknowledgement.
-    pub(super) fn handle_ack(
+    pub(super) fn on_ack(
         &mut self,
         from: ReplicaId,
         term: Term,
--- a/crates/anvil_ledger/src/core/replica.rs
+++ b/crates/anvil_ledger/src/core/replica.rs
@@ -205,8 +205,8 @@
             }
             Event::Found(membership) => self.found_ledger(membership),
             Event::Synced(seq) => self.synced(seq),
-            Event::Saved(meta) => self.handle_saved(meta),
-            Event::Fetched { meta, data } => self.handle_fetched(meta, data),
+            Event::Saved(meta) => self.on_saved(meta),
+            Event::Fetched { meta, data } => self.on_fetched(meta, data),
         }
         Ok(())
     }
@@ -233,29 +233,27 @@
             return Ok(());
         }
         match message {
-            Message::AskVote { term, last, trial } => {
-                self.handle_vote_request(from, term, last, trial)
-            }
+            Message::AskVote { term, last, trial } => self.on_vote_request(from, term, last, trial),
             Message::Vote {
                 term,
                 trial,
                 granted,
-            } => self.handle_vote(from, term, trial, granted),
+            } => self.on_vote(from, term, trial, granted),
             Message::Append {
                 term,
                 prev,
                 entries,
                 committed,
                 round,
-            } => return self.handle_append(from, term, prev, entries, committed, round),
+            } => return self.on_append(from, term, prev, entries, committed, round),
             Message::Ack {
                 term,
                 matched,
                 missing,
                 round,
-            } => self.handle_ack(from, term, matched, missing, round),
+            } => self.on_ack(from, term, matched, missing, round),
             Message::Offer { term, meta, round } => {
-                return self.handle_offer(from, term, *meta, round);
+                return self.on_offer(from, term, *meta, round);
             }
         }
         Ok(())
--- a/crates/anvil_ledger/src/core/snapshot.rs
+++ b/crates/anvil_ledger/src/core/snapshot.rs
@@ -9,7 +9,7 @@
 
 impl Replica {
     /// Compacts the log after this replica's own snapshot has reached its disk.
-    pub(super) fn handle_saved(&mut self, meta: SnapshotMeta) {
+    pub(super) fn on_saved(&mut self, meta: SnapshotMeta) {
         let newer = self
             .snapshot
             .as_ref()
@@ -29,7 +29,7 @@
 
     /// Handles a leader's offer of a snapshot: the leader no longer has the entries that this
     /// replica needs.
-    pub(super) fn handle_offer(
+    pub(super) fn on_offer(
         &mut self,
         from: ReplicaId,
         term: Term,
@@ -53,7 +53,7 @@
     }
 
     /// Replaces log and state by a fetched snapshot, unless they have caught up meanwhile.
-    pub(super) fn handle_fetched(&mut self, meta: SnapshotMeta, data: Bytes) {
+    pub(super) fn on_fetched(&mut self, meta: SnapshotMeta, data: Bytes) {
         let wanted = self.fetching.take() == Some(meta.last);
         if !wanted || meta.last.index <= self.committed {
             return;
--- a/crates/anvil_ledger/src/core/write.rs
+++ b/crates/anvil_ledger/src/core/write.rs
@@ -200,7 +200,7 @@
                 term,
                 trial,
                 granted,
-            } if to == self.id => self.handle_vote(to, term, trial, granted),
+            } if to == self.id => self.on_vote(to, term, trial, granted),
             message => self.send(to, message),
         }
     }
--- a/crates/anvil_ledger/src/storage/harm.rs
+++ b/crates/anvil_ledger/src/storage/harm.rs
@@ -1,8 +1,8 @@
 //! Disk faults that can be switched on from outside a process, for fault injection.
 //!
-//! The requested fault is the text of a file that is read before each write: `full` fails every write as a
-//! disk without space does, `slow 200` delays each write by so many milliseconds, and any other
-//! text, or no file, injects nothing.
+//! The requested fault is the text of a file that is read before each write: `full` fails every
+//! write as a disk without space does, `slow 200` delays each write by so many milliseconds, and any
+//! other text, or no file, injects nothing.
 
 use std::fs;
 use std::io;
