--- a/crates/anvil_ledger/examples/ledger_soak.rs
+++ b/crates/anvil_ledger/examples/ledger_soak.rs
@@ -4,8 +4,8 @@
 //! cargo run --release -p anvil_ledger --example ledger_soak -- --seed 1 --steps 1000000
 //! ```
 //!
-//! The steps are run in episodes, each with a fresh fleet and its own seed. An invariant that
-//! does not hold ends the run with a panic that names it; the episode's seed was printed before.
+//! The steps are run in episodes, each with a fresh fleet and its own seed. A violated invariant
+//! ends the run with a panic that names it; the episode's seed was printed before.
 
 #[path = "../tests/support/checks.rs"]
 mod checks;
@@ -27,10 +27,10 @@
 use checks::Counts;
 use fleet::Fleet;
 
-/// Steps of one episode, before everything is healed and compared.
+/// Number of steps of one episode, before all faults end and the replicas are compared.
 const EPISODE: u64 = 50_000;
 
-/// What the command line asks for.
+/// Command line arguments.
 struct Asked {
     seed: u64,
     steps: u64,
--- a/crates/anvil_ledger/tests/common/fixture.rs
+++ b/crates/anvil_ledger/tests/common/fixture.rs
@@ -1,4 +1,4 @@
-//! What the tests of the state share: a fleet document by document, and commands in a line each.
+//! Fixture for tests of the state: documents of a small fleet, and helpers for commands.
 
 #![allow(dead_code, missing_docs)]
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Writes a document over whatever stands there.
+    /// Writes a document, whatever its current revision.
     pub fn put(&mut self, path: &str, text: &str) {
         let tree_path = TreePath::try_from(path).expect("a path");
         let current = self.state.tree().get(&tree_path);
--- a/crates/anvil_ledger/tests/core_guards.rs
+++ b/crates/anvil_ledger/tests/core_guards.rs
@@ -1,4 +1,4 @@
-//! Guards of the core that only a set order of messages shows.
+//! Tests of the replicated log that need a set order of messages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -51,7 +51,7 @@
 struct Driver {
     replica: Replica,
     now: Duration,
-    /// Everything it wanted, but for writes.
+    /// All actions so far.
     actions: Vec<Action>,
     written: u64,
 }
@@ -122,7 +122,7 @@
         );
     }
 
-    /// Leads in term 4; its first entry there is the third.
+    /// A leader in term 4, whose first entry of that term has index 3.
     fn leading() -> Self {
         let mut driver = Self::new();
         driver.win();
@@ -138,7 +138,7 @@
         self.sync();
     }
 
-    /// Time passes in which both followers answer the leader, and hold its log up to there.
+    /// Lets time pass in which both followers acknowledge the leader's log up to `matched`.
     fn pass_answered(&mut self, millis: u64, matched: u64) {
         for _ in 0..millis / 50 {
             self.pass(Duration::from_millis(50));
@@ -156,9 +156,9 @@
     }
 }
 
-/// A leader finds an entry of an older term on a majority. It could still be replaced by a
-/// leader that never saw it, so an operator must not be told that it is committed before an entry
-/// of the present term is.
+/// Guards against counting an entry of an older term on a majority as committed: a leader that
+/// never saw it could still replace it, so it must not be reported before an entry of the present
+/// term is committed.
 #[test]
 fn an_entry_of_an_older_term_is_not_committed_by_counting() {
     let mut driver = Driver::leading();
@@ -168,8 +168,8 @@
     assert_eq!(driver.replica.committed(), 3);
 }
 
-/// A replica is asked for its vote, and its power fails before the vote is on disk. Had it
-/// answered already, it could vote for another one in the same term after the restart.
+/// Guards against a vote that is sent before it is on disk: after a power cut the replica could
+/// vote for another candidate in the same term.
 #[test]
 fn a_vote_leaves_only_after_the_sync() {
     let mut driver = Driver::new();
@@ -184,8 +184,8 @@
     assert!(driver.sends_votes());
 }
 
-/// Two new disks ask to be taken in while nothing commits. The second change waits for the first:
-/// two at once could make two majorities without a common replica.
+/// Guards against two membership changes at once, which could make two majorities without a common
+/// replica: two new disks ask to join while nothing commits, and the second has to wait.
 #[test]
 fn one_membership_change_at_a_time() {
     let mut driver = Driver::leading();
@@ -199,7 +199,7 @@
     for _ in 0..20 {
         driver.pass(Duration::from_millis(100));
         driver.sync();
-        // Alive, but without the change on disk.
+        // The follower responds, but its disk lacks the change.
         driver.ack(2, 3, 0);
         driver.ack(3, 3, 0);
     }
@@ -209,9 +209,9 @@
     assert_eq!(driver.replica.last().index, 5);
 }
 
-/// An instance comes back with an empty disk and is silent from then on. Its old disk's vote is
-/// taken out, and the new one counted, only after the new one has caught up; until then a second
-/// loss would cost the majority.
+/// Guards against replacing the vote of a lost disk before the new disk has caught up: until then a
+/// second loss would cost the majority. An instance comes back with an empty disk that does not
+/// respond.
 #[test]
 fn a_new_disk_counts_only_once_it_has_caught_up() {
     let mut driver = Driver::leading();
@@ -245,8 +245,8 @@
     assert!(!members.voters.contains_key(&3));
 }
 
-/// A read waits for a majority that answers after it came. An answer that was under way before
-/// proves nothing about the time after.
+/// Guards against a stale read: an answer that was in flight when the read arrived does not prove
+/// that this replica still leads afterwards.
 #[test]
 fn a_read_waits_for_a_round_of_its_own() {
     let mut driver = Driver::leading();
@@ -262,8 +262,8 @@
     assert!(confirmed(&driver));
 }
 
-/// A leader that hears nobody tells whoever waits that the outcome is in doubt, and takes nothing
-/// more.
+/// Guards against a leader without a majority that goes on accepting proposals: it steps down, and
+/// callers learn that their outcome is in doubt.
 #[test]
 fn a_leader_alone_takes_nothing_more() {
     let mut driver = Driver::leading();
@@ -276,10 +276,10 @@
     assert!(matches!(last, Some(Action::Refused { id: 5, .. })));
 }
 
-/// A follower holds an entry of its leader that nobody else has, stands for election when the leader
-/// is lost, and another one wins in that same term. What it knew of the old leader's log says
-/// nothing about the new one's: applying its own entry would make it differ from all others.
-/// (Found by the randomised run, seed 11, episode 78.)
+/// Guards against a candidate that keeps the position up to which its old leader's log was
+/// verified. A follower holds an entry that nobody else has and becomes a candidate when its leader
+/// is lost, and another replica wins that same term; applying the entry would make this replica
+/// differ from all others.
 #[test]
 fn a_candidate_forgets_how_far_its_old_leader_was_verified() {
     let mut driver = Driver::new();
@@ -310,9 +310,8 @@
     assert_eq!(driver.replica.committed(), 2);
 }
 
-/// A leader's disk hangs while one of two followers has a new entry on its disk. One disk of three
-/// is no majority: were the leader's counted before its sync, a power cut of the leader and the
-/// loss of that follower would lose an answered change.
+/// Guards against a leader that counts its own disk before the sync: with the entry on one follower
+/// of two, a power cut of the leader and the loss of that follower would lose an answered change.
 #[test]
 fn a_leader_counts_its_own_disk_only_after_the_sync() {
     let mut driver = Driver::leading();
@@ -325,8 +324,8 @@
     assert_eq!(driver.replica.committed(), 4);
 }
 
-/// A follower's disk hangs. It tells the leader that it lives, but claims no entry before the
-/// sync.
+/// Guards against a follower that acknowledges entries before the sync. While its disk hangs it
+/// answers heartbeats only.
 #[test]
 fn a_follower_claims_entries_only_after_the_sync() {
     let mut driver = Driver::new();
@@ -354,14 +353,14 @@
     assert_eq!(claimed(&driver), Some(3));
 }
 
-/// An operator takes out an instance that is lost for good. It goes only while a majority of the
-/// others can be reached: with the other follower silent too, the rest would be stuck.
+/// Guards against a removal that leaves the rest without a reachable majority: with the other
+/// follower unresponsive too, the removal of a lost replica has to wait.
 #[test]
 fn a_replica_is_taken_out_only_while_the_others_have_a_majority() {
     let mut driver = Driver::leading();
     driver.ack(2, 3, 0);
     driver.pass(Duration::from_millis(500));
-    // Only the third one is heard; without it the leader would be alone with a silent one.
+    // Only replica 3 responds; without it the leader would be alone with an unresponsive one.
     driver.ack(3, 3, 0);
     driver.pass(Duration::from_millis(200));
     driver.feed(Event::Remove("c".into()));
@@ -373,8 +372,9 @@
     assert!(!driver.replica.membership().voters.contains_key(&3));
 }
 
-/// A majority hangs, alive, while callers ask again and again. The leader takes a bounded number
-/// of proposals and refuses the rest, with nothing put into the log; they go in once it commits.
+/// Guards against unbounded memory while a majority responds but does not commit and callers retry:
+/// the leader accepts a bounded number of proposals, refuses the rest without appending them, and
+/// accepts more once it commits.
 #[test]
 fn a_backlog_is_bounded() {
     let mut driver = Driver::leading();
@@ -402,9 +402,9 @@
     assert!(driver.replica.last().index > last);
 }
 
-/// The links of the leader's availability zone lose packets. Its signs of life get through, so all
-/// follow it, and every grant comes too late for as long as the loss lasts. It makes way for a leader
-/// elsewhere, and does not stand before the others could.
+/// Guards against a leader behind lossy links whose heartbeats get through, so that it keeps its
+/// followers while every grant arrives too late. It hands over leadership, and becomes a candidate
+/// only after the others could.
 #[test]
 fn a_leader_whose_commits_are_slow_makes_way() {
     let slow_commit = Some(Duration::from_millis(450));
@@ -433,8 +433,8 @@
     assert!(driver.actions.iter().any(asks), "somebody must lead");
 }
 
-/// Guards against a leader behind lossy links that commits everything a third of a second late, never so
-/// late that it makes way, and always too late for those who wait.
+/// Guards against a leader behind lossy links that commits everything a third of a second late:
+/// never late enough to hand over for a single entry, but always too late for those who wait.
 #[test]
 fn a_leader_that_is_slow_again_and_again_makes_way() {
     let cfg = CoreSettings {
--- a/crates/anvil_ledger/tests/failures.rs
+++ b/crates/anvil_ledger/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Failures in a set order, each with its story.
+//! Failures of the simulated fleet in a set order.
 
 #[path = "support/checks.rs"]
 mod checks;
@@ -28,10 +28,9 @@
     fleet
 }
 
-/// A control instance is cut off without a word for a minute, then the network heals. Operators
-/// go on with the others within seconds; the one cut off soon stops calling itself the leader, so
-/// it neither accepts a change nor answers a read; after the heal nothing reverts and the leader
-/// stays. Cause: a silent partition of the leader.
+/// Guards against a leader that goes on leading in a partition: it is cut off for a minute, then
+/// the network heals. The others elect a leader and go on within seconds, the isolated one steps
+/// down and accepts nothing, and after the heal nothing reverts and the new leader stays.
 #[test]
 fn a_leader_isolated_for_long_then_healed() {
     for seed in 0..8 {
@@ -57,9 +56,9 @@
     }
 }
 
-/// A follower is cut off for a minute and comes back. Callers notice nothing: it asked whether it
-/// would be elected, and since it could reach nobody it raised no term. (Seed 42: two disks hang
-/// as well, which must not keep the leader from hearing that their replicas live.)
+/// Guards against a follower that deposes the leader when its partition heals: its pre-votes reach
+/// nobody, so it raises no term. With seed 42 two disks hang as well, which must not keep the
+/// leader from hearing from their replicas.
 #[test]
 fn a_follower_that_comes_back_deposes_nobody() {
     for seed in [0, 1, 2, 3, 42] {
@@ -77,9 +76,8 @@
     }
 }
 
-/// A disk is lost and replaced; right after the replica votes again a second disk is lost. No
-/// operator misses anything: the first new disk counts only since it holds the log, and the
-/// second is replaced in the same way.
+/// Guards against a new disk that votes before it holds the log: disks are lost one after another,
+/// each right after the one before was replaced, and no acknowledged change may be lost.
 #[test]
 fn a_second_disk_lost_right_after_the_first_is_repaired() {
     for seed in 0..8 {
@@ -95,9 +93,9 @@
     }
 }
 
-/// A lost disk is being replaced while the network splits, with the leader on the small side. The
-/// change of members is either finished or not begun, never both: the small side can't commit it,
-/// and the other side elects a leader of its own.
+/// Guards against a membership change that is committed on one side of a partition and not on the
+/// other. A lost disk is being replaced while the network splits, with the leader on the small
+/// side; that side can't commit the change, and the other side elects a leader of its own.
 #[test]
 fn a_partition_in_the_middle_of_a_membership_change() {
     for seed in 0..16 {
@@ -105,7 +103,7 @@
         let leader = fleet.leader().expect("a leader");
         let lost = (leader + 1) % 5;
         fleet.lose_disk(lost);
-        // The new disk comes back within three seconds; the split falls around that.
+        // The new disk comes back within three seconds; the partition begins around that time.
         let pause = fleet.between(100_000, 4_000_000);
         fleet.run_for(pause);
         fleet.weather.split(&BTreeSet::from([leader, lost]), 5);
@@ -134,8 +132,8 @@
     }
 }
 
-/// Every third message is lost, every third comes twice, and they overtake each other by up to
-/// half a second. Operators wait longer and get each answer once; nothing is applied twice.
+/// Guards against commands that are lost or applied twice when three of ten messages are lost,
+/// three of ten are duplicated, and messages overtake each other by up to half a second.
 #[test]
 fn messages_lost_doubled_reordered_and_delayed() {
     for seed in 0..5 {
@@ -152,9 +150,9 @@
     }
 }
 
-/// Two operators change one document under the same revision, again and again, lose every tenth
-/// answer, and resend. Of each revision one change wins, and whoever resends is told the same as
-/// the first time.
+/// Guards against two changes that are both accepted under one revision. Operators change one
+/// document again and again, lose every tenth answer, and resend; a resent change gets its first
+/// answer.
 #[test]
 fn operators_race_under_equal_numbers_and_resend() {
     let mut fleet = started(1, 3);
@@ -164,17 +162,16 @@
     fleet.converge();
 }
 
-/// All replicas lose power and are back at once. Callers pay for nothing and get no routing table
-/// until there is a leader: half a second and more, since each replica first waits out a
-/// follower's patience with a leader that none of them has.
+/// Guards against a full election timeout after all replicas lose power and restart together:
+/// callers would get neither grants nor a routing table for half a second and more.
 #[test]
 fn replicas_that_start_together_have_a_leader_at_once() {
     for seed in 0..16 {
         let mut fleet = started(seed, 4);
-        // A disk that hangs is another story.
+        // Hanging disks are tested elsewhere.
         fleet.weather.hanging = 0.0;
         (0..4).for_each(|number| fleet.crash(number, true));
-        // What was on the way from the old leader goes with the connections.
+        // Messages of the old leader that are still in flight are lost with its connections.
         fleet.run_for(Duration::from_millis(10));
         (0..4).for_each(|number| fleet.start(number));
         let restarted = fleet.now;
@@ -189,8 +186,8 @@
     }
 }
 
-/// One replica is restarted while the others follow a leader. It asks at once whether it would be
-/// elected, is refused by all who hear the leader, and changes nothing.
+/// Guards against a restarted replica that deposes the leader: its early pre-vote is refused by all
+/// that hear from the leader.
 #[test]
 fn a_replica_that_restarts_alone_deposes_nobody() {
     for seed in 0..16 {
@@ -207,8 +204,9 @@
     }
 }
 
-/// The leader is cut off, and one of the two others loses its power at the same time. Nobody can
-/// commit until it is back; then the two go on, and the old leader's unconfirmed entries go.
+/// Guards against lost changes when the leader is cut off while another replica loses power.
+/// Nothing commits until that replica is back; then the two elect a leader, and the old leader's
+/// uncommitted entries are dropped.
 #[test]
 fn a_partition_and_a_power_cut_together() {
     for seed in 0..8 {
@@ -224,7 +222,8 @@
     }
 }
 
-/// All instances lose their power at once, three times. What was answered before is there after.
+/// Guards against acknowledged changes that are lost when all instances lose power at once, three
+/// times.
 #[test]
 fn all_lose_power_at_once() {
     for seed in 0..8 {
@@ -240,8 +239,8 @@
     }
 }
 
-/// A process is frozen for ten seconds while it leads, and wakes with its old belief. It answers
-/// no read and no change from before: another one leads since.
+/// Guards against a leader that is frozen for ten seconds and then answers from its old state
+/// although another replica leads.
 #[test]
 fn a_frozen_leader_wakes() {
     for seed in 0..8 {
@@ -256,8 +255,8 @@
     }
 }
 
-/// Guards against a lead that is passed round without end while every disk is slow: seven replicas changed
-/// their leader about once a second, and served half of what they were asked.
+/// Guards against leadership that rotates without end while every disk is slow: seven replicas
+/// changed their leader about once a second, and served half of the requests.
 #[test]
 fn slow_disks_everywhere_do_not_pass_the_lead_round() {
     const SLOW_FOR: Duration = Duration::from_secs(40);
--- a/crates/anvil_ledger/tests/inspect.rs
+++ b/crates/anvil_ledger/tests/inspect.rs
@@ -1,4 +1,4 @@
-//! The reader's tool on whole and on damaged folders.
+//! The offline inspection of intact and damaged data folders.
 
 use std::path::Path;
 use std::time::{Duration, SystemTime};
@@ -56,7 +56,7 @@
     Ok(payloads)
 }
 
-/// A folder with six entries, four of them covered by a snapshot.
+/// Writes a folder with six entries, four of them covered by a snapshot.
 fn fill(folder: &Path) -> Result<(), Failure> {
     let (mut storage, _) = Storage::open(Disk::folder(folder)?, 7)?;
     let mut machine = Machine::default();
@@ -109,7 +109,7 @@
     Ok(())
 }
 
-/// An operator looks at a folder whose log was damaged. The tool names file and byte.
+/// Guards against a damaged log that is reported without file and offset.
 #[test]
 fn damage_is_named_with_file_and_byte() -> Result<(), Failure> {
     let folder = tempfile::tempdir()?;
--- a/crates/anvil_ledger/tests/limits.rs
+++ b/crates/anvil_ledger/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that endpoints announce, as the ledger gathers them from all routers.
+//! Limits that endpoints announce, as the ledger collects them from all routers.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -26,7 +26,7 @@
     limits.all().get(endpoint).map(|named| named.limit)
 }
 
-/// Guards against routers that don't hear of a limit, of its change, or of its end.
+/// Guards against routers that don't learn of a limit, of its change, or of its end.
 #[test]
 fn the_newest_word_of_an_endpoint_holds() {
     let mut limits = Limits::default();
@@ -38,7 +38,8 @@
     assert_eq!(limits.report(&limit_at("a", None, 3)), BTreeSet::new());
 }
 
-/// Guards against limits of endpoints that are gone, which nobody tells of any more.
+/// Guards against limits that are kept although their endpoints are gone and nobody reports them
+/// any more.
 #[test]
 fn limits_are_forgotten_and_bounded() {
     let mut limits = Limits::default();
@@ -54,7 +55,7 @@
     assert!(limits.all().len() <= 16_384, "{}", limits.all().len());
 }
 
-/// Guards against limits that a replica loses as it starts again, or that followers are not told.
+/// Guards against limits that a replica loses when it restarts, or that followers don't receive.
 #[test]
 fn a_snapshot_keeps_limits_and_followers_are_told() {
     let mut machine = Machine::default();
--- a/crates/anvil_ledger/tests/random_failures.rs
+++ b/crates/anvil_ledger/tests/random_failures.rs
@@ -1,4 +1,4 @@
-//! Short pieces of the long randomised run, from fixed seeds.
+//! Short runs of the randomised simulation, from fixed seeds.
 
 #[path = "support/checks.rs"]
 mod checks;
@@ -17,9 +17,10 @@
 
 const STEPS: u64 = 20_000;
 
-/// Everything at once: kills, lost power, lost and full disks, partitions, isolated leaders,
-/// frozen processes, lost, doubled and reordered messages, racing and resending operators. What
-/// an operator was told stands, on every replica, after every heal.
+/// Guards against faults that break an invariant only in combination: kills, lost power, lost and
+/// full disks, partitions, isolated leaders, frozen processes, lost, duplicated and reordered
+/// messages, operators that race and resend. Acknowledged changes have to stand on every replica
+/// after every heal.
 #[test]
 fn everything_at_once() {
     for seed in 0..12 {
--- a/crates/anvil_ledger/tests/state_money.rs
+++ b/crates/anvil_ledger/tests/state_money.rs
@@ -27,9 +27,8 @@
     Ok(())
 }
 
-/// A router loses the answer to its batch and sends it again, twice.
-/// Without the kept answer the budget would open three grants, two of which nobody spends,
-/// and callers would be refused although the money was there.
+/// Guards against a resent batch that opens further grants: nobody would spend them, and callers
+/// would be refused although tokens are left.
 #[test]
 fn a_resent_batch_opens_one_grant() -> Result<(), Denial> {
     let mut f = Fixture::with_team();
@@ -41,8 +40,8 @@
     Ok(())
 }
 
-/// Reports arrive out of order: 70 tokens first, then an older report of 40.
-/// A bill that went down would give 30 tokens back that were spent.
+/// Guards against a report that arrives late and lowers a charge: an older report of 40 tokens
+/// after one of 70 would return 30 spent tokens to the budget.
 #[test]
 fn a_late_report_never_lowers_the_bill() -> Result<(), Denial> {
     let mut f = Fixture::with_team();
@@ -71,9 +70,9 @@
     Ok(())
 }
 
-/// A budget's last tokens lie in the grant of a router without callers.
-/// Another router asks, is refused and the idle one is told to give back; it does, and the next
-/// ask succeeds. Without the recall that caller is refused although the money is there.
+/// Guards against callers that are refused although tokens are left: the last tokens of a budget
+/// lie in the grant of an idle router. Another router asks and is refused, the grant is recalled
+/// and closed, and the next ask succeeds.
 #[test]
 fn unspent_money_is_called_back_near_the_end() -> Result<(), Denial> {
     let mut f = Fixture::with_team();
@@ -90,8 +89,8 @@
     Ok(())
 }
 
-/// A router is frozen with a batch ready, declared lost and replaced, then thaws.
-/// Its batch must neither open a grant nor change a bill: nobody would close that grant.
+/// Guards against a router that is frozen with a batch ready, declared lost and replaced, and then
+/// sends the batch: it would open a grant that nobody closes.
 #[test]
 fn a_thawed_router_gets_nothing() -> Result<(), Denial> {
     let mut f = Fixture::with_team();
@@ -120,8 +119,8 @@
     Ok(())
 }
 
-/// An operator tops up, loses the answer and resends; the budget is credited once.
-/// Then the id comes again with another amount: that is a mistake and is said so.
+/// Guards against a resent top-up that credits twice, and against an id that is reused with another
+/// amount.
 #[test]
 fn a_top_up_credits_once() {
     let mut f = Fixture::with_team();
@@ -144,8 +143,8 @@
     ));
 }
 
-/// A laptop wakes after a month and resends a top-up whose receipt is forgotten.
-/// The budget must not be credited again; the id says how old it is, so it is refused.
+/// Guards against a second credit when a top-up is resent after its receipt has expired: the id
+/// contains its age, so it is refused.
 #[test]
 fn a_top_up_older_than_any_receipt_is_refused() {
     let mut f = Fixture::with_team();
--- a/crates/anvil_ledger/tests/state_routing.rs
+++ b/crates/anvil_ledger/tests/state_routing.rs
@@ -1,4 +1,4 @@
-//! The routing table by highest number, and budgets that follow it.
+//! The routing table by highest version, and budgets that follow it.
 
 use std::collections::BTreeMap;
 use std::time::UNIX_EPOCH;
@@ -71,8 +71,8 @@
     }
 }
 
-/// Two operators' tables cross, an older order arrives late, and an order whose answer was lost is
-/// sent again. All are acknowledged; what is in force never reverts, whatever the order.
+/// Guards against a table in force that is reverted by another operator's table, by an older one
+/// that arrives late, or by one that is resent because its answer was lost. All are acknowledged.
 #[test]
 fn the_highest_number_is_in_force_whatever_comes_after_it() {
     let mut ledger = Ledger::new();
@@ -81,15 +81,14 @@
     assert_eq!(ledger.replace(5, "five", 0), Answer::Routing(7));
     assert_eq!(ledger.replace(7, "seven", 0), Answer::Routing(7));
     assert_eq!(ledger.text(), Some("seven"));
-    // Nothing is spread that changes nothing.
+    // A table that changes nothing is not sent to followers.
     assert_eq!(ledger.state.version(), version);
     assert_eq!(ledger.replace(9, "nine", 0), Answer::Routing(9));
     assert_eq!(ledger.text(), Some("nine"));
     assert!(ledger.state.version() > version);
 }
 
-/// Another table comes under the number in force, by a mistake or from another operator. It is
-/// neither read back nor obeyed.
+/// Guards against another table under the version in force, sent by mistake or by another operator.
 #[test]
 fn other_content_under_the_same_number_changes_nothing() {
     let mut ledger = Ledger::new();
@@ -99,8 +98,8 @@
     assert_eq!(ledger.budget().credited, 100);
 }
 
-/// An operator's client changes the table by its revision, past the number that alone decides.
-/// It is refused, or an accepted table could be undone by an older one.
+/// Guards against a change of the table by revision, which could replace an accepted table by an
+/// older one.
 #[test]
 fn the_table_is_not_changed_by_revision() {
     let mut ledger = Ledger::new();
@@ -118,8 +117,8 @@
     assert_eq!(ledger.text(), Some("seven"));
 }
 
-/// A budget is raised: the new money can be granted at once, and raising it again by the same
-/// table adds nothing.
+/// Guards against a raised budget whose new tokens can't be granted, and against raising it twice
+/// by the same table.
 #[test]
 fn a_raised_budget_is_worth_what_the_table_says() {
     let mut ledger = Ledger::new();
@@ -132,9 +131,9 @@
     assert_eq!(ledger.batch(Vec::new(), 80).len(), 1);
 }
 
-/// A budget is lowered below what a router holds and has spent. Nothing more is granted, what is
-/// open is called back, and as it comes in the budget sinks to its new worth and no further than
-/// what was used.
+/// Guards against a budget that is lowered below what a router holds and has spent: nothing more is
+/// granted, open grants are recalled, and as they are closed the credit falls to its new amount,
+/// but not below what was used.
 #[test]
 fn a_lowered_budget_sinks_as_its_grants_come_back() {
     let mut ledger = Ledger::new();
--- a/crates/anvil_ledger/tests/state_tree.rs
+++ b/crates/anvil_ledger/tests/state_tree.rs
@@ -13,8 +13,8 @@
     TreePath::try_from(text).expect("a path")
 }
 
-/// Two operators read revision 7 of a team and both change its split.
-/// One wins; the other is told by whom and what, and its own text changes nothing.
+/// Guards against a lost update: two operators read the same revision of a team and both change it.
+/// One wins; the other learns who changed it and how, and its own text changes nothing.
 #[test]
 fn of_two_operators_under_equal_numbers_one_wins() {
     let mut f = Fixture::with_team();
@@ -31,8 +31,8 @@
     assert_eq!(Edit::Put(text), first.edit);
 }
 
-/// An operator loses the answer to a change and resends it after another operator changed the
-/// same document. The first answer comes again and the newer text stays: nothing reverts.
+/// Guards against a resent change that reverts a newer one: its first answer is repeated, and the
+/// newer text stays.
 #[test]
 fn a_resent_change_gets_its_first_answer_and_reverts_nothing() {
     let mut f = Fixture::with_team();
@@ -74,8 +74,8 @@
     assert!(matches!(answer, Answer::Denied(Denial::Reference { .. })));
 }
 
-/// Two teams are given the same bearer key by mistake.
-/// A router could not tell whose request it is, and one team would pay for the other.
+/// Guards against one bearer key for two teams: a router could not tell whose request it is, and
+/// one team would be charged for the other.
 #[test]
 fn two_teams_never_share_a_key() {
     let mut f = Fixture::with_team();
@@ -120,8 +120,8 @@
     );
 }
 
-/// A router is declared gone by missed heartbeats, then its frozen process thaws and joins.
-/// Its life is over: what it reserved may be closed, so it must come back as a new one.
+/// Guards against a router that was declared gone while frozen and then joins again: its grants may
+/// be closed, so it has to come back as a new incarnation.
 #[test]
 fn a_gone_life_never_comes_back() {
     let mut f = Fixture::default();
@@ -152,8 +152,8 @@
     }
 }
 
-/// Two routers claim the same order for different sidecars after a caller's retry.
-/// Both are told the same sidecar, so it runs once.
+/// Guards against an order that runs twice when a retry makes two routers claim it for different
+/// sidecars: both are given the same sidecar.
 #[test]
 fn the_first_claim_wins() {
     let mut f = Fixture::default();
@@ -165,8 +165,8 @@
     assert_eq!((&*record.claim.sidecar, record.fresh), ("s1", false));
 }
 
-/// An order completes, then a late "not run" of an earlier try arrives.
-/// If that freed the key, a retry would place the order a second time.
+/// Guards against a late "not run" from an earlier attempt that releases the key of a completed
+/// order, so that a retry places it a second time.
 #[test]
 fn a_late_not_run_frees_no_completed_claim() {
     let mut f = Fixture::default();
@@ -188,9 +188,9 @@
     );
 }
 
-/// An order's claim is freed ("not run"), and a retry claims it anew and runs. Then the first
-/// router's "not run" comes a second time, late. If it freed the claim that runs, the next retry
-/// would place the order twice.
+/// Guards against a resent "not run" that releases a later claim. A claim is released ("not run"),
+/// a retry claims the key anew and runs; if the first "not run" came again and released that claim,
+/// the next retry would place the order twice.
 #[test]
 fn a_late_not_run_frees_no_later_claim() {
     let mut f = Fixture::default();
@@ -207,8 +207,8 @@
     assert_eq!(&*record.claim.sidecar, "s2");
 }
 
-/// The answer to a claim is lost, and the router sends the claim again. It must hear that the
-/// claim is its own: otherwise nobody would ever run the order.
+/// Guards against an order that nobody runs: the answer to a claim is lost, and the router that
+/// resends the claim has to learn that it is its own.
 #[test]
 fn a_resent_claim_is_still_its_makers() {
     let mut f = Fixture::default();
--- a/crates/anvil_ledger/tests/storage_failures.rs
+++ b/crates/anvil_ledger/tests/storage_failures.rs
@@ -1,4 +1,4 @@
-//! The data folder under kills, full disks and worn bytes.
+//! The data folder under crashes, full disks and damaged bytes.
 
 #[path = "support/mem_disk.rs"]
 #[allow(dead_code, reason = "the simulated fleet uses the rest")]
@@ -28,7 +28,7 @@
     HardState { term, vote }
 }
 
-/// One step of a replica's life.
+/// One step of a replica's writes.
 #[derive(Clone)]
 enum Step {
     Write(Write),
@@ -52,7 +52,7 @@
     })
 }
 
-/// The steps below change terms at these places.
+/// Term of the entry before `first` in `steps`.
 fn term_before(first: u64) -> u64 {
     match first {
         ..=6 => 1,
@@ -68,8 +68,8 @@
     }
 }
 
-/// Appends, a new leader that replaces entries, snapshots, a removed beginning, an installed
-/// snapshot, and more appends.
+/// Appends, entries replaced by a new leader, snapshots, a compaction, an installed snapshot, and
+/// more appends.
 fn life() -> Vec<Step> {
     vec![
         write(1, 1, 1, 5),
@@ -96,8 +96,8 @@
 fn take(storage: &mut Storage, step: &Step, told: &mut Acknowledged) -> Result<(), StorageError> {
     match step {
         Step::Write(write) => {
-            // A leader of a newer term has it replace these entries: the acknowledgement of what
-            // stood there is void, whether or not the new entries last.
+            // A leader of a newer term replaces these entries: their acknowledgement is void,
+            // whether or not the new entries are durable.
             told.last = told.last.min(write.prev);
             storage.write(write)?;
             storage.sync()?;
@@ -133,10 +133,9 @@
     }
 }
 
-/// A replica loses power at any moment: between the bytes of an append, before or after a sync,
-/// a rename, the folder's sync. After the restart an operator misses nothing that was answered,
-/// the vote stands, and the replica goes on. Cause: only synced bytes last, and a file's new name
-/// lasts only once the folder is synced.
+/// Guards against acknowledged data that is lost when power fails at any operation: within an
+/// append, before or after a sync, a rename, or the sync of the folder. Only synced bytes are
+/// durable, and a file's new name only once the folder is synced.
 #[test]
 fn a_kill_at_every_step_loses_nothing_acknowledged() -> Result<(), Failure> {
     let whole = MemDisk::default();
@@ -165,7 +164,7 @@
             if told.term > 0 {
                 assert_eq!(storage.id(), DISK, "identity lost, killed at {at}");
             }
-            // A second crash right after the repair, then a write.
+            // A second crash right after recovery, then a write.
             disk.crash(&mut rng);
             let next = found.last().index + 1;
             let more = Write {
@@ -185,8 +184,8 @@
     Ok(())
 }
 
-/// A worn disk flips a bit of what was answered long ago. The replica must say so and stop: if it
-/// cut there, as at a torn tail, an operator would miss every change after the flipped bit.
+/// Guards against a flipped bit that is taken for a torn tail: recovery has to report it and stop,
+/// or every change after the bit would be lost.
 #[test]
 fn a_flipped_bit_is_reported_wherever_it_is() -> Result<(), Failure> {
     let whole = MemDisk::default();
@@ -211,7 +210,7 @@
     Ok(())
 }
 
-/// All but the empty frame after the last sync, which proves the others.
+/// Length without the empty frame after the last sync, which proves the others.
 fn acknowledged_bytes(name: &str, bytes: &[u8]) -> usize {
     const EMPTY_FRAME: usize = 20;
     if name.starts_with("log-") {
@@ -221,7 +220,8 @@
     }
 }
 
-/// A segment, the snapshot or the identity is gone. The replica names what is missing.
+/// Guards against a missing file that is taken for an empty folder: recovery reports that the
+/// snapshot or the identity is missing.
 #[test]
 fn a_missing_file_is_reported() -> Result<(), Failure> {
     let whole = MemDisk::default();
@@ -247,8 +247,8 @@
     Ok(())
 }
 
-/// The disk is full while an operator's change is written. The change is not answered, and
-/// nothing is written after it even if space comes back: nobody knows what the disk holds.
+/// Guards against writes after a failed one, even if space comes back: the contents of the disk are
+/// unknown.
 #[test]
 fn a_full_disk_stops_for_good() -> Result<(), Failure> {
     let disk = MemDisk::default();
@@ -264,7 +264,7 @@
     Ok(())
 }
 
-/// A folder written by a later version is left alone, and the version is named.
+/// Guards against reading a folder of a later format version.
 #[test]
 fn another_format_is_refused() -> Result<(), Failure> {
     let disk = MemDisk::default();
@@ -284,9 +284,8 @@
     Ok(())
 }
 
-/// A replica prepares its own snapshot while a newer one comes from the leader. If the older one
-/// were put in the newer one's place, the log would begin after the snapshot's end, and the next
-/// restart would find a gap.
+/// Guards against a prepared snapshot that replaces a newer one installed meanwhile: the log would
+/// begin after the snapshot's end, and the next restart would find a gap.
 #[test]
 fn an_older_snapshot_never_replaces_a_newer_one() -> Result<(), Failure> {
     let disk = MemDisk::default();
--- a/crates/anvil_ledger/tests/support/checks.rs
+++ b/crates/anvil_ledger/tests/support/checks.rs
@@ -1,4 +1,4 @@
-//! What must always hold in the simulated fleet.
+//! Invariants of the simulated fleet.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,14 @@
 use anvil_world::prelude::*;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// An entry as it was first applied anywhere.
+/// An entry as first applied by any replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Seen {
     id: EntryId,
     hash: u64,
 }
 
-/// How often each invariant was checked.
+/// Number of checks of each invariant.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Two replicas that applied an entry applied the same.
@@ -28,13 +28,13 @@
     pub reads_fresh: u64,
     /// Of changes under one revision, one wins.
     pub one_winner: u64,
-    /// The version a replica shows never falls in one life.
+    /// A replica's version never falls within one incarnation.
     pub versions_rise: u64,
-    /// All replicas came to the same state after healing.
+    /// All replicas reached the same state after healing.
     pub converged: u64,
 }
 
-/// The record that all replicas are held against.
+/// The record against which all replicas are checked.
 #[derive(Debug, Default)]
 pub struct Checks {
     applied: BTreeMap<LogIndex, Seen>,
--- a/crates/anvil_ledger/tests/support/clients.rs
+++ b/crates/anvil_ledger/tests/support/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the simulated fleet: operators, routers, readers. Each resends what was not
+//! Clients of the simulated fleet: operators, routers, readers. Each resends a command that was not
 //! answered.
 
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 
 use super::checks::Checks;
 
-/// When the simulation begins, by the wall clock.
+/// Wall-clock time at the beginning of the simulation, since the Unix epoch.
 const EPOCH: Duration = Duration::from_hours(500_000);
-/// Budgets that exist.
+/// Number of budgets.
 const BUDGETS: u64 = 4;
 
-/// What a client does.
+/// Kind of client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     TopUps,
@@ -26,23 +26,23 @@
     Operator,
     Router,
     Reader,
-    /// Declares organisations, budgets, and once in a while a router as lost.
+    /// Creates organisations and budgets, and occasionally fences a router.
     Steward,
 }
 
-/// A client with at most one command under way.
+/// A client with at most one command in flight.
 #[derive(Debug)]
 pub struct Client {
     pub number: usize,
     pub kind: Kind,
     pub target: usize,
     pub under_way: Option<Command>,
-    /// Commands so far.
+    /// Number of commands so far.
     pub made: u64,
     expected: Revision,
     incarnation: Incarnation,
     grants: Vec<Grant>,
-    /// Top-ups that were answered.
+    /// Number of top-ups that were answered.
     pub credited: u64,
 }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The command under way, or the next one.
+    /// The command in flight, or the next one.
     pub fn command(&mut self, now: Duration, rng: &mut ChaCha8Rng) -> Command {
         if let Some(command) = &self.under_way {
             return command.clone();
@@ -181,7 +181,7 @@
         }
     }
 
-    /// An answer has come.
+    /// Handles the answer to the command in flight.
     pub fn answered(&mut self, answer: &Answer, checks: &mut Checks) {
         let Some(command) = self.under_way.take() else {
             return;
--- a/crates/anvil_ledger/tests/support/faults.rs
+++ b/crates/anvil_ledger/tests/support/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in the simulated fleet, and when.
+//! Faults of the simulated fleet: which occur, and when.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,16 +8,16 @@
 
 use super::fleet::{Fleet, What};
 
-/// The network as it is now.
+/// Present conditions of network and disks.
 #[derive(Debug, Clone)]
 pub struct Weather {
-    /// Ways (from, to) on which nothing comes through.
+    /// Directed links (from, to) that deliver nothing.
     cut: BTreeSet<(usize, usize)>,
     /// Share of messages that are lost.
     pub lost: f64,
-    /// Share of messages that come twice.
+    /// Share of messages that are delivered twice.
     pub doubled: f64,
-    /// Longest delay, in microseconds. Messages overtake each other within it.
+    /// Maximum delay, in microseconds. Messages overtake each other within it.
     pub slowest: u64,
     /// Share of syncs that take up to 0.9 s.
     pub hanging: f64,
@@ -44,7 +44,7 @@
         self.cut.insert((from, to));
     }
 
-    /// Cuts a group off from the rest, both ways.
+    /// Cuts a group off from the rest, in both directions.
     pub fn split(&mut self, group: &BTreeSet<usize>, all: usize) {
         for one in 0..all {
             for other in 0..all {
@@ -60,14 +60,14 @@
     }
 }
 
-/// What went wrong so far.
+/// Faults so far.
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
     pub counts: BTreeMap<&'static str, u64>,
-    /// Whether faults come ten times as often: elections, cut off before they settle, one after
-    /// the other.
+    /// Whether faults occur ten times as often, so that elections are interrupted one after the
+    /// other.
     pub stormy: bool,
-    /// Whether no more faults are to come.
+    /// Whether no more faults are to occur.
     pub over: bool,
 }
 
@@ -86,13 +86,13 @@
 }
 
 impl Fleet {
-    /// Lets faults begin.
+    /// Starts the faults.
     pub fn trouble(&mut self, stormy: bool) {
         self.faults.stormy = stormy;
         self.after(Duration::from_secs(1), What::Fault);
     }
 
-    /// One fault at random, and the time of the next one. Earlier ones may still be going on.
+    /// Causes one random fault, and schedules the next. Earlier ones may still be in effect.
     pub fn fault(&mut self) {
         if self.faults.over {
             return;
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Only while every other disk is whole: two lost disks of three are beyond any majority.
+    /// Only while every disk votes: two lost disks of three leave no majority.
     pub fn lose_disk(&mut self, number: usize) {
         if self.is_whole() {
             self.faults.count("disk lost");
--- a/crates/anvil_ledger/tests/support/fleet.rs
+++ b/crates/anvil_ledger/tests/support/fleet.rs
@@ -19,9 +19,9 @@
 use super::mem_disk::MemDisk;
 
 const TICK: Duration = Duration::from_millis(50);
-/// A client resends after this long.
+/// Time after which a client resends.
 const PATIENCE: Duration = Duration::from_millis(1_500);
-/// Snapshots are taken after this many entries.
+/// Number of entries after which a snapshot is taken.
 const SNAPSHOT_EVERY: LogIndex = 100;
 const CLIENTS: [Kind; 10] = [
     Kind::Steward,
@@ -36,7 +36,7 @@
     Kind::Reader,
 ];
 
-/// What happens at a time.
+/// A scheduled event.
 pub enum What {
     Tick(usize, u64),
     Deliver(Envelope),
@@ -58,18 +58,18 @@
     sync_due: bool,
     covered: LogIndex,
     preparing: bool,
-    /// Proposals and reads under way.
+    /// Proposals and reads in flight.
     asked: BTreeMap<RequestId, Asked>,
     accepted: BTreeMap<LogIndex, (Term, Asked)>,
 }
 
-/// Who asked.
+/// Origin of a request.
 #[derive(Clone, Copy)]
 pub struct Asked {
     client: usize,
-    /// The client's command: an answer to an earlier one is not taken for a later one's.
+    /// Number of the client's command: a late answer must not be taken for that of a later command.
     command: u64,
-    /// What was acknowledged when it asked.
+    /// Newest acknowledged position when the request was sent.
     began: LogIndex,
 }
 
@@ -78,12 +78,12 @@
 pub struct Instance {
     pub disk: MemDisk,
     pub process: Option<Process>,
-    /// Counts processes, so that events of an earlier one are dropped.
+    /// Incarnation of the process; events of an earlier one are dropped.
     pub life: u64,
     pub frozen_until: Duration,
 }
 
-/// The whole simulation.
+/// The simulation.
 pub struct Fleet {
     pub rng: ChaCha8Rng,
     pub now: Duration,
@@ -101,7 +101,7 @@
     core: CoreSettings,
 }
 
-/// A short log, so that laggards need snapshots.
+/// A short log, so that lagging followers need snapshots.
 pub fn core_settings() -> CoreSettings {
     CoreSettings {
         slow_commit: Some(std::time::Duration::from_millis(700)),
@@ -222,7 +222,7 @@
         self.after(delay, What::Tick(number, life));
     }
 
-    /// Ends the process; with `power`, what was not synced is lost too.
+    /// Ends the process; with `power`, unsynced data is lost too.
     pub fn crash(&mut self, number: usize, power: bool) {
         let instance = &mut self.instances[number];
         instance.process = None;
@@ -238,7 +238,7 @@
         self.instances[number].process.as_mut()
     }
 
-    /// Takes the next event; false when there is none.
+    /// Runs the next event; false if there is none.
     pub fn step(&mut self) -> bool {
         let Some(((time, _), what)) = self.queue.pop_first() else {
             return false;
@@ -313,7 +313,7 @@
     pub fn feed(&mut self, number: usize, event: Event) {
         let now = self.now;
         if self.instances[number].frozen_until > now {
-            // Whoever asks a frozen process waits in vain and asks again.
+            // A frozen process answers nothing; its clients resend.
             return;
         }
         let Some(process) = self.process(number) else {
@@ -370,7 +370,7 @@
                     process.accepted.clear();
                 }
             }
-            // What it leads to is told by `Deposed`.
+            // `Deposed` follows.
             Action::MajorityLost { .. } | Action::Yields { .. } => {}
             Action::Fetch { from, .. } => self.fetch(number, from),
             Action::Compact(upto) => {
@@ -384,7 +384,7 @@
         }
     }
 
-    /// A failed write stops the process, as in the service; its disk is mended later.
+    /// A failed write stops the process, as in the service; it restarts later with a working disk.
     fn after_disk(&mut self, number: usize, done: Result<(), StorageError>) {
         if let Err(e) = done {
             self.faults.failed_disk(&e);
@@ -541,7 +541,7 @@
         self.feed(number, Event::Fetched { meta, data });
     }
 
-    /// A replica outside asks whoever leads to be taken in.
+    /// Lets a replica that is not a member ask the leader to join.
     fn ask_in(&mut self, number: usize) {
         let Some(process) = self.instances[number].process.as_ref() else {
             return;
@@ -624,7 +624,7 @@
         while self.now < end && self.step() {}
     }
 
-    /// Runs until something holds; false when it does not within the time.
+    /// Runs until a condition holds; false if it does not within the time.
     pub fn run_until(&mut self, time: Duration, f: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + time;
         while self.now < end && self.step() {
@@ -635,13 +635,13 @@
         false
     }
 
-    /// Whether an instance believes that it leads.
+    /// Whether an instance considers itself the leader.
     pub fn leads(&self, number: usize) -> bool {
         let process = self.instances[number].process.as_ref();
         process.is_some_and(|process| process.replica.leads())
     }
 
-    /// Who leads in the newest term.
+    /// The leader in the newest term.
     pub fn leader(&self) -> Option<usize> {
         let leaders = (0..self.instances.len()).filter(|number| self.leads(*number));
         leaders.max_by_key(|number| self.term(*number))
@@ -653,7 +653,7 @@
         process.map_or(0, |process| process.replica.term())
     }
 
-    /// Whether every instance's present disk votes and no change is under way.
+    /// Whether every instance's present disk votes and no membership change is pending.
     pub fn is_whole(&self) -> bool {
         let processes = self.instances.iter().filter_map(|i| i.process.as_ref());
         let Some(leader) = processes.clone().find(|p| p.replica.leads()) else {
@@ -667,7 +667,7 @@
         settled && ids == present && processes.count() == self.instances.len()
     }
 
-    /// Heals everything and waits until all replicas have the same state.
+    /// Ends all faults and waits until all replicas have the same state.
     pub fn converge(&mut self) {
         self.weather = Weather::default();
         self.faults.over = true;
--- a/crates/anvil_ledger/tests/support/mem_disk.rs
+++ b/crates/anvil_ledger/tests/support/mem_disk.rs
@@ -1,4 +1,4 @@
-//! A folder in memory that can fail, tear, and lose what was not synced.
+//! A folder in memory that can fail, tear writes, and lose unsynced data.
 
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Result};
@@ -12,7 +12,7 @@
 struct File {
     bytes: Vec<u8>,
     synced: usize,
-    /// What a cut took away, until the cut is synced.
+    /// Truncated bytes, until the truncation is synced.
     cut: Vec<u8>,
 }
 
@@ -36,28 +36,28 @@
         f(&mut self.folder.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// The folder as the storage sees it.
+    /// The folder as seen by the storage.
     pub fn disk(&self) -> Disk {
         let folder = self.clone();
         Disk::new(move |op| folder.with(|folder| folder.run(op)))
     }
 
-    /// Operations so far.
+    /// Number of writing operations so far.
     pub fn operations(&self) -> u64 {
         self.with(|folder| folder.operations)
     }
 
-    /// Every operation from this one on fails; the first one may be half done.
+    /// Lets every writing operation from this one on fail; the first one may be half done.
     pub fn fail_at(&self, operation: Option<u64>) {
         self.with(|folder| folder.fail_at = operation);
     }
 
-    /// Power is lost: what was not synced is kept, lost or garbled by chance.
+    /// Simulates a loss of power: unsynced data is kept, lost or garbled at random.
     pub fn crash(&self, rng: &mut ChaCha8Rng) {
         self.with(|folder| folder.crash(rng));
     }
 
-    /// Another disk is put in.
+    /// Replaces the disk by an empty one.
     pub fn wipe(&self) {
         self.with(|folder| *folder = Folder::default());
     }
@@ -70,7 +70,7 @@
         });
     }
 
-    /// A file's bytes.
+    /// Contents of a file.
     pub fn bytes(&self, name: &str) -> Vec<u8> {
         self.with(|folder| folder.files[folder.names[name]].bytes.clone())
     }
@@ -80,7 +80,7 @@
         self.with(|folder| folder.names.keys().cloned().collect())
     }
 
-    /// A copy that goes its own way.
+    /// An independent copy.
     pub fn copy(&self) -> Self {
         let folder = self.with(|folder| folder.clone());
         Self {
@@ -102,7 +102,7 @@
         self.carry_out(op)
     }
 
-    /// A write that fails may have left a part.
+    /// A failed write may have left a part of its bytes.
     fn half(&mut self, op: Op<'_>) {
         let first = self.fail_at.is_some_and(|at| self.operations == at + 1);
         if let Op::Append(name, bytes) = op
@@ -154,7 +154,7 @@
 
     fn crash(&mut self, rng: &mut ChaCha8Rng) {
         self.fail_at = None;
-        // Names that were not synced may last all the same.
+        // Names that were not synced may be durable all the same.
         if rng.random_bool(0.5) {
             self.names = self.synced_names.clone();
         } else {
@@ -187,7 +187,7 @@
             match rng.random_range(0..3) {
                 0 => self.bytes.truncate(self.synced),
                 1 => self.bytes.truncate(kept),
-                // Later blocks are there and an earlier one is not.
+                // Later blocks were written and an earlier one was not.
                 _ => self.bytes[self.synced..kept].fill(0),
             }
         }
--- a/crates/anvil_ledger/tests/suspects.rs
+++ b/crates/anvil_ledger/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests under which endpoints crash, as the ledger gathers them from all routers.
+//! Requests during which endpoints crash, as the ledger collects them from all routers.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -34,7 +34,7 @@
     left.is_some_and(|left| !left.is_zero())
 }
 
-/// Guards against a request that is quarantined for one crash, because all routers tell of it.
+/// Guards against a request that is quarantined for one crash, because all routers report it.
 #[test]
 fn one_crash_counts_once_whoever_tells_of_it() {
     let mut suspects = Suspects::default();
@@ -49,7 +49,8 @@
     assert!(is_quarantined(&suspects, 1, 9) && !is_quarantined(&suspects, 2, 9));
 }
 
-/// Guards against an endpoint that crashes again and again, and starts again each time under the name that it had.
+/// Guards against repeated crashes that count once, because the endpoint restarts under the same
+/// name.
 #[test]
 fn an_endpoint_that_starts_again_under_its_name_counts_again() {
     let mut suspects = Suspects::default();
@@ -60,7 +61,7 @@
     assert!(is_quarantined(&suspects, 1, 9));
 }
 
-/// Guards against a request that stays quarantined though it was answered, and against one that is quarantined for ever.
+/// Guards against a request that stays quarantined after an answer, or for ever.
 #[test]
 fn a_request_is_cleared_by_an_answer_and_by_time() {
     let mut suspects = Suspects::default();
@@ -77,7 +78,7 @@
     assert!(!is_quarantined(&suspects, 2, over));
 }
 
-/// Guards against three more endpoints that are lost each time a request's quarantine is over.
+/// Guards against the loss of three more endpoints each time a request's quarantine ends.
 #[test]
 fn after_its_quarantine_one_more_crash_is_enough() {
     let mut suspects = Suspects::default();
@@ -99,7 +100,8 @@
     assert_eq!(suspects.get(1), None);
 }
 
-/// Guards against long streams being quarantined, because they were under way at endpoints that another request crashed.
+/// Guards against long streams being quarantined, because they ran at endpoints that another
+/// request crashed.
 #[test]
 fn a_request_whose_runs_had_output_takes_twice_the_crashes() {
     let mut suspects = Suspects::default();
@@ -113,7 +115,7 @@
     }
 }
 
-/// Guards against a flood of crashes that drives out what is known of a request that crashes endpoints.
+/// Guards against many crashes at once that evict the record of a request which crashes endpoints.
 #[test]
 fn a_lost_zone_neither_grows_the_memory_nor_frees_a_quarantined_request() {
     let mut suspects = Suspects::default();
@@ -137,7 +139,7 @@
     }
 }
 
-/// Guards against what is known of a request being lost with a restart, or not told to followers.
+/// Guards against suspects that a replica loses when it restarts, or that followers don't receive.
 #[test]
 fn a_snapshot_keeps_suspects_and_followers_are_told() {
     let mut machine = Machine::default();
@@ -154,7 +156,7 @@
     assert!(is_quarantined(&restored.suspects, 7, 9));
 }
 
-/// Guards against a replica that can't start on the snapshot of an earlier build.
+/// Guards against a replica that can't start from the snapshot of an earlier build.
 #[test]
 fn a_snapshot_without_suspects_is_read() {
     let before = (State::default(), Lives::default());
