--- a/crates/anvil_ledger/examples/ledger_soak.rs
+++ b/crates/anvil_ledger/examples/ledger_soak.rs
@@ -14,10 +14,10 @@
 #[path = "../tests/support/faults.rs"]
 mod faults;
 #[path = "../tests/support/fleet.rs"]
-#[allow(dead_code, reason = "the stories use the rest")]
+#[allow(dead_code, reason = "failures.rs uses the rest")]
 mod fleet;
 #[path = "../tests/support/mem_disk.rs"]
-#[allow(dead_code, reason = "the storage's own tests use the rest")]
+#[allow(dead_code, reason = "storage_failures.rs uses the rest")]
 mod mem_disk;
 
 use std::collections::BTreeMap;
@@ -28,16 +28,16 @@
 use fleet::Fleet;
 
 /// Number of steps of one episode, before all faults end and the replicas are compared.
-const EPISODE: u64 = 50_000;
+const EPISODE_STEPS: u64 = 50_000;
 
 /// Command line arguments.
-struct Asked {
+struct Options {
     seed: u64,
     steps: u64,
 }
 
-fn read_arguments() -> Option<Asked> {
-    let mut asked = Asked {
+fn read_arguments() -> Option<Options> {
+    let mut options = Options {
         seed: 1,
         steps: 1_000_000,
     };
@@ -45,30 +45,30 @@
     while let Some(name) = arguments.next() {
         let value = arguments.next()?.parse().ok()?;
         match name.as_str() {
-            "--seed" => asked.seed = value,
-            "--steps" => asked.steps = value,
+            "--seed" => options.seed = value,
+            "--steps" => options.steps = value,
             _ => return None,
         }
     }
-    Some(asked)
+    Some(options)
 }
 
 fn main() -> ExitCode {
-    let Some(asked) = read_arguments() else {
+    let Some(options) = read_arguments() else {
         eprintln!("usage: soak [--seed N] [--steps N]");
         return ExitCode::from(2);
     };
-    let begun = Instant::now();
+    let start_time = Instant::now();
     let mut steps = 0;
     let mut episodes = 0;
     let mut counts = Counts::default();
     let mut faults: BTreeMap<&'static str, u64> = BTreeMap::new();
-    while steps < asked.steps {
-        let seed = asked.seed.wrapping_mul(1_000_003).wrapping_add(episodes);
+    while steps < options.steps {
+        let seed = options.seed.wrapping_mul(1_000_003).wrapping_add(episodes);
         println!("episode {episodes} seed {seed}");
         let mut fleet = Fleet::new(seed, if episodes % 3 == 2 { 5 } else { 3 });
-        fleet.trouble(episodes % 2 == 1);
-        while fleet.steps < EPISODE && fleet.step() {}
+        fleet.start_faults(episodes % 2 == 1);
+        while fleet.steps < EPISODE_STEPS && fleet.step() {}
         fleet.converge();
         steps += fleet.steps;
         episodes += 1;
@@ -77,10 +77,10 @@
             *faults.entry(what).or_default() += count;
         }
     }
-    let took = begun.elapsed();
+    let took = start_time.elapsed();
     println!(
         "seed {} steps {steps} episodes {episodes} in {took:.1?}",
-        asked.seed
+        options.seed
     );
     for (what, count) in faults {
         println!("fault: {what}: {count}");
--- a/crates/anvil_ledger/tests/core_guards.rs
+++ b/crates/anvil_ledger/tests/core_guards.rs
@@ -85,12 +85,12 @@
         self.feed(Event::Synced(self.written));
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance_time(&mut self, time: Duration) {
         self.now += time;
         self.feed(Event::Tick);
     }
 
-    fn hear(&mut self, from: ReplicaId, message: Message) {
+    fn receive_message(&mut self, from: ReplicaId, message: Message) {
         self.feed(Event::Message(Envelope {
             ledger: 9,
             from,
@@ -100,7 +100,7 @@
     }
 
     fn vote(&mut self, trial: bool) {
-        self.hear(
+        self.receive_message(
             2,
             Message::Vote {
                 term: 4,
@@ -111,7 +111,7 @@
     }
 
     fn ack(&mut self, from: ReplicaId, matched: u64, round: u64) {
-        self.hear(
+        self.receive_message(
             from,
             Message::Ack {
                 term: 4,
@@ -125,12 +125,12 @@
     /// A leader in term 4, whose first entry of that term has index 3.
     fn leading() -> Self {
         let mut driver = Self::new();
-        driver.win();
+        driver.win_election();
         driver
     }
 
-    fn win(&mut self) {
-        self.pass(Duration::from_secs(6));
+    fn win_election(&mut self) {
+        self.advance_time(Duration::from_secs(6));
         self.vote(true);
         self.sync();
         self.vote(false);
@@ -139,9 +139,9 @@
     }
 
     /// Lets time pass in which both followers acknowledge the leader's log up to `matched`.
-    fn pass_answered(&mut self, millis: u64, matched: u64) {
+    fn advance_with_acks(&mut self, millis: u64, matched: u64) {
         for _ in 0..millis / 50 {
-            self.pass(Duration::from_millis(50));
+            self.advance_time(Duration::from_millis(50));
             self.ack(2, matched, 0);
             self.ack(3, matched, 0);
         }
@@ -171,14 +171,14 @@
 /// Guards against a vote that is sent before it is on disk: after a power cut the replica could
 /// vote for another candidate in the same term.
 #[test]
-fn a_vote_leaves_only_after_the_sync() {
+fn a_vote_is_sent_only_after_the_sync() {
     let mut driver = Driver::new();
-    let ask = Message::AskVote {
+    let vote_request = Message::AskVote {
         term: 4,
         last: EntryId { term: 2, index: 2 },
         trial: false,
     };
-    driver.hear(2, ask);
+    driver.receive_message(2, vote_request);
     assert!(!driver.sends_votes());
     driver.sync();
     assert!(driver.sends_votes());
@@ -197,15 +197,19 @@
         });
     }
     for _ in 0..20 {
-        driver.pass(Duration::from_millis(100));
+        driver.advance_time(Duration::from_millis(100));
         driver.sync();
         // The follower responds, but its disk lacks the change.
         driver.ack(2, 3, 0);
         driver.ack(3, 3, 0);
     }
-    assert_eq!(driver.replica.last().index, 4, "a second change was begun");
+    assert_eq!(
+        driver.replica.last().index,
+        4,
+        "a second change began before the first was committed"
+    );
     driver.ack(2, 4, 0);
-    driver.pass(Duration::from_millis(100));
+    driver.advance_time(Duration::from_millis(100));
     assert_eq!(driver.replica.last().index, 5);
 }
 
@@ -213,7 +217,7 @@
 /// second loss would cost the majority. An instance comes back with an empty disk that does not
 /// respond.
 #[test]
-fn a_new_disk_counts_only_once_it_has_caught_up() {
+fn a_new_disk_votes_only_once_it_has_caught_up() {
     let mut driver = Driver::leading();
     driver.ack(2, 3, 0);
     driver.feed(Event::Join {
@@ -221,7 +225,7 @@
         site: site("c"),
     });
     for _ in 0..50 {
-        driver.pass(Duration::from_millis(100));
+        driver.advance_time(Duration::from_millis(100));
         driver.sync();
         let last = driver.replica.last().index;
         driver.ack(2, last, 0);
@@ -230,12 +234,12 @@
     assert!(members.learners.contains_key(&10));
     assert!(
         members.voters.contains_key(&3),
-        "the old disk was taken out"
+        "the old disk was removed too early"
     );
     let last = driver.replica.last().index;
     for _ in 0..10 {
         driver.ack(10, last.max(driver.replica.last().index), 0);
-        driver.pass(Duration::from_millis(100));
+        driver.advance_time(Duration::from_millis(100));
         driver.sync();
         let last = driver.replica.last().index;
         driver.ack(2, last, 0);
@@ -248,7 +252,7 @@
 /// Guards against a stale read: an answer that was in flight when the read arrived does not prove
 /// that this replica still leads afterwards.
 #[test]
-fn a_read_waits_for_a_round_of_its_own() {
+fn a_read_is_confirmed_only_by_a_round_that_began_after_it() {
     let mut driver = Driver::leading();
     driver.ack(2, 3, 0);
     let confirmed = |driver: &Driver| {
@@ -257,7 +261,10 @@
     };
     driver.feed(Event::Read(77));
     driver.ack(2, 3, 0);
-    assert!(!confirmed(&driver), "confirmed by an earlier answer");
+    assert!(
+        !confirmed(&driver),
+        "confirmed by an acknowledgement of an earlier round"
+    );
     driver.ack(2, 3, 1);
     assert!(confirmed(&driver));
 }
@@ -265,10 +272,10 @@
 /// Guards against a leader without a majority that goes on accepting proposals: it steps down, and
 /// callers learn that their outcome is in doubt.
 #[test]
-fn a_leader_alone_takes_nothing_more() {
+fn an_isolated_leader_steps_down_and_refuses_proposals() {
     let mut driver = Driver::leading();
     driver.ack(2, 3, 0);
-    driver.pass(Duration::from_secs(2));
+    driver.advance_time(Duration::from_secs(2));
     assert!(driver.actions.contains(&Action::Deposed));
     let data = "late".into();
     driver.feed(Event::Propose(vec![Proposal { id: 5, data }]));
@@ -281,32 +288,32 @@
 /// is lost, and another replica wins that same term; applying the entry would make this replica
 /// differ from all others.
 #[test]
-fn a_candidate_forgets_how_far_its_old_leader_was_verified() {
+fn a_new_term_resets_the_verified_position() {
     let mut driver = Driver::new();
-    let beat = |term, entries, committed| Message::Append {
+    let append_message = |term, entries, committed| Message::Append {
         term,
         prev: EntryId { term: 2, index: 2 },
         entries,
         committed,
         round: 0,
     };
-    let unsettled = entry(3, 3, Payload::Data("unsettled".into()));
-    driver.hear(3, beat(3, vec![unsettled], 0));
+    let uncommitted = entry(3, 3, Payload::Data("unsettled".into()));
+    driver.receive_message(3, append_message(3, vec![uncommitted], 0));
     driver.sync();
-    driver.pass(Duration::from_secs(3));
+    driver.advance_time(Duration::from_secs(3));
     driver.vote(true);
     driver.sync();
     assert_eq!(driver.replica.term(), 4);
     driver.actions.clear();
-    driver.hear(2, beat(4, Vec::new(), 3));
-    let claimed = driver.actions.iter().filter_map(|action| match action {
+    driver.receive_message(2, append_message(4, Vec::new(), 3));
+    let acknowledged = driver.actions.iter().filter_map(|action| match action {
         Action::Send(Envelope {
             message: Message::Ack { matched, .. },
             ..
         }) => Some(*matched),
         _ => None,
     });
-    assert_eq!(claimed.max(), Some(2));
+    assert_eq!(acknowledged.max(), Some(2));
     assert_eq!(driver.replica.committed(), 2);
 }
 
@@ -327,9 +334,9 @@
 /// Guards against a follower that acknowledges entries before the sync. While its disk hangs it
 /// answers heartbeats only.
 #[test]
-fn a_follower_claims_entries_only_after_the_sync() {
+fn a_follower_acknowledges_entries_only_after_the_sync() {
     let mut driver = Driver::new();
-    let claimed = |driver: &Driver| {
+    let acknowledged = |driver: &Driver| {
         let acks = driver.actions.iter().filter_map(|action| match action {
             Action::Send(Envelope {
                 message: Message::Ack { matched, .. },
@@ -339,36 +346,39 @@
         });
         acks.max()
     };
-    let beat = |entries| Message::Append {
+    let append_message = |entries| Message::Append {
         term: 3,
         prev: EntryId { term: 2, index: 2 },
         entries,
         committed: 0,
         round: 0,
     };
-    driver.hear(2, beat(vec![entry(3, 3, Payload::Data("new".into()))]));
-    driver.hear(2, beat(Vec::new()));
-    assert_eq!(claimed(&driver), Some(2));
+    driver.receive_message(
+        2,
+        append_message(vec![entry(3, 3, Payload::Data("new".into()))]),
+    );
+    driver.receive_message(2, append_message(Vec::new()));
+    assert_eq!(acknowledged(&driver), Some(2));
     driver.sync();
-    assert_eq!(claimed(&driver), Some(3));
+    assert_eq!(acknowledged(&driver), Some(3));
 }
 
 /// Guards against a removal that leaves the rest without a reachable majority: with the other
 /// follower unresponsive too, the removal of a lost replica has to wait.
 #[test]
-fn a_replica_is_taken_out_only_while_the_others_have_a_majority() {
+fn a_replica_is_removed_only_while_the_others_have_a_majority() {
     let mut driver = Driver::leading();
     driver.ack(2, 3, 0);
-    driver.pass(Duration::from_millis(500));
+    driver.advance_time(Duration::from_millis(500));
     // Only replica 3 responds; without it the leader would be alone with an unresponsive one.
     driver.ack(3, 3, 0);
-    driver.pass(Duration::from_millis(200));
+    driver.advance_time(Duration::from_millis(200));
     driver.feed(Event::Remove("c".into()));
-    driver.pass(Duration::from_millis(100));
+    driver.advance_time(Duration::from_millis(100));
     assert!(driver.replica.leads());
     assert!(driver.replica.membership().voters.contains_key(&3));
     driver.ack(2, 3, 0);
-    driver.pass(Duration::from_millis(100));
+    driver.advance_time(Duration::from_millis(100));
     assert!(!driver.replica.membership().voters.contains_key(&3));
 }
 
@@ -376,10 +386,10 @@
 /// the leader accepts a bounded number of proposals, refuses the rest without appending them, and
 /// accepts more once it commits.
 #[test]
-fn a_backlog_is_bounded() {
+fn uncommitted_proposals_are_bounded() {
     let mut driver = Driver::leading();
     driver.ack(2, 3, 0);
-    let ask = |first: u64| {
+    let proposals_from = |first: u64| {
         let ids = first..first + 50_000;
         let proposals = ids.map(|id| Proposal {
             id,
@@ -387,7 +397,7 @@
         });
         Event::Propose(proposals.collect())
     };
-    driver.feed(ask(1_000));
+    driver.feed(proposals_from(1_000));
     let last = driver.replica.last().index;
     assert!(last < 40_000);
     let refused = |action: &&Action| matches!(action, Action::Refused { .. });
@@ -398,7 +408,7 @@
     driver.sync();
     driver.ack(2, last, 0);
     driver.actions.clear();
-    driver.feed(ask(100_000));
+    driver.feed(proposals_from(100_000));
     assert!(driver.replica.last().index > last);
 }
 
@@ -406,59 +416,71 @@
 /// followers while every grant arrives too late. It hands over leadership, and becomes a candidate
 /// only after the others could.
 #[test]
-fn a_leader_whose_commits_are_slow_makes_way() {
+fn a_leader_with_a_stalled_commit_hands_over_leadership() {
     let slow_commit = Some(Duration::from_millis(450));
     let cfg = CoreSettings {
         slow_commit,
         ..CoreSettings::default()
     };
     let mut driver = Driver::with(cfg);
-    driver.win();
-    driver.pass_answered(1_000, 3);
-    assert!(driver.replica.leads(), "everything is committed");
+    driver.win_election();
+    driver.advance_with_acks(1_000, 3);
+    assert!(
+        driver.replica.leads(),
+        "hands over although everything is committed"
+    );
     let data = "late".into();
     driver.feed(Event::Propose(vec![Proposal { id: 5, data }]));
-    driver.pass_answered(300, 3);
-    assert!(driver.replica.leads(), "not for long");
-    driver.pass_answered(300, 3);
+    driver.advance_with_acks(300, 3);
+    assert!(driver.replica.leads(), "hands over before the limit");
+    driver.advance_with_acks(300, 3);
     assert!(!driver.replica.leads());
     assert!(driver.actions.contains(&Action::Deposed));
-    let why = |action: &Action| matches!(action, Action::Yields { index: 4, .. });
-    assert!(driver.actions.iter().any(why));
+    let is_hand_over = |action: &Action| matches!(action, Action::Yields { index: 4, .. });
+    assert!(driver.actions.iter().any(is_hand_over));
     driver.actions.clear();
-    driver.pass(2 * cfg.election);
-    let asks = |action: &Action| matches!(action, Action::Send(sent) if matches!(sent.message, Message::AskVote { .. }));
-    assert!(!driver.actions.iter().any(asks), "the others stand first");
-    driver.pass(2 * cfg.election);
-    assert!(driver.actions.iter().any(asks), "somebody must lead");
+    driver.advance_time(2 * cfg.election);
+    let requests_vote = |action: &Action| matches!(action, Action::Send(sent) if matches!(sent.message, Message::AskVote { .. }));
+    assert!(
+        !driver.actions.iter().any(requests_vote),
+        "the other replicas become candidates first"
+    );
+    driver.advance_time(2 * cfg.election);
+    assert!(
+        driver.actions.iter().any(requests_vote),
+        "it becomes a candidate after the pause"
+    );
 }
 
 /// Guards against a leader behind lossy links that commits everything a third of a second late:
 /// never late enough to hand over for a single entry, but always too late for those who wait.
 #[test]
-fn a_leader_that_is_slow_again_and_again_makes_way() {
+fn a_leader_with_repeatedly_slow_commits_hands_over_leadership() {
     let cfg = CoreSettings {
         slow_commit: Some(Duration::from_millis(450)),
         ..CoreSettings::default()
     };
     let mut driver = Driver::with(cfg);
-    driver.win();
-    driver.pass_answered(1_000, 3);
+    driver.win_election();
+    driver.advance_with_acks(1_000, 3);
     let late = |driver: &mut Driver, number: u64, millis: u64| {
         let data = "late".into();
         driver.feed(Event::Propose(vec![Proposal { id: number, data }]));
         driver.sync();
-        driver.pass_answered(millis, number - 1);
-        driver.pass_answered(50, number);
+        driver.advance_with_acks(millis, number - 1);
+        driver.advance_with_acks(50, number);
     };
     late(&mut driver, 4, 300);
     for number in 5..10 {
         late(&mut driver, number, 50);
     }
     late(&mut driver, 10, 300);
-    assert!(driver.replica.leads(), "slow now and then");
+    assert!(driver.replica.leads(), "hands over for single slow entries");
     for number in 11..15 {
         late(&mut driver, number, 300);
     }
-    assert!(!driver.replica.leads(), "slow each time");
+    assert!(
+        !driver.replica.leads(),
+        "keeps leading with slow entries in a row"
+    );
 }
--- a/crates/anvil_ledger/tests/failures.rs
+++ b/crates/anvil_ledger/tests/failures.rs
@@ -5,12 +5,12 @@
 #[path = "support/clients.rs"]
 mod clients;
 #[path = "support/faults.rs"]
-#[allow(dead_code, reason = "the randomised run uses the rest")]
+#[allow(dead_code, reason = "random_failures.rs uses the rest")]
 mod faults;
 #[path = "support/fleet.rs"]
 mod fleet;
 #[path = "support/mem_disk.rs"]
-#[allow(dead_code, reason = "the storage's own tests use the rest")]
+#[allow(dead_code, reason = "storage_failures.rs uses the rest")]
 mod mem_disk;
 
 use std::collections::BTreeSet;
@@ -21,7 +21,7 @@
 
 const LONG: Duration = Duration::from_mins(1);
 
-fn started(seed: u64, replicas: usize) -> Fleet {
+fn fleet_with_leader(seed: u64, replicas: usize) -> Fleet {
     let mut fleet = Fleet::new(seed, replicas);
     fleet.run_for(Duration::from_secs(5));
     assert!(fleet.is_whole(), "no leader within five seconds");
@@ -32,11 +32,11 @@
 /// the network heals. The others elect a leader and go on within seconds, the isolated one steps
 /// down and accepts nothing, and after the heal nothing reverts and the new leader stays.
 #[test]
-fn a_leader_isolated_for_long_then_healed() {
+fn an_isolated_leader_steps_down_and_the_heal_reverts_nothing() {
     for seed in 0..8 {
-        let mut fleet = started(seed, 3);
+        let mut fleet = fleet_with_leader(seed, 3);
         let old = fleet.leader().expect("a leader");
-        fleet.weather.split(&BTreeSet::from([old]), 3);
+        fleet.conditions.split(&BTreeSet::from([old]), 3);
         fleet.run_for(Duration::from_secs(5));
         let new = fleet.leader().expect("a new leader");
         assert_ne!(new, old);
@@ -45,7 +45,7 @@
         fleet.run_for(LONG);
         assert!(fleet.checks.newest_acknowledged() > before + 100);
         let term = fleet.term(new);
-        fleet.weather.clear();
+        fleet.conditions.clear();
         fleet.run_for(Duration::from_secs(5));
         assert_eq!(
             fleet.term(new),
@@ -60,15 +60,15 @@
 /// nobody, so it raises no term. With seed 42 two disks hang as well, which must not keep the
 /// leader from hearing from their replicas.
 #[test]
-fn a_follower_that_comes_back_deposes_nobody() {
+fn a_reconnected_follower_does_not_depose_the_leader() {
     for seed in [0, 1, 2, 3, 42] {
-        let mut fleet = started(seed, 5);
+        let mut fleet = fleet_with_leader(seed, 5);
         let leader = fleet.leader().expect("a leader");
         let follower = (leader + 1) % 5;
         let term = fleet.term(leader);
-        fleet.weather.split(&BTreeSet::from([follower]), 5);
+        fleet.conditions.split(&BTreeSet::from([follower]), 5);
         fleet.run_for(LONG);
-        fleet.weather.clear();
+        fleet.conditions.clear();
         fleet.run_for(Duration::from_secs(5));
         assert_eq!(fleet.leader(), Some(leader));
         assert_eq!(fleet.term(leader), term);
@@ -79,9 +79,9 @@
 /// Guards against a new disk that votes before it holds the log: disks are lost one after another,
 /// each right after the one before was replaced, and no acknowledged change may be lost.
 #[test]
-fn a_second_disk_lost_right_after_the_first_is_repaired() {
+fn a_second_disk_lost_right_after_the_first_is_replaced() {
     for seed in 0..8 {
-        let mut fleet = started(seed, 3);
+        let mut fleet = fleet_with_leader(seed, 3);
         for number in [0, 1, 2, 0] {
             fleet.lose_disk(number);
             let whole = fleet.run_until(LONG, Fleet::is_whole);
@@ -97,18 +97,18 @@
 /// other. A lost disk is being replaced while the network splits, with the leader on the small
 /// side; that side can't commit the change, and the other side elects a leader of its own.
 #[test]
-fn a_partition_in_the_middle_of_a_membership_change() {
+fn a_partition_during_a_membership_change() {
     for seed in 0..16 {
-        let mut fleet = started(seed, 5);
+        let mut fleet = fleet_with_leader(seed, 5);
         let leader = fleet.leader().expect("a leader");
         let lost = (leader + 1) % 5;
         fleet.lose_disk(lost);
         // The new disk comes back within three seconds; the partition begins around that time.
-        let pause = fleet.between(100_000, 4_000_000);
+        let pause = fleet.random_duration(100_000, 4_000_000);
         fleet.run_for(pause);
-        fleet.weather.split(&BTreeSet::from([leader, lost]), 5);
+        fleet.conditions.split(&BTreeSet::from([leader, lost]), 5);
         fleet.run_for(LONG / 4);
-        fleet.weather.clear();
+        fleet.conditions.clear();
         let ok = fleet.run_until(LONG, Fleet::is_whole);
         if !ok {
             for n in 0..5 {
@@ -135,15 +135,15 @@
 /// Guards against commands that are lost or applied twice when three of ten messages are lost,
 /// three of ten are duplicated, and messages overtake each other by up to half a second.
 #[test]
-fn messages_lost_doubled_reordered_and_delayed() {
+fn messages_lost_duplicated_reordered_and_delayed() {
     for seed in 0..5 {
-        let mut fleet = started(seed, 3);
+        let mut fleet = fleet_with_leader(seed, 3);
         let before = fleet.checks.newest_acknowledged();
-        fleet.weather.lost = 0.3;
-        fleet.weather.doubled = 0.3;
-        fleet.weather.slowest = 500_000;
+        fleet.conditions.loss_rate = 0.3;
+        fleet.conditions.duplicate_rate = 0.3;
+        fleet.conditions.max_delay_us = 500_000;
         fleet.run_for(LONG);
-        fleet.weather.clear();
+        fleet.conditions.clear();
         fleet.run_for(Duration::from_secs(10));
         assert!(fleet.checks.newest_acknowledged() > before);
         fleet.converge();
@@ -154,8 +154,8 @@
 /// document again and again, lose every tenth answer, and resend; a resent change gets its first
 /// answer.
 #[test]
-fn operators_race_under_equal_numbers_and_resend() {
-    let mut fleet = started(1, 3);
+fn operators_race_under_one_revision_and_resend() {
+    let mut fleet = fleet_with_leader(1, 3);
     fleet.run_for(LONG * 2);
     let won = fleet.checks.counts.one_winner;
     assert!(won > 500, "only {won} changes");
@@ -165,18 +165,18 @@
 /// Guards against a full election timeout after all replicas lose power and restart together:
 /// callers would get neither grants nor a routing table for half a second and more.
 #[test]
-fn replicas_that_start_together_have_a_leader_at_once() {
+fn replicas_that_start_together_elect_a_leader_quickly() {
     for seed in 0..16 {
-        let mut fleet = started(seed, 4);
+        let mut fleet = fleet_with_leader(seed, 4);
         // Hanging disks are tested elsewhere.
-        fleet.weather.hanging = 0.0;
+        fleet.conditions.slow_sync_rate = 0.0;
         (0..4).for_each(|number| fleet.crash(number, true));
         // Messages of the old leader that are still in flight are lost with its connections.
         fleet.run_for(Duration::from_millis(10));
         (0..4).for_each(|number| fleet.start(number));
         let restarted = fleet.now;
-        let led = fleet.run_until(LONG, |fleet| fleet.leader().is_some());
-        assert!(led, "seed {seed}");
+        let elected = fleet.run_until(LONG, |fleet| fleet.leader().is_some());
+        assert!(elected, "seed {seed}");
         let took = fleet.now.saturating_sub(restarted);
         assert!(
             took < Duration::from_millis(400),
@@ -189,9 +189,9 @@
 /// Guards against a restarted replica that deposes the leader: its early pre-vote is refused by all
 /// that hear from the leader.
 #[test]
-fn a_replica_that_restarts_alone_deposes_nobody() {
+fn a_restarted_replica_does_not_depose_the_leader() {
     for seed in 0..16 {
-        let mut fleet = started(seed, 3);
+        let mut fleet = fleet_with_leader(seed, 3);
         let leader = fleet.leader().expect("a leader");
         let term = fleet.term(leader);
         let other = (leader + 1) % 3;
@@ -210,14 +210,14 @@
 #[test]
 fn a_partition_and_a_power_cut_together() {
     for seed in 0..8 {
-        let mut fleet = started(seed, 3);
+        let mut fleet = fleet_with_leader(seed, 3);
         let old = fleet.leader().expect("a leader");
-        fleet.weather.split(&BTreeSet::from([old]), 3);
+        fleet.conditions.split(&BTreeSet::from([old]), 3);
         fleet.crash((old + 1) % 3, true);
         fleet.run_for(LONG / 2);
         let new = fleet.leader().expect("a new leader");
         assert_ne!(new, old);
-        fleet.weather.clear();
+        fleet.conditions.clear();
         fleet.converge();
     }
 }
@@ -225,9 +225,9 @@
 /// Guards against acknowledged changes that are lost when all instances lose power at once, three
 /// times.
 #[test]
-fn all_lose_power_at_once() {
+fn all_replicas_lose_power_at_once() {
     for seed in 0..8 {
-        let mut fleet = started(seed, 3);
+        let mut fleet = fleet_with_leader(seed, 3);
         for _ in 0..3 {
             for number in 0..3 {
                 fleet.crash(number, true);
@@ -242,9 +242,9 @@
 /// Guards against a leader that is frozen for ten seconds and then answers from its old state
 /// although another replica leads.
 #[test]
-fn a_frozen_leader_wakes() {
+fn a_frozen_leader_is_replaced_and_resumes() {
     for seed in 0..8 {
-        let mut fleet = started(seed, 3);
+        let mut fleet = fleet_with_leader(seed, 3);
         let old = fleet.leader().expect("a leader");
         fleet.instances[old].frozen_until = fleet.now + Duration::from_secs(10);
         fleet.run_for(Duration::from_secs(9));
@@ -258,33 +258,33 @@
 /// Guards against leadership that rotates without end while every disk is slow: seven replicas
 /// changed their leader about once a second, and served half of the requests.
 #[test]
-fn slow_disks_everywhere_do_not_pass_the_lead_round() {
+fn slow_disks_everywhere_do_not_rotate_leadership_endlessly() {
     const SLOW_FOR: Duration = Duration::from_secs(40);
-    const LOOK: Duration = Duration::from_millis(50);
-    const LEAST_LEAD: Duration = Duration::from_secs(4);
-    let impatient = CoreSettings {
+    const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
+    const MIN_MEAN_LEADERSHIP: Duration = Duration::from_secs(4);
+    let short_timeouts = CoreSettings {
         heartbeat: Duration::from_millis(70),
         election: Duration::from_millis(350),
         slow_commit: Some(Duration::from_millis(450)),
         ..fleet::core_settings()
     };
     for seed in 0..6 {
-        let mut fleet = Fleet::with(impatient, seed, 7);
+        let mut fleet = Fleet::with(short_timeouts, seed, 7);
         fleet.run_for(Duration::from_secs(5));
-        fleet.weather.hanging = 1.0;
+        fleet.conditions.slow_sync_rate = 1.0;
         let end = fleet.now + SLOW_FOR;
-        let mut led = BTreeSet::new();
+        let mut led_terms = BTreeSet::new();
         while fleet.now < end {
-            fleet.run_for(LOOK);
-            led.extend(fleet.leader().map(|leader| fleet.term(leader)));
+            fleet.run_for(SAMPLE_INTERVAL);
+            led_terms.extend(fleet.leader().map(|leader| fleet.term(leader)));
         }
-        let most = SLOW_FOR.as_secs() / LEAST_LEAD.as_secs();
-        let leaders = led.len() as u64;
+        let max_leaders = SLOW_FOR.as_secs() / MIN_MEAN_LEADERSHIP.as_secs();
+        let leaders = led_terms.len() as u64;
         assert!(
-            leaders <= most,
+            leaders <= max_leaders,
             "seed {seed}: {leaders} leaders in {SLOW_FOR:?}"
         );
-        fleet.weather.clear();
+        fleet.conditions.clear();
         fleet.converge();
     }
 }
--- a/crates/anvil_ledger/tests/inspect.rs
+++ b/crates/anvil_ledger/tests/inspect.rs
@@ -57,7 +57,7 @@
 }
 
 /// Writes a folder with six entries, four of them covered by a snapshot.
-fn fill(folder: &Path) -> Result<(), Failure> {
+fn write_folder(folder: &Path) -> Result<(), Failure> {
     let (mut storage, _) = Storage::open(Disk::folder(folder)?, 7)?;
     let mut machine = Machine::default();
     let mut prev = EntryId::default();
@@ -95,9 +95,9 @@
 }
 
 #[test]
-fn a_whole_folder_is_shown() -> Result<(), Failure> {
+fn an_intact_folder_is_reported() -> Result<(), Failure> {
     let folder = tempfile::tempdir()?;
-    fill(folder.path())?;
+    write_folder(folder.path())?;
     let report = inspect(folder.path())?;
     assert_eq!(report.id, 7);
     assert_eq!(report.last, EntryId { term: 1, index: 6 });
@@ -111,9 +111,9 @@
 
 /// Guards against a damaged log that is reported without file and offset.
 #[test]
-fn damage_is_named_with_file_and_byte() -> Result<(), Failure> {
+fn damage_is_reported_with_file_and_offset() -> Result<(), Failure> {
     let folder = tempfile::tempdir()?;
-    fill(folder.path())?;
+    write_folder(folder.path())?;
     let segment = folder.path().join("log-0000000001");
     let mut bytes = std::fs::read(&segment)?;
     bytes[200] ^= 1;
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_folder_without_a_replica_is_said_so() -> Result<(), Failure> {
+fn a_folder_without_a_replica_is_reported() -> Result<(), Failure> {
     let folder = tempfile::tempdir()?;
     let failed = inspect(folder.path());
     assert!(matches!(failed, Err(InspectError::Empty { .. })));
--- a/crates/anvil_ledger/tests/limits.rs
+++ b/crates/anvil_ledger/tests/limits.rs
@@ -23,12 +23,12 @@
 }
 
 fn limit_of(limits: &Limits, endpoint: &str) -> Option<RateLimit> {
-    limits.all().get(endpoint).map(|named| named.limit)
+    limits.all().get(endpoint).map(|announced| announced.limit)
 }
 
 /// Guards against routers that don't learn of a limit, of its change, or of its end.
 #[test]
-fn the_newest_word_of_an_endpoint_holds() {
+fn the_newest_report_on_an_endpoint_holds() {
     let mut limits = Limits::default();
     let all = BTreeSet::from(["a".into()]);
     for (second, limit) in (0..).zip([Some(2_000), Some(1_000), None]) {
@@ -41,7 +41,7 @@
 /// Guards against limits that are kept although their endpoints are gone and nobody reports them
 /// any more.
 #[test]
-fn limits_are_forgotten_and_bounded() {
+fn limits_expire_and_are_bounded() {
     let mut limits = Limits::default();
     limits.report(&limit_at("gone", Some(1_000), 0));
     limits.report(&limit_at("here", Some(1_000), 0));
@@ -57,7 +57,7 @@
 
 /// Guards against limits that a replica loses when it restarts, or that followers don't receive.
 #[test]
-fn a_snapshot_keeps_limits_and_followers_are_told() {
+fn a_snapshot_keeps_limits_and_followers_receive_them() {
     let mut machine = Machine::default();
     let command = Command::ReportLimit(limit_at("a", Some(1_000), 0));
     let entry = Entry {
--- a/crates/anvil_ledger/tests/random_failures.rs
+++ b/crates/anvil_ledger/tests/random_failures.rs
@@ -7,10 +7,10 @@
 #[path = "support/faults.rs"]
 mod faults;
 #[path = "support/fleet.rs"]
-#[allow(dead_code, reason = "the stories use the rest")]
+#[allow(dead_code, reason = "failures.rs uses the rest")]
 mod fleet;
 #[path = "support/mem_disk.rs"]
-#[allow(dead_code, reason = "the storage's own tests use the rest")]
+#[allow(dead_code, reason = "storage_failures.rs uses the rest")]
 mod mem_disk;
 
 use fleet::Fleet;
@@ -22,11 +22,11 @@
 /// messages, operators that race and resend. Acknowledged changes have to stand on every replica
 /// after every heal.
 #[test]
-fn everything_at_once() {
+fn random_faults_together_keep_all_invariants() {
     for seed in 0..12 {
         let replicas = if seed % 3 == 0 { 5 } else { 3 };
         let mut fleet = Fleet::new(seed, replicas);
-        fleet.trouble(seed % 2 == 1);
+        fleet.start_faults(seed % 2 == 1);
         while fleet.steps < STEPS && fleet.step() {}
         fleet.converge();
         assert!(fleet.checks.counts.acknowledged_kept > 100, "seed {seed}");
--- a/crates/anvil_ledger/tests/state_money.rs
+++ b/crates/anvil_ledger/tests/state_money.rs
@@ -8,7 +8,7 @@
 use fixture::{Fixture, asking, at, batch, reporting};
 
 #[test]
-fn a_grant_is_taken_out_of_what_is_left() -> Result<(), Denial> {
+fn a_grant_reduces_what_is_left() -> Result<(), Denial> {
     let mut f = Fixture::with_team();
     let answer = f.grants(asking(batch("r1", 1, 1), "nairobi", 100, 10))?;
     assert_eq!(answer.opened[0].amount, 100);
@@ -18,12 +18,12 @@
 }
 
 #[test]
-fn one_ask_takes_a_quarter_of_the_rest_unless_it_needs_more() -> Result<(), Denial> {
+fn a_grant_is_at_most_a_quarter_of_the_rest_unless_more_is_needed() -> Result<(), Denial> {
     let mut f = Fixture::with_team();
-    let greedy = f.grants(asking(batch("r1", 1, 1), "nairobi", 5_000, 10))?;
-    assert_eq!(greedy.opened[0].amount, 250);
-    let needy = f.grants(asking(batch("r2", 1, 1), "nairobi", 5_000, 700))?;
-    assert_eq!(needy.opened[0].amount, 700);
+    let large_ask = f.grants(asking(batch("r1", 1, 1), "nairobi", 5_000, 10))?;
+    assert_eq!(large_ask.opened[0].amount, 250);
+    let large_minimum = f.grants(asking(batch("r2", 1, 1), "nairobi", 5_000, 700))?;
+    assert_eq!(large_minimum.opened[0].amount, 700);
     Ok(())
 }
 
@@ -43,7 +43,7 @@
 /// Guards against a report that arrives late and lowers a charge: an older report of 40 tokens
 /// after one of 70 would return 30 spent tokens to the budget.
 #[test]
-fn a_late_report_never_lowers_the_bill() -> Result<(), Denial> {
+fn a_late_report_never_lowers_the_charge() -> Result<(), Denial> {
     let mut f = Fixture::with_team();
     let opened = f.grants(asking(batch("r1", 1, 1), "nairobi", 100, 10))?;
     let grant = opened.opened[0].id;
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_report_over_the_grant_is_denied_whole() -> Result<(), Denial> {
+fn a_report_above_the_grant_denies_the_whole_batch() -> Result<(), Denial> {
     let mut f = Fixture::with_team();
     let opened = f.grants(asking(batch("r1", 1, 1), "nairobi", 100, 10))?;
     let grant = opened.opened[0].id;
@@ -74,16 +74,16 @@
 /// lie in the grant of an idle router. Another router asks and is refused, the grant is recalled
 /// and closed, and the next ask succeeds.
 #[test]
-fn unspent_money_is_called_back_near_the_end() -> Result<(), Denial> {
+fn unspent_grants_are_recalled_near_the_end_of_a_budget() -> Result<(), Denial> {
     let mut f = Fixture::with_team();
     let idle = f.grants(asking(batch("idle", 1, 1), "nairobi", 1_000, 1_000))?;
     let grant = idle.opened[0].id;
     let refused = f.grants(asking(batch("busy", 1, 1), "nairobi", 100, 50))?;
     assert_eq!(refused.refused[0].outstanding, 1_000);
-    let told = f.grants(batch("idle", 1, 2))?;
-    assert_eq!(told.recalled, [grant]);
-    let back = f.grants(reporting(batch("idle", 1, 3), grant, 20, true))?;
-    assert_eq!(back.closed, [grant]);
+    let recall_answer = f.grants(batch("idle", 1, 2))?;
+    assert_eq!(recall_answer.recalled, [grant]);
+    let closing = f.grants(reporting(batch("idle", 1, 3), grant, 20, true))?;
+    assert_eq!(closing.closed, [grant]);
     let granted = f.grants(asking(batch("busy", 1, 2), "nairobi", 100, 50))?;
     assert_eq!(granted.opened[0].amount, 100);
     Ok(())
@@ -92,7 +92,7 @@
 /// Guards against a router that is frozen with a batch ready, declared lost and replaced, and then
 /// sends the batch: it would open a grant that nobody closes.
 #[test]
-fn a_thawed_router_gets_nothing() -> Result<(), Denial> {
+fn a_fenced_router_gets_no_grant() -> Result<(), Denial> {
     let mut f = Fixture::with_team();
     f.join("r1", 1, Role::Router);
     f.grants(asking(batch("r1", 1, 1), "nairobi", 100, 10))?;
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_fenced_grant_closes_at_the_evidence_or_the_report_whichever_is_more() -> Result<(), Denial> {
+fn a_fenced_grant_closes_at_the_higher_of_evidence_and_report() -> Result<(), Denial> {
     let mut f = Fixture::with_team();
     let opened = f.grants(asking(batch("r1", 1, 1), "nairobi", 100, 10))?;
     let grant = opened.opened[0].id;
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_write_off_needs_a_fenced_grant_and_is_written_down() -> Result<(), Denial> {
+fn a_write_off_needs_a_fenced_grant_and_is_audited() -> Result<(), Denial> {
     let mut f = Fixture::with_team();
     f.join("r1", 1, Role::Router);
     let opened = f.grants(asking(batch("r1", 1, 1), "nairobi", 100, 10))?;
--- a/crates/anvil_ledger/tests/state_routing.rs
+++ b/crates/anvil_ledger/tests/state_routing.rs
@@ -74,7 +74,7 @@
 /// Guards against a table in force that is reverted by another operator's table, by an older one
 /// that arrives late, or by one that is resent because its answer was lost. All are acknowledged.
 #[test]
-fn the_highest_number_is_in_force_whatever_comes_after_it() {
+fn an_older_or_resent_table_never_replaces_a_newer_one() {
     let mut ledger = Ledger::new();
     assert_eq!(ledger.replace(7, "seven", 0), Answer::Routing(7));
     let version = ledger.state.version();
@@ -90,7 +90,7 @@
 
 /// Guards against another table under the version in force, sent by mistake or by another operator.
 #[test]
-fn other_content_under_the_same_number_changes_nothing() {
+fn other_content_under_the_same_version_changes_nothing() {
     let mut ledger = Ledger::new();
     ledger.replace(7, "seven", 100);
     assert_eq!(ledger.replace(7, "another", 5_000), Answer::Routing(7));
@@ -101,7 +101,7 @@
 /// Guards against a change of the table by revision, which could replace an accepted table by an
 /// older one.
 #[test]
-fn the_table_is_not_changed_by_revision() {
+fn the_table_can_not_be_changed_by_revision() {
     let mut ledger = Ledger::new();
     ledger.replace(7, "seven", 0);
     let revision = ledger.state.tree()[&TreePath::Routing].revision;
@@ -120,7 +120,7 @@
 /// Guards against a raised budget whose new tokens can't be granted, and against raising it twice
 /// by the same table.
 #[test]
-fn a_raised_budget_is_worth_what_the_table_says() {
+fn a_raised_budget_has_the_credit_in_the_table() {
     let mut ledger = Ledger::new();
     ledger.replace(1, "one", 100);
     assert_eq!(ledger.batch(Vec::new(), 80).len(), 1);
@@ -135,7 +135,7 @@
 /// granted, open grants are recalled, and as they are closed the credit falls to its new amount,
 /// but not below what was used.
 #[test]
-fn a_lowered_budget_sinks_as_its_grants_come_back() {
+fn a_lowered_budget_falls_as_its_grants_are_closed() {
     let mut ledger = Ledger::new();
     ledger.replace(1, "one", 1_000);
     let grants = ledger.batch(Vec::new(), 600);
--- a/crates/anvil_ledger/tests/state_tree.rs
+++ b/crates/anvil_ledger/tests/state_tree.rs
@@ -16,7 +16,7 @@
 /// Guards against a lost update: two operators read the same revision of a team and both change it.
 /// One wins; the other learns who changed it and how, and its own text changes nothing.
 #[test]
-fn of_two_operators_under_equal_numbers_one_wins() {
+fn of_two_changes_under_one_revision_one_wins() {
     let mut f = Fixture::with_team();
     let revision = f.state.tree()[&path("teams/counter")].revision;
     let first = f.change("a", "teams/counter", revision, &team("", "mombasa = 1"));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_document_names_only_what_is_there() {
+fn a_document_references_only_existing_documents() {
     let mut f = Fixture::with_team();
     let change = f.change("a", "teams/new", 0, &team("", "nowhere = 1"));
     let answer = f.apply(&Command::Change(change));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_wrong_document_is_denied_with_line_and_what_is_allowed() {
+fn an_invalid_document_is_denied_with_line_and_allowed_keys() {
     let mut f = Fixture::with_team();
     let change = f.change("a", "fleet", 0, "max_body = 4096\nqueue_timout = \"3s\"\n");
     let answer = f.apply(&Command::Change(change));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn followers_are_told_only_what_changed() {
+fn followers_receive_only_what_changed() {
     let mut f = Fixture::with_team();
     let version = f.state.version();
     f.join("s1", 1, Role::Sidecar);
@@ -123,7 +123,7 @@
 /// Guards against a router that was declared gone while frozen and then joins again: its grants may
 /// be closed, so it has to come back as a new incarnation.
 #[test]
-fn a_gone_life_never_comes_back() {
+fn a_gone_incarnation_never_rejoins() {
     let mut f = Fixture::default();
     f.join("r1", 1, Role::Router);
     let gone = SetPresence {
@@ -168,7 +168,7 @@
 /// Guards against a late "not run" from an earlier attempt that releases the key of a completed
 /// order, so that a retry places it a second time.
 #[test]
-fn a_late_not_run_frees_no_completed_claim() {
+fn a_late_not_run_releases_no_completed_claim() {
     let mut f = Fixture::default();
     f.apply(&Command::Claim(claim("s1", 1)));
     let key = claim("s1", 1).key;
@@ -192,7 +192,7 @@
 /// a retry claims the key anew and runs; if the first "not run" came again and released that claim,
 /// the next retry would place the order twice.
 #[test]
-fn a_late_not_run_frees_no_later_claim() {
+fn a_late_not_run_releases_no_later_claim() {
     let mut f = Fixture::default();
     f.apply(&Command::Claim(claim("s1", 1)));
     let late = Command::SettleClaim(SettleClaim {
@@ -210,7 +210,7 @@
 /// Guards against an order that nobody runs: the answer to a claim is lost, and the router that
 /// resends the claim has to learn that it is its own.
 #[test]
-fn a_resent_claim_is_still_its_makers() {
+fn a_resent_claim_is_still_fresh() {
     let mut f = Fixture::default();
     f.apply(&Command::Claim(claim("s1", 1)));
     let Answer::Claimed(record) = f.apply(&Command::Claim(claim("s1", 1))) else {
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_claim_is_forgotten_after_the_fleets_time() {
+fn a_claim_expires_after_keep_claims() {
     let mut f = Fixture::default();
     f.put("fleet", "keep_claims = \"1h\"");
     f.apply(&Command::Claim(claim("s1", 0)));
--- a/crates/anvil_ledger/tests/storage_failures.rs
+++ b/crates/anvil_ledger/tests/storage_failures.rs
@@ -70,7 +70,7 @@
 
 /// Appends, entries replaced by a new leader, snapshots, a compaction, an installed snapshot, and
 /// more appends.
-fn life() -> Vec<Step> {
+fn write_steps() -> Vec<Step> {
     vec![
         write(1, 1, 1, 5),
         write(2, 1, 6, 8),
@@ -93,37 +93,41 @@
     covered: u64,
 }
 
-fn take(storage: &mut Storage, step: &Step, told: &mut Acknowledged) -> Result<(), StorageError> {
+fn run_step(
+    storage: &mut Storage,
+    step: &Step,
+    acked: &mut Acknowledged,
+) -> Result<(), StorageError> {
     match step {
         Step::Write(write) => {
             // A leader of a newer term replaces these entries: their acknowledgement is void,
             // whether or not the new entries are durable.
-            told.last = told.last.min(write.prev);
+            acked.last = acked.last.min(write.prev);
             storage.write(write)?;
             storage.sync()?;
-            told.term = write.hard.unwrap_or_default().term;
-            told.last = write.entries.last().map_or(told.last, |entry| entry.id);
+            acked.term = write.hard.unwrap_or_default().term;
+            acked.last = write.entries.last().map_or(acked.last, |entry| entry.id);
         }
         Step::Save(meta) => {
             snapshot::prepare(storage.disk(), snapshot::TEMPORARY, meta, b"state")?;
             storage.publish_snapshot(meta)?;
-            told.covered = meta.last.index;
+            acked.covered = meta.last.index;
         }
         Step::Install(meta) => {
             storage.install(meta, b"installed")?;
-            told.covered = meta.last.index;
-            told.last = meta.last;
+            acked.covered = meta.last.index;
+            acked.last = meta.last;
         }
         Step::Compact(upto) => storage.compact(*upto)?,
     }
     Ok(())
 }
 
-fn check(found: &Recovered, told: &Acknowledged, at: u64) {
-    assert!(found.hard.term >= told.term, "term lost, killed at {at}");
-    assert!(found.last() >= told.last, "entries lost, killed at {at}");
+fn check_recovered(found: &Recovered, acked: &Acknowledged, at: u64) {
+    assert!(found.hard.term >= acked.term, "term lost, killed at {at}");
+    assert!(found.last() >= acked.last, "entries lost, killed at {at}");
     let covered = found.snapshot.as_ref().map_or(0, |s| s.meta.last.index);
-    assert!(covered >= told.covered, "snapshot lost, killed at {at}");
+    assert!(covered >= acked.covered, "snapshot lost, killed at {at}");
     assert!(found.base.index <= covered, "a gap, killed at {at}");
     let mut expected = found.base.index;
     for entry in &found.entries {
@@ -137,31 +141,31 @@
 /// append, before or after a sync, a rename, or the sync of the folder. Only synced bytes are
 /// durable, and a file's new name only once the folder is synced.
 #[test]
-fn a_kill_at_every_step_loses_nothing_acknowledged() -> Result<(), Failure> {
-    let whole = MemDisk::default();
-    let (mut storage, _) = Storage::open(whole.disk(), DISK)?;
-    let mut told = Acknowledged::default();
-    for step in life() {
-        take(&mut storage, &step, &mut told)?;
+fn a_crash_at_every_operation_loses_nothing_acknowledged() -> Result<(), Failure> {
+    let original = MemDisk::default();
+    let (mut storage, _) = Storage::open(original.disk(), DISK)?;
+    let mut acked = Acknowledged::default();
+    for step in write_steps() {
+        run_step(&mut storage, &step, &mut acked)?;
     }
-    let steps = whole.operations();
+    let steps = original.operations();
     for at in 0..steps {
         for seed in 0..20 {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
             let disk = MemDisk::default();
             disk.fail_at(Some(at));
-            let mut told = Acknowledged::default();
+            let mut acked = Acknowledged::default();
             if let Ok((mut storage, _)) = Storage::open(disk.disk(), DISK) {
-                for step in life() {
-                    if take(&mut storage, &step, &mut told).is_err() {
+                for step in write_steps() {
+                    if run_step(&mut storage, &step, &mut acked).is_err() {
                         break;
                     }
                 }
             }
             disk.crash(&mut rng);
             let (mut storage, found) = Storage::open(disk.disk(), DISK + 1)?;
-            check(&found, &told, at);
-            if told.term > 0 {
+            check_recovered(&found, &acked, at);
+            if acked.term > 0 {
                 assert_eq!(storage.id(), DISK, "identity lost, killed at {at}");
             }
             // A second crash right after recovery, then a write.
@@ -188,19 +192,19 @@
 /// or every change after the bit would be lost.
 #[test]
 fn a_flipped_bit_is_reported_wherever_it_is() -> Result<(), Failure> {
-    let whole = MemDisk::default();
-    let (mut storage, _) = Storage::open(whole.disk(), DISK)?;
-    let mut told = Acknowledged::default();
-    for step in life() {
-        take(&mut storage, &step, &mut told)?;
+    let original = MemDisk::default();
+    let (mut storage, _) = Storage::open(original.disk(), DISK)?;
+    let mut acked = Acknowledged::default();
+    for step in write_steps() {
+        run_step(&mut storage, &step, &mut acked)?;
     }
     let mut flips = 0;
-    for name in whole.names() {
-        let bytes = whole.bytes(&name);
-        let acknowledged = acknowledged_bytes(&name, &bytes);
-        for at in 0..acknowledged {
-            let disk = whole.copy();
-            disk.flip(&name, at);
+    for name in original.names() {
+        let bytes = original.bytes(&name);
+        let proven = proven_length(&name, &bytes);
+        for at in 0..proven {
+            let disk = original.copy();
+            disk.flip_bit(&name, at);
             let opened = Storage::open(disk.disk(), DISK + 1);
             assert!(opened.is_err(), "byte {at} of {name} was skipped over");
             flips += 1;
@@ -211,7 +215,7 @@
 }
 
 /// Length without the empty frame after the last sync, which proves the others.
-fn acknowledged_bytes(name: &str, bytes: &[u8]) -> usize {
+fn proven_length(name: &str, bytes: &[u8]) -> usize {
     const EMPTY_FRAME: usize = 20;
     if name.starts_with("log-") {
         bytes.len() - EMPTY_FRAME
@@ -224,16 +228,16 @@
 /// snapshot or the identity is missing.
 #[test]
 fn a_missing_file_is_reported() -> Result<(), Failure> {
-    let whole = MemDisk::default();
-    let (mut storage, _) = Storage::open(whole.disk(), DISK)?;
-    let mut told = Acknowledged::default();
-    for step in life() {
-        take(&mut storage, &step, &mut told)?;
+    let original = MemDisk::default();
+    let (mut storage, _) = Storage::open(original.disk(), DISK)?;
+    let mut acked = Acknowledged::default();
+    for step in write_steps() {
+        run_step(&mut storage, &step, &mut acked)?;
     }
     drop(storage);
-    Storage::open(whole.disk(), DISK)?;
+    Storage::open(original.disk(), DISK)?;
     for name in ["identity", "snapshot"] {
-        let disk = whole.copy();
+        let disk = original.copy();
         disk.disk().run(anvil_ledger::storage::Op::Remove(name))?;
         let opened = Storage::open(disk.disk(), DISK + 1);
         assert!(matches!(
@@ -250,16 +254,16 @@
 /// Guards against writes after a failed one, even if space comes back: the contents of the disk are
 /// unknown.
 #[test]
-fn a_full_disk_stops_for_good() -> Result<(), Failure> {
+fn nothing_is_written_after_a_full_disk() -> Result<(), Failure> {
     let disk = MemDisk::default();
     let (mut storage, _) = Storage::open(disk.disk(), DISK)?;
-    let mut told = Acknowledged::default();
-    let steps = life();
-    take(&mut storage, &steps[0], &mut told)?;
+    let mut acked = Acknowledged::default();
+    let steps = write_steps();
+    run_step(&mut storage, &steps[0], &mut acked)?;
     disk.fail_at(Some(disk.operations()));
-    assert!(take(&mut storage, &steps[1], &mut told).is_err());
+    assert!(run_step(&mut storage, &steps[1], &mut acked).is_err());
     disk.fail_at(None);
-    let later = take(&mut storage, &steps[1], &mut told);
+    let later = run_step(&mut storage, &steps[1], &mut acked);
     assert!(matches!(later, Err(StorageError::Failed)));
     Ok(())
 }
@@ -290,11 +294,11 @@
 fn an_older_snapshot_never_replaces_a_newer_one() -> Result<(), Failure> {
     let disk = MemDisk::default();
     let (mut storage, _) = Storage::open(disk.disk(), DISK)?;
-    let mut told = Acknowledged::default();
-    take(&mut storage, &write(1, 1, 1, 5), &mut told)?;
+    let mut acked = Acknowledged::default();
+    run_step(&mut storage, &write(1, 1, 1, 5), &mut acked)?;
     let own = meta(1, 4);
     snapshot::prepare(storage.disk(), snapshot::TEMPORARY, &own, b"state")?;
-    take(&mut storage, &Step::Install(meta(3, 20)), &mut told)?;
+    run_step(&mut storage, &Step::Install(meta(3, 20)), &mut acked)?;
     storage.publish_snapshot(&own)?;
     let (_, found) = Storage::open(disk.disk(), DISK)?;
     assert_eq!(found.snapshot.map(|s| s.meta.last.index), Some(20));
--- a/crates/anvil_ledger/tests/support/checks.rs
+++ b/crates/anvil_ledger/tests/support/checks.rs
@@ -8,7 +8,7 @@
 
 /// An entry as first applied by any replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Seen {
+struct AppliedEntry {
     id: EntryId,
     hash: u64,
 }
@@ -37,25 +37,25 @@
 /// The record against which all replicas are checked.
 #[derive(Debug, Default)]
 pub struct Checks {
-    applied: BTreeMap<LogIndex, Seen>,
+    applied: BTreeMap<LogIndex, AppliedEntry>,
     leaders: BTreeMap<Term, ReplicaId>,
     winners: BTreeMap<Revision, ChangeId>,
     newest_acknowledged: LogIndex,
     pub counts: Counts,
 }
 
-fn seen(entry: &Entry) -> Seen {
+fn applied_entry(entry: &Entry) -> AppliedEntry {
     let hash = match &entry.payload {
         Payload::Blank => 0,
         Payload::Data(data) => xxh3_64(data),
         Payload::Membership(membership) => xxh3_64(format!("{membership:?}").as_bytes()),
     };
-    Seen { id: entry.id, hash }
+    AppliedEntry { id: entry.id, hash }
 }
 
 impl Checks {
     pub fn applied(&mut self, entry: &Entry) {
-        let now = seen(entry);
+        let now = applied_entry(entry);
         let first = self.applied.entry(entry.id.index);
         let first = first.or_insert_with(|| now.clone());
         assert_eq!(*first, now, "two replicas applied different entries");
@@ -70,7 +70,10 @@
     }
 
     pub fn acknowledged(&mut self, id: EntryId) {
-        let kept = self.applied.get(&id.index).map(|seen| seen.id);
+        let kept = self
+            .applied
+            .get(&id.index)
+            .map(|applied_entry| applied_entry.id);
         assert_eq!(kept, Some(id), "an acknowledged entry is another one");
         self.newest_acknowledged = self.newest_acknowledged.max(id.index);
         self.counts.acknowledged_kept += 1;
@@ -85,7 +88,7 @@
         self.counts.reads_fresh += 1;
     }
 
-    pub fn won(&mut self, expected: Revision, id: &ChangeId) {
+    pub fn change_won(&mut self, expected: Revision, id: &ChangeId) {
         let first = self.winners.entry(expected).or_insert_with(|| id.clone());
         assert_eq!(first, id, "two changes won under revision {expected}");
         self.counts.one_winner += 1;
--- a/crates/anvil_ledger/tests/support/clients.rs
+++ b/crates/anvil_ledger/tests/support/clients.rs
@@ -14,7 +14,7 @@
 use super::checks::Checks;
 
 /// Wall-clock time at the beginning of the simulation, since the Unix epoch.
-const EPOCH: Duration = Duration::from_hours(500_000);
+const START_TIME: Duration = Duration::from_hours(500_000);
 /// Number of budgets.
 const BUDGETS: u64 = 4;
 
@@ -27,7 +27,7 @@
     Router,
     Reader,
     /// Creates organisations and budgets, and occasionally fences a router.
-    Steward,
+    Admin,
 }
 
 /// A client with at most one command in flight.
@@ -36,9 +36,9 @@
     pub number: usize,
     pub kind: Kind,
     pub target: usize,
-    pub under_way: Option<Command>,
+    pub in_flight: Option<Command>,
     /// Number of commands so far.
-    pub made: u64,
+    pub command_count: u64,
     expected: Revision,
     incarnation: Incarnation,
     grants: Vec<Grant>,
@@ -46,8 +46,8 @@
     pub credited: u64,
 }
 
-fn wall(now: Duration) -> SystemTime {
-    UNIX_EPOCH + EPOCH + now
+fn wall_clock(now: Duration) -> SystemTime {
+    UNIX_EPOCH + START_TIME + now
 }
 
 fn budget(number: u64) -> BudgetId {
@@ -60,8 +60,8 @@
             number,
             kind,
             target: 0,
-            under_way: None,
-            made: 0,
+            in_flight: None,
+            command_count: 0,
             expected: 0,
             incarnation: 1,
             grants: Vec::new(),
@@ -71,23 +71,26 @@
 
     /// The command in flight, or the next one.
     pub fn command(&mut self, now: Duration, rng: &mut ChaCha8Rng) -> Command {
-        if let Some(command) = &self.under_way {
+        if let Some(command) = &self.in_flight {
             return command.clone();
         }
-        self.made += 1;
+        self.command_count += 1;
         let command = match self.kind {
             Kind::TopUps => self.top_up(now),
             Kind::Operator => self.change(now),
             Kind::Router => self.batch(rng),
-            Kind::Steward => self.steward(now, rng),
+            Kind::Admin => self.admin_command(now, rng),
             Kind::Reader => Command::Noop,
         };
-        self.under_way = Some(command.clone());
+        self.in_flight = Some(command.clone());
         command
     }
 
     fn id(&self, now: Duration) -> ChangeId {
-        change_id(wall(now), &format!("{}-{}", self.number, self.made))
+        change_id(
+            wall_clock(now),
+            &format!("{}-{}", self.number, self.command_count),
+        )
     }
 
     fn operator(&self) -> OperatorId {
@@ -98,9 +101,9 @@
         Command::TopUp(TopUp {
             id: self.id(now),
             operator: self.operator(),
-            budget: budget(self.made),
+            budget: budget(self.command_count),
             amount: 1_000,
-            at: wall(now),
+            at: wall_clock(now),
         })
     }
 
@@ -111,12 +114,12 @@
             path,
             expected,
             edit: Edit::Put(text.into()),
-            at: wall(now),
+            at: wall_clock(now),
         })
     }
 
     fn change(&self, now: Duration) -> Command {
-        let text = format!("max_body = {}\n", 1_024 + self.made);
+        let text = format!("max_body = {}\n", 1_024 + self.command_count);
         self.put(now, TreePath::Fleet, self.expected, text)
     }
 
@@ -139,7 +142,7 @@
         Command::GrantBatch(GrantBatch {
             router: self.instance_id(),
             incarnation: self.incarnation,
-            seq: self.made,
+            seq: self.command_count,
             reports,
             asks: vec![ask],
         })
@@ -149,29 +152,29 @@
         format!("router-{}", self.number).into()
     }
 
-    fn steward(&self, now: Duration, rng: &mut ChaCha8Rng) -> Command {
-        if self.made == 1 {
+    fn admin_command(&self, now: Duration, rng: &mut ChaCha8Rng) -> Command {
+        if self.command_count == 1 {
             let path = TreePath::Organisation(Arc::from("coop"));
             return self.put(now, path, 0, "weight = 1\n".into());
         }
-        if self.made <= BUDGETS + 1 {
-            let path = TreePath::Budget(budget(self.made));
+        if self.command_count <= BUDGETS + 1 {
+            let path = TreePath::Budget(budget(self.command_count));
             return self.put(now, path, 0, "organisation = \"coop\"\n".into());
         }
         let router: InstanceId = format!("router-{}", rng.random_range(0..8)).into();
         match rng.random_range(0..3) {
             0 => Command::FenceRouter(FenceRouter {
                 router,
-                incarnation: self.made / 8,
+                incarnation: self.command_count / 8,
             }),
             1 => Command::CloseGrant {
-                grant: rng.random_range(0..self.made * 4),
+                grant: rng.random_range(0..self.command_count * 4),
                 charged: rng.random_range(0..2_000),
             },
             _ => Command::Join(Join {
                 instance: Instance {
                     id: router,
-                    incarnation: 1 + self.made / 8,
+                    incarnation: 1 + self.command_count / 8,
                     role: Role::Router,
                     zone: Zone::default(),
                     addr: ([127, 0, 0, 1], 1).into(),
@@ -183,7 +186,7 @@
 
     /// Handles the answer to the command in flight.
     pub fn answered(&mut self, answer: &Answer, checks: &mut Checks) {
-        let Some(command) = self.under_way.take() else {
+        let Some(command) = self.in_flight.take() else {
             return;
         };
         match (&command, answer) {
@@ -191,7 +194,7 @@
             (Command::Change(change), Answer::Changed(receipt))
                 if change.path == TreePath::Fleet =>
             {
-                checks.won(change.expected, &change.id);
+                checks.change_won(change.expected, &change.id);
                 self.expected = receipt.revision;
             }
             (Command::Change(_), Answer::Denied(Denial::Conflict { current, .. })) => {
--- a/crates/anvil_ledger/tests/support/faults.rs
+++ b/crates/anvil_ledger/tests/support/faults.rs
@@ -6,36 +6,36 @@
 use anvil_ledger::storage::StorageError;
 use rand::RngExt;
 
-use super::fleet::{Fleet, What};
+use super::fleet::{Fleet, SimEvent};
 
 /// Present conditions of network and disks.
 #[derive(Debug, Clone)]
-pub struct Weather {
+pub struct Conditions {
     /// Directed links (from, to) that deliver nothing.
     cut: BTreeSet<(usize, usize)>,
     /// Share of messages that are lost.
-    pub lost: f64,
+    pub loss_rate: f64,
     /// Share of messages that are delivered twice.
-    pub doubled: f64,
+    pub duplicate_rate: f64,
     /// Maximum delay, in microseconds. Messages overtake each other within it.
-    pub slowest: u64,
+    pub max_delay_us: u64,
     /// Share of syncs that take up to 0.9 s.
-    pub hanging: f64,
+    pub slow_sync_rate: f64,
 }
 
-impl Default for Weather {
+impl Default for Conditions {
     fn default() -> Self {
         Self {
             cut: BTreeSet::new(),
-            lost: 0.0,
-            doubled: 0.0,
-            slowest: 2_000,
-            hanging: 0.01,
+            loss_rate: 0.0,
+            duplicate_rate: 0.0,
+            max_delay_us: 2_000,
+            slow_sync_rate: 0.01,
         }
     }
 }
 
-impl Weather {
+impl Conditions {
     pub fn is_cut(&self, from: usize, to: usize) -> bool {
         self.cut.contains(&(from, to))
     }
@@ -66,9 +66,9 @@
     pub counts: BTreeMap<&'static str, u64>,
     /// Whether faults occur ten times as often, so that elections are interrupted one after the
     /// other.
-    pub stormy: bool,
+    pub frequent: bool,
     /// Whether no more faults are to occur.
-    pub over: bool,
+    pub stopped: bool,
 }
 
 impl Faults {
@@ -87,23 +87,23 @@
 
 impl Fleet {
     /// Starts the faults.
-    pub fn trouble(&mut self, stormy: bool) {
-        self.faults.stormy = stormy;
-        self.after(Duration::from_secs(1), What::Fault);
+    pub fn start_faults(&mut self, frequent: bool) {
+        self.faults.frequent = frequent;
+        self.schedule(Duration::from_secs(1), SimEvent::Fault);
     }
 
     /// Causes one random fault, and schedules the next. Earlier ones may still be in effect.
     pub fn fault(&mut self) {
-        if self.faults.over {
+        if self.faults.stopped {
             return;
         }
-        let most = if self.faults.stormy {
+        let max_us = if self.faults.frequent {
             300_000
         } else {
             3_000_000
         };
-        let delay = self.between(20_000, most);
-        self.after(delay, What::Fault);
+        let delay = self.random_duration(20_000, max_us);
+        self.schedule(delay, SimEvent::Fault);
         let all = self.instances.len();
         let number = self.rng.random_range(0..all);
         match self.rng.random_range(0..10) {
@@ -115,7 +115,7 @@
             5 => self.cut_one_way(number),
             6 => self.freeze(number),
             7 => self.fail_disk(number),
-            _ => self.noise(),
+            _ => self.degrade_network(),
         }
     }
 
@@ -145,7 +145,7 @@
                 group.insert(number);
             }
         }
-        self.weather.split(&group, all);
+        self.conditions.split(&group, all);
         self.heal_later(12_000_000);
     }
 
@@ -155,20 +155,20 @@
         };
         self.faults.count("leader isolated");
         let all = self.instances.len();
-        self.weather.split(&BTreeSet::from([leader]), all);
+        self.conditions.split(&BTreeSet::from([leader]), all);
         self.heal_later(30_000_000);
     }
 
     fn cut_one_way(&mut self, number: usize) {
         self.faults.count("one way cut");
         let to = self.rng.random_range(0..self.instances.len());
-        self.weather.cut(number, to);
+        self.conditions.cut(number, to);
         self.heal_later(8_000_000);
     }
 
     fn freeze(&mut self, number: usize) {
         self.faults.count("frozen");
-        let time = self.between(100_000, 4_000_000);
+        let time = self.random_duration(100_000, 4_000_000);
         self.instances[number].frozen_until = self.now + time;
     }
 
@@ -178,17 +178,21 @@
         disk.fail_at(Some(disk.operations() + ahead));
     }
 
-    fn noise(&mut self) {
+    fn degrade_network(&mut self) {
         self.faults.count("noise");
-        self.weather.lost = self.rng.random_range(0.0..0.3);
-        self.weather.doubled = self.rng.random_range(0.0..0.3);
-        self.weather.slowest = self.rng.random_range(1_000..400_000);
+        self.conditions.loss_rate = self.rng.random_range(0.0..0.3);
+        self.conditions.duplicate_rate = self.rng.random_range(0.0..0.3);
+        self.conditions.max_delay_us = self.rng.random_range(1_000..400_000);
         self.heal_later(10_000_000);
     }
 
-    fn heal_later(&mut self, most: u64) {
-        let most = if self.faults.stormy { most / 10 } else { most };
-        let delay = self.between(100_000, most);
-        self.after(delay, What::Heal);
+    fn heal_later(&mut self, max_us: u64) {
+        let max_us = if self.faults.frequent {
+            max_us / 10
+        } else {
+            max_us
+        };
+        let delay = self.random_duration(100_000, max_us);
+        self.schedule(delay, SimEvent::Heal);
     }
 }
--- a/crates/anvil_ledger/tests/support/fleet.rs
+++ b/crates/anvil_ledger/tests/support/fleet.rs
@@ -15,16 +15,16 @@
 
 use super::checks::Checks;
 use super::clients::{Client, Kind};
-use super::faults::{Faults, Weather};
+use super::faults::{Conditions, Faults};
 use super::mem_disk::MemDisk;
 
 const TICK: Duration = Duration::from_millis(50);
 /// Time after which a client resends.
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const RESEND_AFTER: Duration = Duration::from_millis(1_500);
 /// Number of entries after which a snapshot is taken.
 const SNAPSHOT_EVERY: LogIndex = 100;
 const CLIENTS: [Kind; 10] = [
-    Kind::Steward,
+    Kind::Admin,
     Kind::TopUps,
     Kind::TopUps,
     Kind::Operator,
@@ -37,7 +37,7 @@
 ];
 
 /// A scheduled event.
-pub enum What {
+pub enum SimEvent {
     Tick(usize, u64),
     Deliver(Envelope),
     Sync(usize, u64),
@@ -56,16 +56,16 @@
     storage: Storage,
     written: WriteSeq,
     sync_due: bool,
-    covered: LogIndex,
+    snapshot_index: LogIndex,
     preparing: bool,
     /// Proposals and reads in flight.
-    asked: BTreeMap<RequestId, Asked>,
-    accepted: BTreeMap<LogIndex, (Term, Asked)>,
+    pending_requests: BTreeMap<RequestId, ClientRequest>,
+    accepted: BTreeMap<LogIndex, (Term, ClientRequest)>,
 }
 
 /// Origin of a request.
 #[derive(Clone, Copy)]
-pub struct Asked {
+pub struct ClientRequest {
     client: usize,
     /// Number of the client's command: a late answer must not be taken for that of a later command.
     command: u64,
@@ -79,7 +79,7 @@
     pub disk: MemDisk,
     pub process: Option<Process>,
     /// Incarnation of the process; events of an earlier one are dropped.
-    pub life: u64,
+    pub incarnation: u64,
     pub frozen_until: Duration,
 }
 
@@ -87,14 +87,14 @@
 pub struct Fleet {
     pub rng: ChaCha8Rng,
     pub now: Duration,
-    queue: BTreeMap<(Duration, u64), What>,
+    queue: BTreeMap<(Duration, u64), SimEvent>,
     queued: u64,
     pub instances: Vec<Instance>,
     owners: BTreeMap<ReplicaId, usize>,
     clients: Vec<Client>,
-    waiting: Vec<Duration>,
+    resend_at: Vec<Duration>,
     last_request: RequestId,
-    pub weather: Weather,
+    pub conditions: Conditions,
     pub faults: Faults,
     pub checks: Checks,
     pub steps: u64,
@@ -132,10 +132,10 @@
             queued: 0,
             instances: (0..replicas).map(|_| Instance::default()).collect(),
             owners: BTreeMap::new(),
-            waiting: vec![Duration::ZERO; clients.len()],
+            resend_at: vec![Duration::ZERO; clients.len()],
             clients,
             last_request: 0,
-            weather: Weather::default(),
+            conditions: Conditions::default(),
             faults: Faults::default(),
             checks: Checks::default(),
             steps: 0,
@@ -146,7 +146,7 @@
         }
         fleet.found();
         for client in 0..CLIENTS.len() {
-            fleet.after(Duration::from_millis(5), What::Client(client));
+            fleet.schedule(Duration::from_millis(5), SimEvent::Client(client));
         }
         fleet
     }
@@ -164,23 +164,23 @@
         self.feed(0, Event::Found(membership));
     }
 
-    pub fn after(&mut self, delay: Duration, what: What) {
+    pub fn schedule(&mut self, delay: Duration, what: SimEvent) {
         self.queued += 1;
         self.queue.insert((self.now + delay, self.queued), what);
     }
 
-    pub fn between(&mut self, least: u64, most: u64) -> Duration {
-        Duration::from_micros(self.rng.random_range(least..=most))
+    pub fn random_duration(&mut self, min_us: u64, max_us: u64) -> Duration {
+        Duration::from_micros(self.rng.random_range(min_us..=max_us))
     }
 
     /// Starts the process on an instance, from its disk.
     pub fn start(&mut self, number: usize) {
-        let fresh = self.rng.random_range(1..=u64::MAX);
+        let new_id = self.rng.random_range(1..=u64::MAX);
         let instance = &mut self.instances[number];
         if instance.process.is_some() {
             return;
         }
-        let opened = Storage::open(instance.disk.disk(), fresh);
+        let opened = Storage::open(instance.disk.disk(), new_id);
         let (storage, found) = match opened {
             Ok(opened) => opened,
             Err(e @ StorageError::Io { .. }) => {
@@ -188,7 +188,7 @@
                 self.crash(number, true);
                 return;
             }
-            Err(e) => panic!("instance {number} can't read its disk back: {e}"),
+            Err(e) => panic!("instance {number} can't recover its disk: {e}"),
         };
         let snapshot = found.snapshot;
         let machine = snapshot.as_ref().map_or_else(Machine::default, |snapshot| {
@@ -205,33 +205,33 @@
         let seed = self.rng.random();
         let replica = Replica::new(restored, self.core, seed, self.now);
         let instance = &mut self.instances[number];
-        instance.life += 1;
-        let life = instance.life;
+        instance.incarnation += 1;
+        let incarnation = instance.incarnation;
         instance.process = Some(Process {
-            covered: replica.committed(),
+            snapshot_index: replica.committed(),
             replica,
             machine,
             storage,
             written: 0,
             sync_due: false,
             preparing: false,
-            asked: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             accepted: BTreeMap::new(),
         });
-        let delay = self.between(1, 50_000);
-        self.after(delay, What::Tick(number, life));
+        let delay = self.random_duration(1, 50_000);
+        self.schedule(delay, SimEvent::Tick(number, incarnation));
     }
 
     /// Ends the process; with `power`, unsynced data is lost too.
     pub fn crash(&mut self, number: usize, power: bool) {
         let instance = &mut self.instances[number];
         instance.process = None;
-        instance.life += 1;
+        instance.incarnation += 1;
         if power {
             instance.disk.crash(&mut self.rng);
         }
-        let delay = self.between(20_000, 3_000_000);
-        self.after(delay, What::Restart(number));
+        let delay = self.random_duration(20_000, 3_000_000);
+        self.schedule(delay, SimEvent::Restart(number));
     }
 
     pub fn process(&mut self, number: usize) -> Option<&mut Process> {
@@ -246,55 +246,55 @@
         self.now = self.now.max(time);
         self.steps += 1;
         if let Some(until) = self.frozen(&what) {
-            self.after(until.saturating_sub(self.now), what);
+            self.schedule(until.saturating_sub(self.now), what);
             return true;
         }
-        self.take(what);
+        self.run_event(what);
         true
     }
 
-    fn frozen(&self, what: &What) -> Option<Duration> {
+    fn frozen(&self, what: &SimEvent) -> Option<Duration> {
         let number = match what {
-            What::Tick(number, ..)
-            | What::Sync(number, ..)
-            | What::Publish(number, ..)
-            | What::Fetched(number, ..) => *number,
-            What::Deliver(envelope) => *self.owners.get(&envelope.to)?,
+            SimEvent::Tick(number, ..)
+            | SimEvent::Sync(number, ..)
+            | SimEvent::Publish(number, ..)
+            | SimEvent::Fetched(number, ..) => *number,
+            SimEvent::Deliver(envelope) => *self.owners.get(&envelope.to)?,
             _ => return None,
         };
         let until = self.instances[number].frozen_until;
         (until > self.now).then_some(until)
     }
 
-    fn take(&mut self, what: What) {
+    fn run_event(&mut self, what: SimEvent) {
         match what {
-            What::Tick(number, life) => {
-                if self.instances[number].life == life {
-                    self.after(TICK, What::Tick(number, life));
+            SimEvent::Tick(number, incarnation) => {
+                if self.instances[number].incarnation == incarnation {
+                    self.schedule(TICK, SimEvent::Tick(number, incarnation));
                     self.feed(number, Event::Tick);
-                    self.ask_in(number);
+                    self.request_join(number);
                 }
             }
-            What::Deliver(envelope) => self.deliver(envelope),
-            What::Sync(number, life) => {
-                if self.instances[number].life == life {
+            SimEvent::Deliver(envelope) => self.deliver(envelope),
+            SimEvent::Sync(number, incarnation) => {
+                if self.instances[number].incarnation == incarnation {
                     self.sync(number);
                 }
             }
-            What::Publish(number, life, meta) => {
-                if self.instances[number].life == life {
+            SimEvent::Publish(number, incarnation, meta) => {
+                if self.instances[number].incarnation == incarnation {
                     self.publish(number, meta);
                 }
             }
-            What::Fetched(number, life, from) => {
-                if self.instances[number].life == life {
+            SimEvent::Fetched(number, incarnation, from) => {
+                if self.instances[number].incarnation == incarnation {
                     self.fetched(number, from);
                 }
             }
-            What::Client(client) => self.client(client),
-            What::Restart(number) => self.start(number),
-            What::Fault => self.fault(),
-            What::Heal => self.weather.clear(),
+            SimEvent::Client(client) => self.client(client),
+            SimEvent::Restart(number) => self.start(number),
+            SimEvent::Fault => self.fault(),
+            SimEvent::Heal => self.conditions.clear(),
         }
     }
 
@@ -303,7 +303,7 @@
             return;
         };
         if let Some(from) = self.owners.get(&envelope.from)
-            && self.weather.is_cut(*from, number)
+            && self.conditions.is_cut(*from, number)
         {
             return;
         }
@@ -321,7 +321,7 @@
         };
         let actions = process.replica.handle(now, event);
         for action in actions {
-            self.act(number, action);
+            self.run_action(number, action);
         }
         if let Some(process) = self.instances[number].process.as_ref()
             && process.replica.leads()
@@ -331,7 +331,7 @@
         }
     }
 
-    fn act(&mut self, number: usize, action: Action) {
+    fn run_action(&mut self, number: usize, action: Action) {
         match action {
             Action::Write(write) => {
                 let Some(process) = self.process(number) else {
@@ -339,28 +339,30 @@
                 };
                 process.written = write.seq;
                 let written = process.storage.write(&write);
-                self.after_disk(number, written);
-                self.sync_soon(number);
+                self.check_disk_result(number, written);
+                self.schedule_sync(number);
             }
             Action::Install { seq, meta, data } => {
                 let Some(process) = self.process(number) else {
                     return;
                 };
                 process.machine = Machine::restore(&data).expect("a snapshot is readable");
-                process.covered = meta.last.index;
+                process.snapshot_index = meta.last.index;
                 process.written = seq;
                 let installed = process.storage.install(&meta, &data);
                 self.faults.count("snapshot installed");
-                self.after_disk(number, installed);
-                self.sync_soon(number);
+                self.check_disk_result(number, installed);
+                self.schedule_sync(number);
             }
             Action::Send(envelope) => self.send(number, envelope),
             Action::Apply(entries) => self.apply(number, &entries),
             Action::Accepted { id, entry } => {
                 if let Some(process) = self.process(number)
-                    && let Some(asked) = process.asked.remove(&id)
+                    && let Some(client_request) = process.pending_requests.remove(&id)
                 {
-                    process.accepted.insert(entry.index, (entry.term, asked));
+                    process
+                        .accepted
+                        .insert(entry.index, (entry.term, client_request));
                 }
             }
             Action::Refused { id, .. } => self.refused(number, id),
@@ -378,33 +380,33 @@
                     return;
                 };
                 let done = process.storage.compact(upto);
-                self.after_disk(number, done);
+                self.check_disk_result(number, done);
             }
             Action::Stop(e) => panic!("instance {number}: {e}"),
         }
     }
 
     /// A failed write stops the process, as in the service; it restarts later with a working disk.
-    fn after_disk(&mut self, number: usize, done: Result<(), StorageError>) {
+    fn check_disk_result(&mut self, number: usize, done: Result<(), StorageError>) {
         if let Err(e) = done {
             self.faults.failed_disk(&e);
             self.crash(number, true);
         }
     }
 
-    fn sync_soon(&mut self, number: usize) {
-        let delay = if self.rng.random_bool(self.weather.hanging) {
-            self.between(100_000, 900_000)
+    fn schedule_sync(&mut self, number: usize) {
+        let delay = if self.rng.random_bool(self.conditions.slow_sync_rate) {
+            self.random_duration(100_000, 900_000)
         } else {
-            self.between(100, 4_000)
+            self.random_duration(100, 4_000)
         };
-        let life = self.instances[number].life;
+        let incarnation = self.instances[number].incarnation;
         let Some(process) = self.process(number) else {
             return;
         };
         if !process.sync_due {
             process.sync_due = true;
-            self.after(delay, What::Sync(number, life));
+            self.schedule(delay, SimEvent::Sync(number, incarnation));
         }
     }
 
@@ -416,7 +418,7 @@
         let seq = process.written;
         let synced = process.storage.sync();
         let good = synced.is_ok();
-        self.after_disk(number, synced);
+        self.check_disk_result(number, synced);
         if good {
             self.feed(number, Event::Synced(seq));
         }
@@ -426,25 +428,25 @@
         let Some(to) = self.owners.get(&envelope.to).copied() else {
             return;
         };
-        if self.weather.is_cut(number, to) {
+        if self.conditions.is_cut(number, to) {
             return;
         }
-        if self.rng.random_bool(self.weather.lost) {
+        if self.rng.random_bool(self.conditions.loss_rate) {
             self.faults.count("message lost");
             return;
         }
-        if self.rng.random_bool(self.weather.doubled) {
+        if self.rng.random_bool(self.conditions.duplicate_rate) {
             self.faults.count("message doubled");
             let delay = self.delay();
-            self.after(delay, What::Deliver(envelope.clone()));
+            self.schedule(delay, SimEvent::Deliver(envelope.clone()));
         }
         let delay = self.delay();
-        self.after(delay, What::Deliver(envelope));
+        self.schedule(delay, SimEvent::Deliver(envelope));
     }
 
     fn delay(&mut self) -> Duration {
-        let most = self.weather.slowest;
-        self.between(300, most.max(301))
+        let max = self.conditions.max_delay_us;
+        self.random_duration(300, max.max(301))
     }
 
     fn apply(&mut self, number: usize, entries: &[Entry]) {
@@ -457,20 +459,20 @@
             let answer = process.machine.apply(entry).expect("invariants hold");
             let after = process.machine.state.version();
             self.checks.version(before, after);
-            let Some((term, asked)) = process.accepted.remove(&entry.id.index) else {
+            let Some((term, client_request)) = process.accepted.remove(&entry.id.index) else {
                 continue;
             };
             if term == entry.id.term {
                 self.checks.acknowledged(entry.id);
-                self.answer(asked, &answer);
+                self.answer(client_request, &answer);
             }
         }
         self.save(number);
     }
 
-    fn answer(&mut self, asked: Asked, answer: &Answer) {
-        let client = asked.client;
-        if self.clients[client].made != asked.command {
+    fn answer(&mut self, client_request: ClientRequest, answer: &Answer) {
+        let client = client_request.client;
+        if self.clients[client].command_count != client_request.command {
             return;
         }
         if self.rng.random_bool(0.1) {
@@ -485,24 +487,24 @@
             return;
         };
         let applied = process.machine.state.applied();
-        if process.preparing || applied < process.covered + SNAPSHOT_EVERY {
+        if process.preparing || applied < process.snapshot_index + SNAPSHOT_EVERY {
             return;
         }
         let membership = process.replica.membership_at(applied).cloned();
         let (Some(last), Some(membership)) = (process.replica.id_at(applied), membership) else {
             return;
         };
-        process.covered = applied;
+        process.snapshot_index = applied;
         process.preparing = true;
         let meta = SnapshotMeta { last, membership };
         process.machine.state.check_all().expect("budgets hold");
         let data = process.machine.save().expect("a state can be written");
         let disk = process.storage.disk().clone();
         let prepared = snapshot::prepare(&disk, snapshot::TEMPORARY, &meta, &data);
-        self.after_disk(number, prepared);
-        let life = self.instances[number].life;
-        let delay = self.between(1_000, 300_000);
-        self.after(delay, What::Publish(number, life, meta));
+        self.check_disk_result(number, prepared);
+        let incarnation = self.instances[number].incarnation;
+        let delay = self.random_duration(1_000, 300_000);
+        self.schedule(delay, SimEvent::Publish(number, incarnation, meta));
     }
 
     fn publish(&mut self, number: usize, meta: SnapshotMeta) {
@@ -513,21 +515,21 @@
         let synced = process.storage.sync();
         let published = synced.and_then(|()| process.storage.publish_snapshot(&meta));
         let good = published.is_ok();
-        self.after_disk(number, published);
+        self.check_disk_result(number, published);
         if good {
             self.feed(number, Event::Saved(meta));
         }
     }
 
     fn fetch(&mut self, number: usize, from: ReplicaId) {
-        let life = self.instances[number].life;
+        let incarnation = self.instances[number].incarnation;
         let from = self.owners.get(&from).copied().unwrap_or(number);
-        let delay = self.between(2_000, 200_000);
-        self.after(delay, What::Fetched(number, life, from));
+        let delay = self.random_duration(2_000, 200_000);
+        self.schedule(delay, SimEvent::Fetched(number, incarnation, from));
     }
 
     fn fetched(&mut self, number: usize, from: usize) {
-        let cut = self.weather.is_cut(from, number) || self.instances[from].process.is_none();
+        let cut = self.conditions.is_cut(from, number) || self.instances[from].process.is_none();
         let disk = self.instances[from].disk.disk();
         let loaded = snapshot::load(&disk).ok().flatten();
         let Some(snapshot) = loaded.filter(|_| !cut) else {
@@ -542,7 +544,7 @@
     }
 
     /// Lets a replica that is not a member ask the leader to join.
-    fn ask_in(&mut self, number: usize) {
+    fn request_join(&mut self, number: usize) {
         let Some(process) = self.instances[number].process.as_ref() else {
             return;
         };
@@ -552,7 +554,7 @@
         let id = process.replica.id();
         for leader in 0..self.instances.len() {
             let leads = self.process(leader).is_some_and(|p| p.replica.leads());
-            if leads && !self.weather.is_cut(number, leader) {
+            if leads && !self.conditions.is_cut(number, leader) {
                 let site = site(number);
                 self.feed(leader, Event::Join { id, site });
             }
@@ -560,10 +562,10 @@
     }
 
     fn client(&mut self, client: usize) {
-        let delay = self.between(2_000, 30_000);
-        self.after(delay, What::Client(client));
-        let idle = self.clients[client].under_way.is_none();
-        if !idle && self.now < self.waiting[client] {
+        let delay = self.random_duration(2_000, 30_000);
+        self.schedule(delay, SimEvent::Client(client));
+        let idle = self.clients[client].in_flight.is_none();
+        if !idle && self.now < self.resend_at[client] {
             return;
         }
         let now = self.now;
@@ -572,24 +574,24 @@
             let all = self.instances.len();
             self.clients[client].target = self.rng.random_range(0..all);
         }
-        self.waiting[client] = now + PATIENCE;
+        self.resend_at[client] = now + RESEND_AFTER;
         let command = self.clients[client].command(now, &mut self.rng);
         let reads = self.clients[client].kind == Kind::Reader;
         let target = self.clients[client].target;
-        let made = self.clients[client].made;
+        let command_count = self.clients[client].command_count;
         let began = self.checks.newest_acknowledged();
         self.last_request += 1;
         let id = self.last_request;
         let Some(process) = self.process(target) else {
-            self.waiting[client] = Duration::ZERO;
+            self.resend_at[client] = Duration::ZERO;
             return;
         };
-        let asked = Asked {
+        let client_request = ClientRequest {
             client,
-            command: made,
+            command: command_count,
             began,
         };
-        process.asked.insert(id, asked);
+        process.pending_requests.insert(id, client_request);
         if reads {
             self.feed(target, Event::Read(id));
         } else {
@@ -599,9 +601,11 @@
     }
 
     fn refused(&mut self, number: usize, id: RequestId) {
-        let asked = self.process(number).and_then(|p| p.asked.remove(&id));
-        if let Some(asked) = asked {
-            self.waiting[asked.client] = Duration::ZERO;
+        let client_request = self
+            .process(number)
+            .and_then(|p| p.pending_requests.remove(&id));
+        if let Some(client_request) = client_request {
+            self.resend_at[client_request.client] = Duration::ZERO;
         }
     }
 
@@ -609,12 +613,12 @@
         let Some(process) = self.process(number) else {
             return;
         };
-        let asked = process.asked.remove(&id);
+        let client_request = process.pending_requests.remove(&id);
         let applied = process.machine.state.applied();
-        if let Some(asked) = asked {
+        if let Some(client_request) = client_request {
             assert!(applied >= index, "a read was confirmed before its apply");
-            self.checks.read(asked.began, applied);
-            self.clients[asked.client].under_way = None;
+            self.checks.read(client_request.began, applied);
+            self.clients[client_request.client].in_flight = None;
         }
     }
 
@@ -669,12 +673,12 @@
 
     /// Ends all faults and waits until all replicas have the same state.
     pub fn converge(&mut self) {
-        self.weather = Weather::default();
-        self.faults.over = true;
+        self.conditions = Conditions::default();
+        self.faults.stopped = true;
         let deadline = self.now + Duration::from_mins(2);
         while self.now < deadline {
             self.step();
-            if self.steps.is_multiple_of(256) && self.is_whole() && self.agree() {
+            if self.steps.is_multiple_of(256) && self.is_whole() && self.states_agree() {
                 self.checks.counts.converged += 1;
                 self.check_credits();
                 return;
@@ -683,7 +687,7 @@
         panic!("no progress within two minutes after healing");
     }
 
-    fn agree(&self) -> bool {
+    fn states_agree(&self) -> bool {
         let machines = self.instances.iter().filter_map(|i| i.process.as_ref());
         let mut machines = machines.map(|process| &process.machine);
         let Some(first) = machines.next() else {
@@ -700,8 +704,8 @@
         let credited: Tokens = state.budgets(None).map(|(_, b)| b.credited).sum();
         let clients = self.clients.iter().filter(|c| c.kind == Kind::TopUps);
         let answered: u64 = clients.clone().map(|c| c.credited).sum();
-        let under_way = clients.filter(|c| c.under_way.is_some()).count() as u64;
-        let possible = (answered * 1_000)..=((answered + under_way) * 1_000);
+        let in_flight = clients.filter(|c| c.in_flight.is_some()).count() as u64;
+        let possible = (answered * 1_000)..=((answered + in_flight) * 1_000);
         assert!(
             possible.contains(&credited),
             "{credited} not in {possible:?}"
--- a/crates/anvil_ledger/tests/support/mem_disk.rs
+++ b/crates/anvil_ledger/tests/support/mem_disk.rs
@@ -63,7 +63,7 @@
     }
 
     /// Flips one bit of a file.
-    pub fn flip(&self, name: &str, at: usize) {
+    pub fn flip_bit(&self, name: &str, at: usize) {
         self.with(|folder| {
             let file = folder.names[name];
             folder.files[file].bytes[at] ^= 1;
@@ -95,7 +95,7 @@
         if changes {
             self.operations += 1;
             if self.fail_at.is_some_and(|at| self.operations > at) {
-                self.half(op);
+                self.write_half(op);
                 return Err(Error::from(ErrorKind::StorageFull));
             }
         }
@@ -103,7 +103,7 @@
     }
 
     /// A failed write may have left a part of its bytes.
-    fn half(&mut self, op: Op<'_>) {
+    fn write_half(&mut self, op: Op<'_>) {
         let first = self.fail_at.is_some_and(|at| self.operations == at + 1);
         if let Op::Append(name, bytes) = op
             && first
@@ -163,10 +163,10 @@
         for file in &mut self.files {
             file.crash(rng);
         }
-        self.forget_unnamed();
+        self.drop_unnamed();
     }
 
-    fn forget_unnamed(&mut self) {
+    fn drop_unnamed(&mut self) {
         for (number, file) in self.files.iter_mut().enumerate() {
             if !self.names.values().any(|named| *named == number) {
                 *file = File::default();
@@ -177,13 +177,13 @@
 
 impl File {
     fn crash(&mut self, rng: &mut ChaCha8Rng) {
-        let loose = self.bytes.len() - self.synced;
-        if !self.cut.is_empty() && loose == 0 && rng.random_bool(0.5) {
+        let unsynced = self.bytes.len() - self.synced;
+        if !self.cut.is_empty() && unsynced == 0 && rng.random_bool(0.5) {
             self.bytes.append(&mut self.cut);
         }
         self.cut.clear();
-        if loose > 0 {
-            let kept = self.synced + rng.random_range(0..=loose);
+        if unsynced > 0 {
+            let kept = self.synced + rng.random_range(0..=unsynced);
             match rng.random_range(0..3) {
                 0 => self.bytes.truncate(self.synced),
                 1 => self.bytes.truncate(kept),
--- a/crates/anvil_ledger/tests/suspects.rs
+++ b/crates/anvil_ledger/tests/suspects.rs
@@ -36,7 +36,7 @@
 
 /// Guards against a request that is quarantined for one crash, because all routers report it.
 #[test]
-fn one_crash_counts_once_whoever_tells_of_it() {
+fn one_crash_counts_once_however_often_it_is_reported() {
     let mut suspects = Suspects::default();
     for _ in 0..5 {
         assert!(suspects.report(&crash("a", &[1], 0)).is_empty());
@@ -52,7 +52,7 @@
 /// Guards against repeated crashes that count once, because the endpoint restarts under the same
 /// name.
 #[test]
-fn an_endpoint_that_starts_again_under_its_name_counts_again() {
+fn each_crash_of_an_endpoint_that_restarts_under_its_name_counts() {
     let mut suspects = Suspects::default();
     for second in [0, 4, 8] {
         assert!(!is_quarantined(&suspects, 1, 9));
@@ -92,9 +92,9 @@
         BTreeSet::from([1])
     );
     assert!(is_quarantined(&suspects, 1, over));
-    let forgotten = over + REMEMBERED_FOR.as_secs();
+    let expired = over + REMEMBERED_FOR.as_secs();
     assert_eq!(
-        suspects.report(&crash("e", &[1], forgotten)),
+        suspects.report(&crash("e", &[1], expired)),
         BTreeSet::from([1])
     );
     assert_eq!(suspects.get(1), None);
@@ -103,7 +103,7 @@
 /// Guards against long streams being quarantined, because they ran at endpoints that another
 /// request crashed.
 #[test]
-fn a_request_whose_runs_had_output_takes_twice_the_crashes() {
+fn a_request_whose_runs_had_output_needs_twice_the_crashes() {
     let mut suspects = Suspects::default();
     for (number, endpoint) in (1..).zip(["a", "b", "c", "d", "e", "f"]) {
         suspects.report(&ReportCrash {
@@ -117,7 +117,7 @@
 
 /// Guards against many crashes at once that evict the record of a request which crashes endpoints.
 #[test]
-fn a_lost_zone_neither_grows_the_memory_nor_frees_a_quarantined_request() {
+fn a_lost_zone_neither_exceeds_the_memory_limit_nor_evicts_a_quarantined_request() {
     let mut suspects = Suspects::default();
     for endpoint in ["a", "b", "c"] {
         suspects.report(&crash(endpoint, &[0], 0));
@@ -141,7 +141,7 @@
 
 /// Guards against suspects that a replica loses when it restarts, or that followers don't receive.
 #[test]
-fn a_snapshot_keeps_suspects_and_followers_are_told() {
+fn a_snapshot_keeps_suspects_and_followers_receive_them() {
     let mut machine = Machine::default();
     for (index, endpoint) in (1..).zip(["a", "b", "c"]) {
         let command = Command::ReportCrash(crash(endpoint, &[7], 0));
@@ -158,7 +158,7 @@
 
 /// Guards against a replica that can't start from the snapshot of an earlier build.
 #[test]
-fn a_snapshot_without_suspects_is_read() {
+fn a_snapshot_without_suspects_is_restored() {
     let before = (State::default(), Lives::default());
     let bytes = bincode::serde::encode_to_vec(before, standard()).expect("bytes");
     assert_eq!(
