--- a/crates/anvil_ledger/src/core/election.rs
+++ b/crates/anvil_ledger/src/core/election.rs
@@ -20,7 +20,7 @@
     pub(super) fn start_pre_vote(&mut self) {
         self.wait_for_leader();
         self.leader = None;
-        if !self.votes() {
+        if !self.is_voter() {
             return;
         }
         self.role = Role::PreCandidate(Votes::from([self.id]));
@@ -109,7 +109,10 @@
     }
 
     fn count_votes(&mut self) {
-        let agreed = |votes: &Votes| self.membership().agreed(|id| votes.contains(&id));
+        let agreed = |votes: &Votes| {
+            self.membership()
+                .majority_satisfies(|id| votes.contains(&id))
+        };
         match &self.role {
             Role::PreCandidate(votes) if agreed(votes) => self.start_election(),
             Role::Candidate(votes) if agreed(votes) => self.become_leader(),
--- a/crates/anvil_ledger/src/core/leader.rs
+++ b/crates/anvil_ledger/src/core/leader.rs
@@ -143,7 +143,7 @@
     /// Whether the other replicas have a majority without this one: otherwise no leader is faster.
     fn others_have_majority(&self) -> bool {
         let responsive = |id: ReplicaId| id != self.id && self.responded_recently(id);
-        self.membership().agreed(responsive)
+        self.membership().majority_satisfies(responsive)
     }
 
     /// Steps down, and becomes a candidate only after the others have had time to.
@@ -157,7 +157,10 @@
     }
 
     fn majority_responds(&self) -> bool {
-        self.leads() && self.membership().agreed(|id| self.responded_recently(id))
+        self.leads()
+            && self
+                .membership()
+                .majority_satisfies(|id| self.responded_recently(id))
     }
 
     /// An instance whose voter has not responded to this leader for `timeout`, while there are more
@@ -178,7 +181,7 @@
         let mut voters = membership.voters.iter();
         let (id, site) = voters.find(|(id, site)| is_lost(**id, site))?;
         let rest = membership.without_voter(*id);
-        let safe = rest.agreed(|other| self.responded_recently(other));
+        let safe = rest.majority_satisfies(|other| self.responded_recently(other));
         safe.then_some(&site.instance)
     }
 
--- a/crates/anvil_ledger/src/core/membership.rs
+++ b/crates/anvil_ledger/src/core/membership.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether a majority of the voters satisfies `f`.
-    pub fn agreed(&self, f: impl Fn(ReplicaId) -> bool) -> bool {
+    pub fn majority_satisfies(&self, f: impl Fn(ReplicaId) -> bool) -> bool {
         let count = self.voters.keys().filter(|id| f(**id)).count();
         !self.voters.is_empty() && count >= self.majority()
     }
--- a/crates/anvil_ledger/src/core/membership_change.rs
+++ b/crates/anvil_ledger/src/core/membership_change.rs
@@ -86,7 +86,7 @@
             return Some(membership.without_learner(id));
         }
         let rest = membership.without_voter(id);
-        rest.agreed(|other| self.responded_recently(other))
+        rest.majority_satisfies(|other| self.responded_recently(other))
             .then_some(rest)
     }
 
--- a/crates/anvil_ledger/src/core/read.rs
+++ b/crates/anvil_ledger/src/core/read.rs
@@ -60,7 +60,7 @@
             return;
         };
         let me = self.id;
-        let agreed = self.membership().agreed(|id| {
+        let agreed = self.membership().majority_satisfies(|id| {
             let progress = lead.progress.get(&id);
             id == me || progress.is_some_and(|progress| progress.round >= wanted)
         });
--- a/crates/anvil_ledger/src/core/replica.rs
+++ b/crates/anvil_ledger/src/core/replica.rs
@@ -173,7 +173,7 @@
 
     /// Whether this replica is the only voter: then it has nobody to wait for.
     fn is_sole_voter(&self) -> bool {
-        self.votes() && self.membership().voters.len() == 1
+        self.is_voter() && self.membership().voters.len() == 1
     }
 
     /// Handles one event and returns the actions it calls for.
@@ -290,7 +290,7 @@
     /// not know it, and the replica would wait for ever. So it asks again whenever it hears from no
     /// leader, until it votes.
     pub fn seeks_ledger(&self) -> bool {
-        !self.votes() && !self.in_touch()
+        !self.is_voter() && !self.in_touch()
     }
 
     /// Newest position known to be committed.
@@ -330,7 +330,7 @@
     }
 
     /// Whether this replica is a voter, as of its newest entry.
-    pub fn votes(&self) -> bool {
+    pub fn is_voter(&self) -> bool {
         self.membership().voters.contains_key(&self.id)
     }
 
--- a/crates/anvil_ledger/src/lives.rs
+++ b/crates/anvil_ledger/src/lives.rs
@@ -22,12 +22,12 @@
 
 /// Lost incarnations of sidecars.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lives {
+pub struct LostIncarnations {
     newest_grant: GrantId,
     lost: BTreeMap<InstanceId, ChargeBound>,
 }
 
-impl Lives {
+impl LostIncarnations {
     /// Records that a grant was opened.
     pub fn opened(&mut self, grant: GrantId) {
         self.newest_grant = self.newest_grant.max(grant);
--- a/crates/anvil_ledger/src/machine.rs
+++ b/crates/anvil_ledger/src/machine.rs
@@ -13,7 +13,7 @@
 
 use crate::core::{Entry, Payload};
 use crate::limits::Limits;
-use crate::lives::Lives;
+use crate::lives::LostIncarnations;
 use crate::state::{InvariantError, State, Touched};
 use crate::suspects::Suspects;
 
@@ -46,7 +46,8 @@
     /// Settings tree, budgets, members, claims, fences and audit trail.
     pub state: State,
     /// Lost incarnations of sidecars.
-    pub lives: Lives,
+    #[serde(rename = "lives")]
+    pub lives: LostIncarnations,
     /// Requests during which endpoints crashed.
     pub suspects: Suspects,
     /// Limits that endpoints announced.
--- a/crates/anvil_ledger/src/state.rs
+++ b/crates/anvil_ledger/src/state.rs
@@ -91,7 +91,7 @@
     /// Records that something which followers copy, but is kept outside this state, changed at this
     /// index.
     pub fn record_change(&mut self, index: LogIndex, touched: Touched) {
-        self.recent_changes.record(index, touched);
+        self.recent_changes.record_at(index, touched);
     }
 
     /// The last index applied, 0 for none.
--- a/crates/anvil_ledger/src/state/members.rs
+++ b/crates/anvil_ledger/src/state/members.rs
@@ -124,7 +124,7 @@
         self.members.fenced.insert(router.clone(), upto);
         self.money.fence(router, upto);
         self.recent_changes
-            .record(index, Touched::Fence(router.clone()));
+            .record_at(index, Touched::Fence(router.clone()));
     }
 
     /// Fences every incarnation of a router that is older than the present one.
@@ -142,7 +142,7 @@
 
     fn record_member_change(&mut self, index: LogIndex, id: &InstanceId) {
         self.recent_changes
-            .record(index, Touched::Member(id.clone()));
+            .record_at(index, Touched::Member(id.clone()));
     }
 }
 
--- a/crates/anvil_ledger/src/state/recent_changes.rs
+++ b/crates/anvil_ledger/src/state/recent_changes.rs
@@ -33,7 +33,7 @@
 }
 
 impl RecentChanges {
-    pub(super) fn record(&mut self, index: LogIndex, touched: Touched) {
+    pub(super) fn record_at(&mut self, index: LogIndex, touched: Touched) {
         self.recent.entry(index).or_default().insert(touched);
         if self.recent.len() > MAX_RECORDED
             && let Some((oldest, _)) = self.recent.pop_first()
--- a/crates/anvil_ledger/src/state/routing.rs
+++ b/crates/anvil_ledger/src/state/routing.rs
@@ -20,7 +20,7 @@
             self.money.set_credited(budget, *credited);
         }
         self.recent_changes
-            .record(index, Touched::Document(TreePath::Routing));
+            .record_at(index, Touched::Document(TreePath::Routing));
         self.audit.write(AuditEntry {
             at: new.at,
             operator: new.operator.clone(),
--- a/crates/anvil_ledger/src/state/tree.rs
+++ b/crates/anvil_ledger/src/state/tree.rs
@@ -125,7 +125,7 @@
         let after = self.edit(index, change)?;
         self.check_revision_rises(index, &change.path, before.as_ref());
         let touched = Touched::Document(change.path.clone());
-        self.recent_changes.record(index, touched);
+        self.recent_changes.record_at(index, touched);
         Ok(AppliedChange {
             subject: change.path.to_string(),
             revision: index,
--- a/crates/anvil_ledger/src/storage/harm.rs
+++ b/crates/anvil_ledger/src/storage/harm.rs
@@ -26,8 +26,8 @@
     !matches!(op, Op::List | Op::Read(_) | Op::Remove(_))
 }
 
-fn inject(fault: &str) -> io::Result<()> {
-    let mut words = fault.split_whitespace();
+fn inject(fault_text: &str) -> io::Result<()> {
+    let mut words = fault_text.split_whitespace();
     match (words.next(), words.next().and_then(|ms| ms.parse().ok())) {
         (Some("full"), _) => Err(io::ErrorKind::StorageFull.into()),
         (Some("slow"), Some(ms)) => {
--- a/crates/anvil_ledger/tests/core_guards.rs
+++ b/crates/anvil_ledger/tests/core_guards.rs
@@ -306,14 +306,14 @@
     assert_eq!(driver.replica.term(), 4);
     driver.actions.clear();
     driver.receive_message(2, append_message(4, Vec::new(), 3));
-    let acknowledged = driver.actions.iter().filter_map(|action| match action {
+    let acked_positions = driver.actions.iter().filter_map(|action| match action {
         Action::Send(Envelope {
             message: Message::Ack { matched, .. },
             ..
         }) => Some(*matched),
         _ => None,
     });
-    assert_eq!(acknowledged.max(), Some(2));
+    assert_eq!(acked_positions.max(), Some(2));
     assert_eq!(driver.replica.committed(), 2);
 }
 
@@ -336,7 +336,7 @@
 #[test]
 fn a_follower_acknowledges_entries_only_after_the_sync() {
     let mut driver = Driver::new();
-    let acknowledged = |driver: &Driver| {
+    let acked_positions = |driver: &Driver| {
         let acks = driver.actions.iter().filter_map(|action| match action {
             Action::Send(Envelope {
                 message: Message::Ack { matched, .. },
@@ -358,9 +358,9 @@
         append_message(vec![entry(3, 3, Payload::Data("new".into()))]),
     );
     driver.receive_message(2, append_message(Vec::new()));
-    assert_eq!(acknowledged(&driver), Some(2));
+    assert_eq!(acked_positions(&driver), Some(2));
     driver.sync();
-    assert_eq!(acknowledged(&driver), Some(3));
+    assert_eq!(acked_positions(&driver), Some(3));
 }
 
 /// Guards against a removal that leaves the rest without a reachable majority: with the other
--- a/crates/anvil_ledger/tests/state_money.rs
+++ b/crates/anvil_ledger/tests/state_money.rs
@@ -82,8 +82,8 @@
     assert_eq!(refused.refused[0].outstanding, 1_000);
     let recall_answer = f.grants(batch("idle", 1, 2))?;
     assert_eq!(recall_answer.recalled, [grant]);
-    let closing = f.grants(reporting(batch("idle", 1, 3), grant, 20, true))?;
-    assert_eq!(closing.closed, [grant]);
+    let final_report = f.grants(reporting(batch("idle", 1, 3), grant, 20, true))?;
+    assert_eq!(final_report.closed, [grant]);
     let granted = f.grants(asking(batch("busy", 1, 2), "nairobi", 100, 50))?;
     assert_eq!(granted.opened[0].amount, 100);
     Ok(())
--- a/crates/anvil_ledger/tests/storage_failures.rs
+++ b/crates/anvil_ledger/tests/storage_failures.rs
@@ -96,38 +96,50 @@
 fn run_step(
     storage: &mut Storage,
     step: &Step,
-    acked: &mut Acknowledged,
+    ack_state: &mut Acknowledged,
 ) -> Result<(), StorageError> {
     match step {
         Step::Write(write) => {
             // A leader of a newer term replaces these entries: their acknowledgement is void,
             // whether or not the new entries are durable.
-            acked.last = acked.last.min(write.prev);
+            ack_state.last = ack_state.last.min(write.prev);
             storage.write(write)?;
             storage.sync()?;
-            acked.term = write.hard.unwrap_or_default().term;
-            acked.last = write.entries.last().map_or(acked.last, |entry| entry.id);
+            ack_state.term = write.hard.unwrap_or_default().term;
+            ack_state.last = write
+                .entries
+                .last()
+                .map_or(ack_state.last, |entry| entry.id);
         }
         Step::Save(meta) => {
             snapshot::prepare(storage.disk(), snapshot::TEMPORARY, meta, b"state")?;
             storage.publish_snapshot(meta)?;
-            acked.covered = meta.last.index;
+            ack_state.covered = meta.last.index;
         }
         Step::Install(meta) => {
             storage.install(meta, b"installed")?;
-            acked.covered = meta.last.index;
-            acked.last = meta.last;
+            ack_state.covered = meta.last.index;
+            ack_state.last = meta.last;
         }
         Step::Compact(upto) => storage.compact(*upto)?,
     }
     Ok(())
 }
 
-fn check_recovered(found: &Recovered, acked: &Acknowledged, at: u64) {
-    assert!(found.hard.term >= acked.term, "term lost, killed at {at}");
-    assert!(found.last() >= acked.last, "entries lost, killed at {at}");
+fn check_recovered(found: &Recovered, ack_state: &Acknowledged, at: u64) {
+    assert!(
+        found.hard.term >= ack_state.term,
+        "term lost, killed at {at}"
+    );
+    assert!(
+        found.last() >= ack_state.last,
+        "entries lost, killed at {at}"
+    );
     let covered = found.snapshot.as_ref().map_or(0, |s| s.meta.last.index);
-    assert!(covered >= acked.covered, "snapshot lost, killed at {at}");
+    assert!(
+        covered >= ack_state.covered,
+        "snapshot lost, killed at {at}"
+    );
     assert!(found.base.index <= covered, "a gap, killed at {at}");
     let mut expected = found.base.index;
     for entry in &found.entries {
@@ -144,9 +156,9 @@
 fn a_crash_at_every_operation_loses_nothing_acknowledged() -> Result<(), Failure> {
     let original = MemDisk::default();
     let (mut storage, _) = Storage::open(original.disk(), DISK)?;
-    let mut acked = Acknowledged::default();
+    let mut ack_state = Acknowledged::default();
     for step in write_steps() {
-        run_step(&mut storage, &step, &mut acked)?;
+        run_step(&mut storage, &step, &mut ack_state)?;
     }
     let steps = original.operations();
     for at in 0..steps {
@@ -154,18 +166,18 @@
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
             let disk = MemDisk::default();
             disk.fail_at(Some(at));
-            let mut acked = Acknowledged::default();
+            let mut ack_state = Acknowledged::default();
             if let Ok((mut storage, _)) = Storage::open(disk.disk(), DISK) {
                 for step in write_steps() {
-                    if run_step(&mut storage, &step, &mut acked).is_err() {
+                    if run_step(&mut storage, &step, &mut ack_state).is_err() {
                         break;
                     }
                 }
             }
             disk.crash(&mut rng);
             let (mut storage, found) = Storage::open(disk.disk(), DISK + 1)?;
-            check_recovered(&found, &acked, at);
-            if acked.term > 0 {
+            check_recovered(&found, &ack_state, at);
+            if ack_state.term > 0 {
                 assert_eq!(storage.id(), DISK, "identity lost, killed at {at}");
             }
             // A second crash right after recovery, then a write.
@@ -194,9 +206,9 @@
 fn a_flipped_bit_is_reported_wherever_it_is() -> Result<(), Failure> {
     let original = MemDisk::default();
     let (mut storage, _) = Storage::open(original.disk(), DISK)?;
-    let mut acked = Acknowledged::default();
+    let mut ack_state = Acknowledged::default();
     for step in write_steps() {
-        run_step(&mut storage, &step, &mut acked)?;
+        run_step(&mut storage, &step, &mut ack_state)?;
     }
     let mut flips = 0;
     for name in original.names() {
@@ -230,9 +242,9 @@
 fn a_missing_file_is_reported() -> Result<(), Failure> {
     let original = MemDisk::default();
     let (mut storage, _) = Storage::open(original.disk(), DISK)?;
-    let mut acked = Acknowledged::default();
+    let mut ack_state = Acknowledged::default();
     for step in write_steps() {
-        run_step(&mut storage, &step, &mut acked)?;
+        run_step(&mut storage, &step, &mut ack_state)?;
     }
     drop(storage);
     Storage::open(original.disk(), DISK)?;
@@ -257,13 +269,13 @@
 fn nothing_is_written_after_a_full_disk() -> Result<(), Failure> {
     let disk = MemDisk::default();
     let (mut storage, _) = Storage::open(disk.disk(), DISK)?;
-    let mut acked = Acknowledged::default();
+    let mut ack_state = Acknowledged::default();
     let steps = write_steps();
-    run_step(&mut storage, &steps[0], &mut acked)?;
+    run_step(&mut storage, &steps[0], &mut ack_state)?;
     disk.fail_at(Some(disk.operations()));
-    assert!(run_step(&mut storage, &steps[1], &mut acked).is_err());
+    assert!(run_step(&mut storage, &steps[1], &mut ack_state).is_err());
     disk.fail_at(None);
-    let later = run_step(&mut storage, &steps[1], &mut acked);
+    let later = run_step(&mut storage, &steps[1], &mut ack_state);
     assert!(matches!(later, Err(StorageError::Failed)));
     Ok(())
 }
@@ -294,11 +306,11 @@
 fn an_older_snapshot_never_replaces_a_newer_one() -> Result<(), Failure> {
     let disk = MemDisk::default();
     let (mut storage, _) = Storage::open(disk.disk(), DISK)?;
-    let mut acked = Acknowledged::default();
-    run_step(&mut storage, &write(1, 1, 1, 5), &mut acked)?;
+    let mut ack_state = Acknowledged::default();
+    run_step(&mut storage, &write(1, 1, 1, 5), &mut ack_state)?;
     let own = meta(1, 4);
     snapshot::prepare(storage.disk(), snapshot::TEMPORARY, &own, b"state")?;
-    run_step(&mut storage, &Step::Install(meta(3, 20)), &mut acked)?;
+    run_step(&mut storage, &Step::Install(meta(3, 20)), &mut ack_state)?;
     storage.publish_snapshot(&own)?;
     let (_, found) = Storage::open(disk.disk(), DISK)?;
     assert_eq!(found.snapshot.map(|s| s.meta.last.index), Some(20));
--- a/crates/anvil_ledger/tests/support/faults.rs
+++ b/crates/anvil_ledger/tests/support/faults.rs
@@ -68,7 +68,7 @@
     /// other.
     pub frequent: bool,
     /// Whether no more faults are to occur.
-    pub stopped: bool,
+    pub ended: bool,
 }
 
 impl Faults {
@@ -94,7 +94,7 @@
 
     /// Causes one random fault, and schedules the next. Earlier ones may still be in effect.
     pub fn fault(&mut self) {
-        if self.faults.stopped {
+        if self.faults.ended {
             return;
         }
         let max_us = if self.faults.frequent {
--- a/crates/anvil_ledger/tests/support/fleet.rs
+++ b/crates/anvil_ledger/tests/support/fleet.rs
@@ -78,8 +78,8 @@
 pub struct Instance {
     pub disk: MemDisk,
     pub process: Option<Process>,
-    /// Incarnation of the process; events of an earlier one are dropped.
-    pub incarnation: u64,
+    /// Number of the present run of the process; events of an earlier run are dropped.
+    pub run_number: u64,
     pub frozen_until: Duration,
 }
 
@@ -205,8 +205,8 @@
         let seed = self.rng.random();
         let replica = Replica::new(restored, self.core, seed, self.now);
         let instance = &mut self.instances[number];
-        instance.incarnation += 1;
-        let incarnation = instance.incarnation;
+        instance.run_number += 1;
+        let run_number = instance.run_number;
         instance.process = Some(Process {
             snapshot_index: replica.committed(),
             replica,
@@ -219,14 +219,14 @@
             accepted: BTreeMap::new(),
         });
         let delay = self.random_duration(1, 50_000);
-        self.schedule(delay, SimEvent::Tick(number, incarnation));
+        self.schedule(delay, SimEvent::Tick(number, run_number));
     }
 
     /// Ends the process; with `power`, unsynced data is lost too.
     pub fn crash(&mut self, number: usize, power: bool) {
         let instance = &mut self.instances[number];
         instance.process = None;
-        instance.incarnation += 1;
+        instance.run_number += 1;
         if power {
             instance.disk.crash(&mut self.rng);
         }
@@ -268,26 +268,26 @@
 
     fn run_event(&mut self, what: SimEvent) {
         match what {
-            SimEvent::Tick(number, incarnation) => {
-                if self.instances[number].incarnation == incarnation {
-                    self.schedule(TICK, SimEvent::Tick(number, incarnation));
+            SimEvent::Tick(number, run_number) => {
+                if self.instances[number].run_number == run_number {
+                    self.schedule(TICK, SimEvent::Tick(number, run_number));
                     self.feed(number, Event::Tick);
                     self.request_join(number);
                 }
             }
             SimEvent::Deliver(envelope) => self.deliver(envelope),
-            SimEvent::Sync(number, incarnation) => {
-                if self.instances[number].incarnation == incarnation {
+            SimEvent::Sync(number, run_number) => {
+                if self.instances[number].run_number == run_number {
                     self.sync(number);
                 }
             }
-            SimEvent::Publish(number, incarnation, meta) => {
-                if self.instances[number].incarnation == incarnation {
+            SimEvent::Publish(number, run_number, meta) => {
+                if self.instances[number].run_number == run_number {
                     self.publish(number, meta);
                 }
             }
-            SimEvent::Fetched(number, incarnation, from) => {
-                if self.instances[number].incarnation == incarnation {
+            SimEvent::Fetched(number, run_number, from) => {
+                if self.instances[number].run_number == run_number {
                     self.fetched(number, from);
                 }
             }
@@ -400,13 +400,13 @@
         } else {
             self.random_duration(100, 4_000)
         };
-        let incarnation = self.instances[number].incarnation;
+        let run_number = self.instances[number].run_number;
         let Some(process) = self.process(number) else {
             return;
         };
         if !process.sync_due {
             process.sync_due = true;
-            self.schedule(delay, SimEvent::Sync(number, incarnation));
+            self.schedule(delay, SimEvent::Sync(number, run_number));
         }
     }
 
@@ -445,8 +445,8 @@
     }
 
     fn delay(&mut self) -> Duration {
-        let max = self.conditions.max_delay_us;
-        self.random_duration(300, max.max(301))
+        let max_delay = self.conditions.max_delay_us;
+        self.random_duration(300, max_delay.max(301))
     }
 
     fn apply(&mut self, number: usize, entries: &[Entry]) {
@@ -502,9 +502,9 @@
         let disk = process.storage.disk().clone();
         let prepared = snapshot::prepare(&disk, snapshot::TEMPORARY, &meta, &data);
         self.check_disk_result(number, prepared);
-        let incarnation = self.instances[number].incarnation;
+        let run_number = self.instances[number].run_number;
         let delay = self.random_duration(1_000, 300_000);
-        self.schedule(delay, SimEvent::Publish(number, incarnation, meta));
+        self.schedule(delay, SimEvent::Publish(number, run_number, meta));
     }
 
     fn publish(&mut self, number: usize, meta: SnapshotMeta) {
@@ -522,10 +522,10 @@
     }
 
     fn fetch(&mut self, number: usize, from: ReplicaId) {
-        let incarnation = self.instances[number].incarnation;
+        let run_number = self.instances[number].run_number;
         let from = self.owners.get(&from).copied().unwrap_or(number);
         let delay = self.random_duration(2_000, 200_000);
-        self.schedule(delay, SimEvent::Fetched(number, incarnation, from));
+        self.schedule(delay, SimEvent::Fetched(number, run_number, from));
     }
 
     fn fetched(&mut self, number: usize, from: usize) {
@@ -674,7 +674,7 @@
     /// Ends all faults and waits until all replicas have the same state.
     pub fn converge(&mut self) {
         self.conditions = Conditions::default();
-        self.faults.stopped = true;
+        self.faults.ended = true;
         let deadline = self.now + Duration::from_mins(2);
         while self.now < deadline {
             self.step();
--- a/crates/anvil_ledger/tests/suspects.rs
+++ b/crates/anvil_ledger/tests/suspects.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use anvil_ledger::core::{Entry, EntryId, Payload};
-use anvil_ledger::lives::Lives;
+use anvil_ledger::lives::LostIncarnations;
 use anvil_ledger::machine::{Machine, encode};
 use anvil_ledger::state::{State, Touched};
 use anvil_ledger::suspects::Suspects;
@@ -159,7 +159,7 @@
 /// Guards against a replica that can't start from the snapshot of an earlier build.
 #[test]
 fn a_snapshot_without_suspects_is_restored() {
-    let before = (State::default(), Lives::default());
+    let before = (State::default(), LostIncarnations::default());
     let bytes = bincode::serde::encode_to_vec(before, standard()).expect("bytes");
     assert_eq!(
         Machine::restore(&bytes).expect("a machine"),
