--- a/crates/anvil_ledger/src/core/follower.rs
+++ b/crates/anvil_ledger/src/core/follower.rs
@@ -62,7 +62,7 @@
             return Ok(());
         }
         let last = prev.index + entries.len() as LogIndex;
-        let silent = entries.is_empty();
+        let is_heartbeat = entries.is_empty();
         for entry in entries.into_iter().filter(|e| e.id.index > base.index) {
             self.accept_entry(entry)?;
         }
@@ -73,7 +73,7 @@
             self.apply();
             self.prune_memberships();
         }
-        if silent || self.writes.durable() >= self.verified {
+        if is_heartbeat || self.writes.durable() >= self.verified {
             self.acknowledge(from, None);
         }
         Ok(())
@@ -106,7 +106,7 @@
         Ok(())
     }
 
-    /// Position from which the leader should retry, if it has a different entry, or this replica
+    /// Position after which the leader should retry, if it has a different entry, or this replica
     /// none, at `index`.
     fn retry_position(&self, index: LogIndex) -> LogIndex {
         let last = self.log.last().index;
--- a/crates/anvil_ledger/src/core/message.rs
+++ b/crates/anvil_ledger/src/core/message.rs
@@ -60,7 +60,7 @@
         /// Position up to which the disk of the answering replica is known to match the leader's
         /// log.
         matched: LogIndex,
-        /// Position from which the leader should retry, if `prev` was not found.
+        /// Position after which the leader should retry, if `prev` was not found.
         missing: Option<LogIndex>,
         /// Newest read confirmation round received.
         round: Round,
--- a/crates/anvil_ledger/src/core/read.rs
+++ b/crates/anvil_ledger/src/core/read.rs
@@ -20,14 +20,14 @@
             return;
         }
         // The round in progress began before this read; the next one confirms it.
-        let under_way = lead.reads.front();
-        let under_way = under_way.is_some_and(|read| read.round <= lead.round);
+        let in_progress = lead.reads.front();
+        let in_progress = in_progress.is_some_and(|read| read.round <= lead.round);
         lead.reads.push_back(WaitingRead {
             id,
             round: lead.round + 1,
             index: committed,
         });
-        if !under_way {
+        if !in_progress {
             self.start_round();
         }
     }
--- a/crates/anvil_ledger/src/state/members.rs
+++ b/crates/anvil_ledger/src/state/members.rs
@@ -35,9 +35,11 @@
     pub(super) fn join(&mut self, index: LogIndex, instance: &Instance) -> Result<Answer, Denial> {
         let known = self.members.all.get(&instance.id);
         if let Some(known) = known {
-            let same_life = known.instance.incarnation == instance.incarnation;
+            let same_incarnation = known.instance.incarnation == instance.incarnation;
             let declared_gone = known.presence == Presence::Gone;
-            if known.instance.incarnation > instance.incarnation || (same_life && declared_gone) {
+            if known.instance.incarnation > instance.incarnation
+                || (same_incarnation && declared_gone)
+            {
                 return Err(Denial::OldIncarnation);
             }
             if known.instance == *instance {
@@ -133,8 +135,10 @@
     /// reserved for ever. Fencing is always safe, because a fenced grant is closed only by evidence
     /// or by an operator.
     pub(super) fn fence_older(&mut self, index: LogIndex, router: &InstanceId, now: Incarnation) {
-        let oldest_open = self.money.grants_of(router).map(|grant| grant.incarnation);
-        let older = oldest_open.filter(|incarnation| *incarnation < now).max();
+        let open_incarnations = self.money.grants_of(router).map(|grant| grant.incarnation);
+        let older = open_incarnations
+            .filter(|incarnation| *incarnation < now)
+            .max();
         if let Some(older) = older {
             self.fence(index, router, older);
         }
--- a/crates/anvil_ledger/src/state/tree.rs
+++ b/crates/anvil_ledger/src/state/tree.rs
@@ -86,8 +86,8 @@
         if let Some(old) = self.document(path) {
             self.references.remove(path, &old);
         }
-        let gone = self.entries.remove(path);
-        gone.map(drop).ok_or_else(|| Denial::Unknown {
+        let removed = self.entries.remove(path);
+        removed.map(drop).ok_or_else(|| Denial::Unknown {
             what: Noun::Path,
             name: path.to_string(),
         })
@@ -165,11 +165,11 @@
             return Ok(());
         };
         let budget = self.budget(id);
-        let held = budget.map_or(0, |budget| budget.left() + budget.outstanding());
-        if held == 0 {
+        let unspent = budget.map_or(0, |budget| budget.left() + budget.outstanding());
+        if unspent == 0 {
             return Ok(());
         }
-        let found = format!("{held} unspent tokens");
+        let found = format!("{unspent} unspent tokens");
         Err(Denial::Reference {
             path: path.clone(),
             problem: Problem::new("remove", found, "a budget without unspent tokens"),
--- a/crates/anvil_ledger/src/storage/disk.rs
+++ b/crates/anvil_ledger/src/storage/disk.rs
@@ -83,15 +83,15 @@
             .write(true)
             .open(path.join(LOCK))?;
         lock.try_lock()?;
-        Ok(Self::unlocked(path.to_owned(), Some(lock)))
+        Ok(Self::with_lock(path.to_owned(), Some(lock)))
     }
 
     /// A folder that is only read, and may be in use by another process.
     pub fn read_only(path: &Path) -> Self {
-        Self::unlocked(path.to_owned(), None)
+        Self::with_lock(path.to_owned(), None)
     }
 
-    fn unlocked(path: PathBuf, lock: Option<File>) -> Self {
+    fn with_lock(path: PathBuf, lock: Option<File>) -> Self {
         let open = Mutex::new(BTreeMap::new());
         Self::new(move |op| {
             let _held = &lock;
--- a/crates/anvil_ledger/src/storage/writer.rs
+++ b/crates/anvil_ledger/src/storage/writer.rs
@@ -13,8 +13,8 @@
 
 /// Number of queued jobs above which [`Writer::give`] blocks. The core issues a few jobs for each
 /// event, so a disk may hang for seconds before that. The channel allocates all its slots at the
-/// start, so each one holds only a pointer: 130 KB in all, where 65,536 whole jobs held 8 MB of a
-/// replica's 11.
+/// start, so each one holds only a pointer: 130 KB in all. A queue of 65,536 unboxed jobs took 8 of
+/// the 11 MB of a replica.
 const QUEUE_CAPACITY: usize = 8_192;
 
 /// A job for the writer thread.
--- a/crates/anvil_ledger/tests/core_guards.rs
+++ b/crates/anvil_ledger/tests/core_guards.rs
@@ -286,7 +286,7 @@
 /// Guards against a candidate that keeps the position up to which its old leader's log was
 /// verified. A follower holds an entry that nobody else has and becomes a candidate when its leader
 /// is lost, and another replica wins that same term; applying the entry would make this replica
-/// differ from all others.
+/// differ from all others. Found by the randomised run with seed 11, episode 78.
 #[test]
 fn a_new_term_resets_the_verified_position() {
     let mut driver = Driver::new();
--- a/crates/anvil_ledger/tests/failures.rs
+++ b/crates/anvil_ledger/tests/failures.rs
@@ -19,12 +19,12 @@
 use anvil_ledger::core::CoreSettings;
 use fleet::Fleet;
 
-const LONG: Duration = Duration::from_mins(1);
+const MINUTE: Duration = Duration::from_mins(1);
 
 fn fleet_with_leader(seed: u64, replicas: usize) -> Fleet {
     let mut fleet = Fleet::new(seed, replicas);
     fleet.run_for(Duration::from_secs(5));
-    assert!(fleet.is_whole(), "no leader within five seconds");
+    assert!(fleet.all_disks_vote(), "no leader within five seconds");
     fleet
 }
 
@@ -42,7 +42,7 @@
         assert_ne!(new, old);
         assert!(!fleet.leads(old), "the isolated leader did not step down");
         let before = fleet.checks.newest_acknowledged();
-        fleet.run_for(LONG);
+        fleet.run_for(MINUTE);
         assert!(fleet.checks.newest_acknowledged() > before + 100);
         let term = fleet.term(new);
         fleet.conditions.clear();
@@ -50,7 +50,7 @@
         assert_eq!(
             fleet.term(new),
             term,
-            "the one that came back deposed the leader"
+            "the isolated replica deposed the leader after the heal"
         );
         fleet.converge();
     }
@@ -67,7 +67,7 @@
         let follower = (leader + 1) % 5;
         let term = fleet.term(leader);
         fleet.conditions.split(&BTreeSet::from([follower]), 5);
-        fleet.run_for(LONG);
+        fleet.run_for(MINUTE);
         fleet.conditions.clear();
         fleet.run_for(Duration::from_secs(5));
         assert_eq!(fleet.leader(), Some(leader));
@@ -84,8 +84,11 @@
         let mut fleet = fleet_with_leader(seed, 3);
         for number in [0, 1, 2, 0] {
             fleet.lose_disk(number);
-            let whole = fleet.run_until(LONG, Fleet::is_whole);
-            assert!(whole, "instance {number} was not taken in again");
+            let replaced = fleet.run_until(MINUTE, Fleet::all_disks_vote);
+            assert!(
+                replaced,
+                "the new disk of instance {number} did not become a voter"
+            );
         }
         let acknowledged = fleet.checks.newest_acknowledged();
         assert!(acknowledged > 100);
@@ -107,9 +110,9 @@
         let pause = fleet.random_duration(100_000, 4_000_000);
         fleet.run_for(pause);
         fleet.conditions.split(&BTreeSet::from([leader, lost]), 5);
-        fleet.run_for(LONG / 4);
+        fleet.run_for(MINUTE / 4);
         fleet.conditions.clear();
-        let ok = fleet.run_until(LONG, Fleet::is_whole);
+        let ok = fleet.run_until(MINUTE, Fleet::all_disks_vote);
         if !ok {
             for n in 0..5 {
                 let p = fleet.instances[n].process.as_ref();
@@ -142,7 +145,7 @@
         fleet.conditions.loss_rate = 0.3;
         fleet.conditions.duplicate_rate = 0.3;
         fleet.conditions.max_delay_us = 500_000;
-        fleet.run_for(LONG);
+        fleet.run_for(MINUTE);
         fleet.conditions.clear();
         fleet.run_for(Duration::from_secs(10));
         assert!(fleet.checks.newest_acknowledged() > before);
@@ -156,7 +159,7 @@
 #[test]
 fn operators_race_under_one_revision_and_resend() {
     let mut fleet = fleet_with_leader(1, 3);
-    fleet.run_for(LONG * 2);
+    fleet.run_for(MINUTE * 2);
     let won = fleet.checks.counts.one_winner;
     assert!(won > 500, "only {won} changes");
     fleet.converge();
@@ -175,7 +178,7 @@
         fleet.run_for(Duration::from_millis(10));
         (0..4).for_each(|number| fleet.start(number));
         let restarted = fleet.now;
-        let elected = fleet.run_until(LONG, |fleet| fleet.leader().is_some());
+        let elected = fleet.run_until(MINUTE, |fleet| fleet.leader().is_some());
         assert!(elected, "seed {seed}");
         let took = fleet.now.saturating_sub(restarted);
         assert!(
@@ -214,7 +217,7 @@
         let old = fleet.leader().expect("a leader");
         fleet.conditions.split(&BTreeSet::from([old]), 3);
         fleet.crash((old + 1) % 3, true);
-        fleet.run_for(LONG / 2);
+        fleet.run_for(MINUTE / 2);
         let new = fleet.leader().expect("a new leader");
         assert_ne!(new, old);
         fleet.conditions.clear();
@@ -232,7 +235,10 @@
             for number in 0..3 {
                 fleet.crash(number, true);
             }
-            assert!(fleet.run_until(LONG, Fleet::is_whole), "seed {seed}");
+            assert!(
+                fleet.run_until(MINUTE, Fleet::all_disks_vote),
+                "seed {seed}"
+            );
             fleet.run_for(Duration::from_secs(3));
         }
         fleet.converge();
@@ -249,7 +255,7 @@
         fleet.instances[old].frozen_until = fleet.now + Duration::from_secs(10);
         fleet.run_for(Duration::from_secs(9));
         let others = (0..3).filter(|n| *n != old).any(|n| fleet.leads(n));
-        assert!(others, "nobody took over, seed {seed}");
+        assert!(others, "no other replica became the leader, seed {seed}");
         fleet.run_for(Duration::from_secs(5));
         fleet.converge();
     }
--- a/crates/anvil_ledger/tests/support/faults.rs
+++ b/crates/anvil_ledger/tests/support/faults.rs
@@ -129,7 +129,7 @@
 
     /// Only while every disk votes: two lost disks of three leave no majority.
     pub fn lose_disk(&mut self, number: usize) {
-        if self.is_whole() {
+        if self.all_disks_vote() {
             self.faults.count("disk lost");
             self.crash(number, false);
             self.instances[number].disk.wipe();
--- a/crates/anvil_ledger/tests/support/fleet.rs
+++ b/crates/anvil_ledger/tests/support/fleet.rs
@@ -658,7 +658,7 @@
     }
 
     /// Whether every instance's present disk votes and no membership change is pending.
-    pub fn is_whole(&self) -> bool {
+    pub fn all_disks_vote(&self) -> bool {
         let processes = self.instances.iter().filter_map(|i| i.process.as_ref());
         let Some(leader) = processes.clone().find(|p| p.replica.leads()) else {
             return false;
@@ -678,7 +678,7 @@
         let deadline = self.now + Duration::from_mins(2);
         while self.now < deadline {
             self.step();
-            if self.steps.is_multiple_of(256) && self.is_whole() && self.states_agree() {
+            if self.steps.is_multiple_of(256) && self.all_disks_vote() && self.states_agree() {
                 self.checks.counts.converged += 1;
                 self.check_credits();
                 return;
