--- a/crates/anvil_ledger/src/state/tree.rs
+++ b/crates/anvil_ledger/src/state/tree.rs
@@ -86,8 +86,8 @@
         if let Some(old) = self.document(path) {
             self.references.remove(path, &old);
         }
-        let removed = self.entries.remove(path);
-        removed.map(drop).ok_or_else(|| Denial::Unknown {
+        let old_entry = self.entries.remove(path);
+        old_entry.map(drop).ok_or_else(|| Denial::Unknown {
             what: Noun::Path,
             name: path.to_string(),
         })
--- a/crates/anvil_ledger/tests/failures.rs
+++ b/crates/anvil_ledger/tests/failures.rs
@@ -84,9 +84,9 @@
         let mut fleet = fleet_with_leader(seed, 3);
         for number in [0, 1, 2, 0] {
             fleet.lose_disk(number);
-            let replaced = fleet.run_until(MINUTE, Fleet::all_disks_vote);
+            let disk_replaced = fleet.run_until(MINUTE, Fleet::all_disks_vote);
             assert!(
-                replaced,
+                disk_replaced,
                 "the new disk of instance {number} did not become a voter"
             );
         }
