--- a/crates/anvil_ledger/tests/inspect.rs
+++ b/crates/anvil_ledger/tests/inspect.rs
@@ -1,4 +1,4 @@
-//! The reader's tool on whole and on damaged folders.
+//! The offline inspection of intact and damaged data folders.
 
 use std::path::Path;
 use std::time::{Duration, SystemTime};
@@ -56,8 +56,8 @@
     Ok(payloads)
 }
 
-/// A folder with six entries, four of them covered by a snapshot.
-fn fill(folder: &Path) -> Result<(), Failure> {
+/// Writes a folder with six entries, four of them covered by a snapshot.
+fn write_folder(folder: &Path) -> Result<(), Failure> {
     let (mut storage, _) = Storage::open(Disk::folder(folder)?, 7)?;
     let mut machine = Machine::default();
     let mut prev = EntryId::default();
@@ -95,9 +95,9 @@
 }
 
 #[test]
-fn a_whole_folder_is_shown() -> Result<(), Failure> {
+fn an_intact_folder_is_reported() -> Result<(), Failure> {
     let folder = tempfile::tempdir()?;
-    fill(folder.path())?;
+    write_folder(folder.path())?;
     let report = inspect(folder.path())?;
     assert_eq!(report.id, 7);
     assert_eq!(report.last, EntryId { term: 1, index: 6 });
@@ -109,11 +109,11 @@
     Ok(())
 }
 
-/// An operator looks at a folder whose log was damaged. The tool names file and byte.
+/// Guards against a damaged log that is reported without file and offset.
 #[test]
-fn damage_is_named_with_file_and_byte() -> Result<(), Failure> {
+fn damage_is_reported_with_file_and_offset() -> Result<(), Failure> {
     let folder = tempfile::tempdir()?;
-    fill(folder.path())?;
+    write_folder(folder.path())?;
     let segment = folder.path().join("log-0000000001");
     let mut bytes = std::fs::read(&segment)?;
     bytes[200] ^= 1;
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_folder_without_a_replica_is_said_so() -> Result<(), Failure> {
+fn a_folder_without_a_replica_is_reported() -> Result<(), Failure> {
     let folder = tempfile::tempdir()?;
     let failed = inspect(folder.path());
     assert!(matches!(failed, Err(InspectError::Empty { .. })));
--- a/crates/anvil_ledger/tests/state_tree.rs
+++ b/crates/anvil_ledger/tests/state_tree.rs
@@ -13,10 +13,10 @@
     TreePath::try_from(text).expect("a path")
 }
 
-/// Two operators read revision 7 of a team and both change its split.
-/// One wins; the other is told by whom and what, and its own text changes nothing.
+/// Guards against a lost update: two operators read the same revision of a team and both change it.
+/// One wins; the other learns who changed it and how, and its own text changes nothing.
 #[test]
-fn of_two_operators_under_equal_numbers_one_wins() {
+fn of_two_changes_under_one_revision_one_wins() {
     let mut f = Fixture::with_team();
     let revision = f.state.tree()[&path("teams/counter")].revision;
     let first = f.change("a", "teams/counter", revision, &team("", "mombasa = 1"));
@@ -31,8 +31,8 @@
     assert_eq!(Edit::Put(text), first.edit);
 }
 
-/// An operator loses the answer to a change and resends it after another operator changed the
-/// same document. The first answer comes again and the newer text stays: nothing reverts.
+/// Guards against a resent change that reverts a newer one: its first answer is repeated, and the
+/// newer text stays.
 #[test]
 fn a_resent_change_gets_its_first_answer_and_reverts_nothing() {
     let mut f = Fixture::with_team();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_document_names_only_what_is_there() {
+fn a_document_references_only_existing_documents() {
     let mut f = Fixture::with_team();
     let change = f.change("a", "teams/new", 0, &team("", "nowhere = 1"));
     let answer = f.apply(&Command::Change(change));
@@ -74,8 +74,8 @@
     assert!(matches!(answer, Answer::Denied(Denial::Reference { .. })));
 }
 
-/// Two teams are given the same bearer key by mistake.
-/// A router could not tell whose request it is, and one team would pay for the other.
+/// Guards against one bearer key for two teams: a router could not tell whose request it is, and
+/// one team would be charged for the other.
 #[test]
 fn two_teams_never_share_a_key() {
     let mut f = Fixture::with_team();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_wrong_document_is_denied_with_line_and_what_is_allowed() {
+fn an_invalid_document_is_denied_with_line_and_allowed_keys() {
     let mut f = Fixture::with_team();
     let change = f.change("a", "fleet", 0, "max_body = 4096\nqueue_timout = \"3s\"\n");
     let answer = f.apply(&Command::Change(change));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn followers_are_told_only_what_changed() {
+fn followers_receive_only_what_changed() {
     let mut f = Fixture::with_team();
     let version = f.state.version();
     f.join("s1", 1, Role::Sidecar);
@@ -120,10 +120,10 @@
     );
 }
 
-/// A router is declared gone by missed heartbeats, then its frozen process thaws and joins.
-/// Its life is over: what it reserved may be closed, so it must come back as a new one.
+/// Guards against a router that was declared gone while frozen and then joins again: its grants may
+/// be closed, so it has to come back as a new incarnation.
 #[test]
-fn a_gone_life_never_comes_back() {
+fn a_gone_incarnation_never_rejoins() {
     let mut f = Fixture::default();
     f.join("r1", 1, Role::Router);
     let gone = SetPresence {
@@ -152,8 +152,8 @@
     }
 }
 
-/// Two routers claim the same order for different sidecars after a caller's retry.
-/// Both are told the same sidecar, so it runs once.
+/// Guards against an order that runs twice when a retry makes two routers claim it for different
+/// sidecars: both are given the same sidecar.
 #[test]
 fn the_first_claim_wins() {
     let mut f = Fixture::default();
@@ -165,10 +165,10 @@
     assert_eq!((&*record.claim.sidecar, record.fresh), ("s1", false));
 }
 
-/// An order completes, then a late "not run" of an earlier try arrives.
-/// If that freed the key, a retry would place the order a second time.
+/// Guards against a late "not run" from an earlier attempt that releases the key of a completed
+/// order, so that a retry places it a second time.
 #[test]
-fn a_late_not_run_frees_no_completed_claim() {
+fn a_late_not_run_releases_no_completed_claim() {
     let mut f = Fixture::default();
     f.apply(&Command::Claim(claim("s1", 1)));
     let key = claim("s1", 1).key;
@@ -188,11 +188,11 @@
     );
 }
 
-/// An order's claim is freed ("not run"), and a retry claims it anew and runs. Then the first
-/// router's "not run" comes a second time, late. If it freed the claim that runs, the next retry
-/// would place the order twice.
+/// Guards against a resent "not run" that releases a later claim. A claim is released ("not run"),
+/// a retry claims the key anew and runs; if the first "not run" came again and released that claim,
+/// the next retry would place the order twice.
 #[test]
-fn a_late_not_run_frees_no_later_claim() {
+fn a_late_not_run_releases_no_later_claim() {
     let mut f = Fixture::default();
     f.apply(&Command::Claim(claim("s1", 1)));
     let late = Command::SettleClaim(SettleClaim {
@@ -207,10 +207,10 @@
     assert_eq!(&*record.claim.sidecar, "s2");
 }
 
-/// The answer to a claim is lost, and the router sends the claim again. It must hear that the
-/// claim is its own: otherwise nobody would ever run the order.
+/// Guards against an order that nobody runs: the answer to a claim is lost, and the router that
+/// resends the claim has to learn that it is its own.
 #[test]
-fn a_resent_claim_is_still_its_makers() {
+fn a_resent_claim_is_still_fresh() {
     let mut f = Fixture::default();
     f.apply(&Command::Claim(claim("s1", 1)));
     let Answer::Claimed(record) = f.apply(&Command::Claim(claim("s1", 1))) else {
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_claim_is_forgotten_after_the_fleets_time() {
+fn a_claim_expires_after_keep_claims() {
     let mut f = Fixture::default();
     f.put("fleet", "keep_claims = \"1h\"");
     f.apply(&Command::Claim(claim("s1", 0)));
--- a/crates/anvil_ledger/tests/storage_failures.rs
+++ b/crates/anvil_ledger/tests/storage_failures.rs
@@ -1,4 +1,4 @@
-//! The data folder under kills, full disks and worn bytes.
+//! The data folder under crashes, full disks and damaged bytes.
 
 #[path = "support/mem_disk.rs"]
 #[allow(dead_code, reason = "the simulated fleet uses the rest")]
@@ -28,7 +28,7 @@
     HardState { term, vote }
 }
 
-/// One step of a replica's life.
+/// One step of a replica's writes.
 #[derive(Clone)]
 enum Step {
     Write(Write),
@@ -52,7 +52,7 @@
     })
 }
 
-/// The steps below change terms at these places.
+/// Term of the entry before `first` in `steps`.
 fn term_before(first: u64) -> u64 {
     match first {
         ..=6 => 1,
@@ -68,9 +68,9 @@
     }
 }
 
-/// Appends, a new leader that replaces entries, snapshots, a removed beginning, an installed
-/// snapshot, and more appends.
-fn life() -> Vec<Step> {
+/// Appends, entries replaced by a new leader, snapshots, a compaction, an installed snapshot, and
+/// more appends.
+fn write_steps() -> Vec<Step> {
     vec![
         write(1, 1, 1, 5),
         write(2, 1, 6, 8),
@@ -93,37 +93,53 @@
     covered: u64,
 }
 
-fn take(storage: &mut Storage, step: &Step, told: &mut Acknowledged) -> Result<(), StorageError> {
+fn run_step(
+    storage: &mut Storage,
+    step: &Step,
+    ack_state: &mut Acknowledged,
+) -> Result<(), StorageError> {
     match step {
         Step::Write(write) => {
-            // A leader of a newer term has it replace these entries: the acknowledgement of what
-            // stood there is void, whether or not the new entries last.
-            told.last = told.last.min(write.prev);
+            // A leader of a newer term replaces these entries: their acknowledgement is void,
+            // whether or not the new entries are durable.
+            ack_state.last = ack_state.last.min(write.prev);
             storage.write(write)?;
             storage.sync()?;
-            told.term = write.hard.unwrap_or_default().term;
-            told.last = write.entries.last().map_or(told.last, |entry| entry.id);
+            ack_state.term = write.hard.unwrap_or_default().term;
+            ack_state.last = write
+                .entries
+                .last()
+                .map_or(ack_state.last, |entry| entry.id);
         }
         Step::Save(meta) => {
             snapshot::prepare(storage.disk(), snapshot::TEMPORARY, meta, b"state")?;
             storage.publish_snapshot(meta)?;
-            told.covered = meta.last.index;
+            ack_state.covered = meta.last.index;
         }
         Step::Install(meta) => {
             storage.install(meta, b"installed")?;
-            told.covered = meta.last.index;
-            told.last = meta.last;
+            ack_state.covered = meta.last.index;
+            ack_state.last = meta.last;
         }
         Step::Compact(upto) => storage.compact(*upto)?,
     }
     Ok(())
 }
 
-fn check(found: &Recovered, told: &Acknowledged, at: u64) {
-    assert!(found.hard.term >= told.term, "term lost, killed at {at}");
-    assert!(found.last() >= told.last, "entries lost, killed at {at}");
+fn check_recovered(found: &Recovered, ack_state: &Acknowledged, at: u64) {
+    assert!(
+        found.hard.term >= ack_state.term,
+        "term lost, killed at {at}"
+    );
+    assert!(
+        found.last() >= ack_state.last,
+        "entries lost, killed at {at}"
+    );
     let covered = found.snapshot.as_ref().map_or(0, |s| s.meta.last.index);
-    assert!(covered >= told.covered, "snapshot lost, killed at {at}");
+    assert!(
+        covered >= ack_state.covered,
+        "snapshot lost, killed at {at}"
+    );
     assert!(found.base.index <= covered, "a gap, killed at {at}");
     let mut expected = found.base.index;
     for entry in &found.entries {
@@ -133,39 +149,38 @@
     }
 }
 
-/// A replica loses power at any moment: between the bytes of an append, before or after a sync,
-/// a rename, the folder's sync. After the restart an operator misses nothing that was answered,
-/// the vote stands, and the replica goes on. Cause: only synced bytes last, and a file's new name
-/// lasts only once the folder is synced.
+/// Guards against acknowledged data that is lost when power fails at any operation: within an
+/// append, before or after a sync, a rename, or the sync of the folder. Only synced bytes are
+/// durable, and a file's new name only once the folder is synced.
 #[test]
-fn a_kill_at_every_step_loses_nothing_acknowledged() -> Result<(), Failure> {
-    let whole = MemDisk::default();
-    let (mut storage, _) = Storage::open(whole.disk(), DISK)?;
-    let mut told = Acknowledged::default();
-    for step in life() {
-        take(&mut storage, &step, &mut told)?;
+fn a_crash_at_every_operation_loses_nothing_acknowledged() -> Result<(), Failure> {
+    let original = MemDisk::default();
+    let (mut storage, _) = Storage::open(original.disk(), DISK)?;
+    let mut ack_state = Acknowledged::default();
+    for step in write_steps() {
+        run_step(&mut storage, &step, &mut ack_state)?;
     }
-    let steps = whole.operations();
+    let steps = original.operations();
     for at in 0..steps {
         for seed in 0..20 {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
             let disk = MemDisk::default();
             disk.fail_at(Some(at));
-            let mut told = Acknowledged::default();
+            let mut ack_state = Acknowledged::default();
             if let Ok((mut storage, _)) = Storage::open(disk.disk(), DISK) {
-                for step in life() {
-                    if take(&mut storage, &step, &mut told).is_err() {
+                for step in write_steps() {
+                    if run_step(&mut storage, &step, &mut ack_state).is_err() {
                         break;
                     }
                 }
             }
             disk.crash(&mut rng);
             let (mut storage, found) = Storage::open(disk.disk(), DISK + 1)?;
-            check(&found, &told, at);
-            if told.term > 0 {
+            check_recovered(&found, &ack_state, at);
+            if ack_state.term > 0 {
                 assert_eq!(storage.id(), DISK, "identity lost, killed at {at}");
             }
-            // A second crash right after the repair, then a write.
+            // A second crash right after recovery, then a write.
             disk.crash(&mut rng);
             let next = found.last().index + 1;
             let more = Write {
@@ -185,23 +200,23 @@
     Ok(())
 }
 
-/// A worn disk flips a bit of what was answered long ago. The replica must say so and stop: if it
-/// cut there, as at a torn tail, an operator would miss every change after the flipped bit.
+/// Guards against a flipped bit that is taken for a torn tail: recovery has to report it and stop,
+/// or every change after the bit would be lost.
 #[test]
 fn a_flipped_bit_is_reported_wherever_it_is() -> Result<(), Failure> {
-    let whole = MemDisk::default();
-    let (mut storage, _) = Storage::open(whole.disk(), DISK)?;
-    let mut told = Acknowledged::default();
-    for step in life() {
-        take(&mut storage, &step, &mut told)?;
+    let original = MemDisk::default();
+    let (mut storage, _) = Storage::open(original.disk(), DISK)?;
+    let mut ack_state = Acknowledged::default();
+    for step in write_steps() {
+        run_step(&mut storage, &step, &mut ack_state)?;
     }
     let mut flips = 0;
-    for name in whole.names() {
-        let bytes = whole.bytes(&name);
-        let acknowledged = acknowledged_bytes(&name, &bytes);
-        for at in 0..acknowledged {
-            let disk = whole.copy();
-            disk.flip(&name, at);
+    for name in original.names() {
+        let bytes = original.bytes(&name);
+        let proven = proven_length(&name, &bytes);
+        for at in 0..proven {
+            let disk = original.copy();
+            disk.flip_bit(&name, at);
             let opened = Storage::open(disk.disk(), DISK + 1);
             assert!(opened.is_err(), "byte {at} of {name} was skipped over");
             flips += 1;
@@ -211,8 +226,8 @@
     Ok(())
 }
 
-/// All but the empty frame after the last sync, which proves the others.
-fn acknowledged_bytes(name: &str, bytes: &[u8]) -> usize {
+/// Length without the empty frame after the last sync, which proves the others.
+fn proven_length(name: &str, bytes: &[u8]) -> usize {
     const EMPTY_FRAME: usize = 20;
     if name.starts_with("log-") {
         bytes.len() - EMPTY_FRAME
@@ -221,19 +236,20 @@
     }
 }
 
-/// A segment, the snapshot or the identity is gone. The replica names what is missing.
+/// Guards against a missing file that is taken for an empty folder: recovery reports that the
+/// snapshot or the identity is missing.
 #[test]
 fn a_missing_file_is_reported() -> Result<(), Failure> {
-    let whole = MemDisk::default();
-    let (mut storage, _) = Storage::open(whole.disk(), DISK)?;
-    let mut told = Acknowledged::default();
-    for step in life() {
-        take(&mut storage, &step, &mut told)?;
+    let original = MemDisk::default();
+    let (mut storage, _) = Storage::open(original.disk(), DISK)?;
+    let mut ack_state = Acknowledged::default();
+    for step in write_steps() {
+        run_step(&mut storage, &step, &mut ack_state)?;
     }
     drop(storage);
-    Storage::open(whole.disk(), DISK)?;
+    Storage::open(original.disk(), DISK)?;
     for name in ["identity", "snapshot"] {
-        let disk = whole.copy();
+        let disk = original.copy();
         disk.disk().run(anvil_ledger::storage::Op::Remove(name))?;
         let opened = Storage::open(disk.disk(), DISK + 1);
         assert!(matches!(
@@ -247,31 +263,31 @@
     Ok(())
 }
 
-/// The disk is full while an operator's change is written. The change is not answered, and
-/// nothing is written after it even if space comes back: nobody knows what the disk holds.
+/// Guards against writes after a failed one, even if space comes back: the contents of the disk are
+/// unknown.
 #[test]
-fn a_full_disk_stops_for_good() -> Result<(), Failure> {
+fn nothing_is_written_after_a_full_disk() -> Result<(), Failure> {
     let disk = MemDisk::default();
     let (mut storage, _) = Storage::open(disk.disk(), DISK)?;
-    let mut told = Acknowledged::default();
-    let steps = life();
-    take(&mut storage, &steps[0], &mut told)?;
+    let mut ack_state = Acknowledged::default();
+    let steps = write_steps();
+    run_step(&mut storage, &steps[0], &mut ack_state)?;
     disk.fail_at(Some(disk.operations()));
-    assert!(take(&mut storage, &steps[1], &mut told).is_err());
+    assert!(run_step(&mut storage, &steps[1], &mut ack_state).is_err());
     disk.fail_at(None);
-    let later = take(&mut storage, &steps[1], &mut told);
+    let later = run_step(&mut storage, &steps[1], &mut ack_state);
     assert!(matches!(later, Err(StorageError::Failed)));
     Ok(())
 }
 
-/// A folder written by a later version is left alone, and the version is named.
+/// Guards against reading a folder of a later format version.
 #[test]
 fn another_format_is_refused() -> Result<(), Failure> {
     let disk = MemDisk::default();
     let mut buf = Vec::new();
     let future: (u16, u64, u64) = (9, 1, 2);
     let body = bincode::serde::encode_to_vec(future, bincode::config::standard())?;
-    anvil_ledger::storage::frame::put(&mut buf, 0, &body);
+    anvil_ledger::storage::frame::append_frame(&mut buf, 0, &body);
     let folder = disk.disk();
     drop(Storage::open(folder.clone(), DISK)?);
     folder.run(anvil_ledger::storage::Op::Create("log-0000000001"))?;
@@ -284,18 +300,17 @@
     Ok(())
 }
 
-/// A replica prepares its own snapshot while a newer one comes from the leader. If the older one
-/// were put in the newer one's place, the log would begin after the snapshot's end, and the next
-/// restart would find a gap.
+/// Guards against a prepared snapshot that replaces a newer one installed meanwhile: the log would
+/// begin after the snapshot's end, and the next restart would find a gap.
 #[test]
 fn an_older_snapshot_never_replaces_a_newer_one() -> Result<(), Failure> {
     let disk = MemDisk::default();
     let (mut storage, _) = Storage::open(disk.disk(), DISK)?;
-    let mut told = Acknowledged::default();
-    take(&mut storage, &write(1, 1, 1, 5), &mut told)?;
+    let mut ack_state = Acknowledged::default();
+    run_step(&mut storage, &write(1, 1, 1, 5), &mut ack_state)?;
     let own = meta(1, 4);
     snapshot::prepare(storage.disk(), snapshot::TEMPORARY, &own, b"state")?;
-    take(&mut storage, &Step::Install(meta(3, 20)), &mut told)?;
+    run_step(&mut storage, &Step::Install(meta(3, 20)), &mut ack_state)?;
     storage.publish_snapshot(&own)?;
     let (_, found) = Storage::open(disk.disk(), DISK)?;
     assert_eq!(found.snapshot.map(|s| s.meta.last.index), Some(20));
--- a/crates/anvil_ledger/tests/support/mem_disk.rs
+++ b/crates/anvil_ledger/tests/support/mem_disk.rs
@@ -1,10 +1,10 @@
-//! A folder in memory that can fail, tear, and lose what was not synced.
+//! A folder in memory that can fail, tear writes, and lose unsynced data.
 
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Result};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use anvil_ledger::storage::{Disk, Done, Op};
+use anvil_ledger::storage::{Disk, Op, OpOutput};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
@@ -12,7 +12,7 @@
 struct File {
     bytes: Vec<u8>,
     synced: usize,
-    /// What a cut took away, until the cut is synced.
+    /// Truncated bytes, until the truncation is synced.
     cut: Vec<u8>,
 }
 
@@ -36,41 +36,41 @@
         f(&mut self.folder.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// The folder as the storage sees it.
+    /// The folder as seen by the storage.
     pub fn disk(&self) -> Disk {
         let folder = self.clone();
         Disk::new(move |op| folder.with(|folder| folder.run(op)))
     }
 
-    /// Operations so far.
+    /// Number of writing operations so far.
     pub fn operations(&self) -> u64 {
         self.with(|folder| folder.operations)
     }
 
-    /// Every operation from this one on fails; the first one may be half done.
+    /// Lets every writing operation from this one on fail; the first one may be half done.
     pub fn fail_at(&self, operation: Option<u64>) {
         self.with(|folder| folder.fail_at = operation);
     }
 
-    /// Power is lost: what was not synced is kept, lost or garbled by chance.
+    /// Simulates a loss of power: unsynced data is kept, lost or garbled at random.
     pub fn crash(&self, rng: &mut ChaCha8Rng) {
         self.with(|folder| folder.crash(rng));
     }
 
-    /// Another disk is put in.
+    /// Replaces the disk by an empty one.
     pub fn wipe(&self) {
         self.with(|folder| *folder = Folder::default());
     }
 
     /// Flips one bit of a file.
-    pub fn flip(&self, name: &str, at: usize) {
+    pub fn flip_bit(&self, name: &str, at: usize) {
         self.with(|folder| {
             let file = folder.names[name];
             folder.files[file].bytes[at] ^= 1;
         });
     }
 
-    /// A file's bytes.
+    /// Contents of a file.
     pub fn bytes(&self, name: &str) -> Vec<u8> {
         self.with(|folder| folder.files[folder.names[name]].bytes.clone())
     }
@@ -80,7 +80,7 @@
         self.with(|folder| folder.names.keys().cloned().collect())
     }
 
-    /// A copy that goes its own way.
+    /// An independent copy.
     pub fn copy(&self) -> Self {
         let folder = self.with(|folder| folder.clone());
         Self {
@@ -90,20 +90,20 @@
 }
 
 impl Folder {
-    fn run(&mut self, op: Op<'_>) -> Result<Done> {
+    fn run(&mut self, op: Op<'_>) -> Result<OpOutput> {
         let changes = !matches!(op, Op::List | Op::Read(_));
         if changes {
             self.operations += 1;
             if self.fail_at.is_some_and(|at| self.operations > at) {
-                self.half(op);
+                self.write_half(op);
                 return Err(Error::from(ErrorKind::StorageFull));
             }
         }
         self.carry_out(op)
     }
 
-    /// A write that fails may have left a part.
-    fn half(&mut self, op: Op<'_>) {
+    /// A failed write may have left a part of its bytes.
+    fn write_half(&mut self, op: Op<'_>) {
         let first = self.fail_at.is_some_and(|at| self.operations == at + 1);
         if let Op::Append(name, bytes) = op
             && first
@@ -119,10 +119,10 @@
         Ok(&mut self.files[file])
     }
 
-    fn carry_out(&mut self, op: Op<'_>) -> Result<Done> {
+    fn carry_out(&mut self, op: Op<'_>) -> Result<OpOutput> {
         match op {
-            Op::List => return Ok(Done::Names(self.names.keys().cloned().collect())),
-            Op::Read(name) => return Ok(Done::Bytes(self.file(name)?.bytes.clone())),
+            Op::List => return Ok(OpOutput::Names(self.names.keys().cloned().collect())),
+            Op::Read(name) => return Ok(OpOutput::Bytes(self.file(name)?.bytes.clone())),
             Op::Create(name) => {
                 self.files.push(File::default());
                 self.names.insert(name.into(), self.files.len() - 1);
@@ -149,12 +149,12 @@
             }
             Op::SyncFolder => self.synced_names = self.names.clone(),
         }
-        Ok(Done::Nothing)
+        Ok(OpOutput::Nothing)
     }
 
     fn crash(&mut self, rng: &mut ChaCha8Rng) {
         self.fail_at = None;
-        // Names that were not synced may last all the same.
+        // Names that were not synced may be durable all the same.
         if rng.random_bool(0.5) {
             self.names = self.synced_names.clone();
         } else {
@@ -163,10 +163,10 @@
         for file in &mut self.files {
             file.crash(rng);
         }
-        self.forget_unnamed();
+        self.drop_unnamed();
     }
 
-    fn forget_unnamed(&mut self) {
+    fn drop_unnamed(&mut self) {
         for (number, file) in self.files.iter_mut().enumerate() {
             if !self.names.values().any(|named| *named == number) {
                 *file = File::default();
@@ -177,17 +177,17 @@
 
 impl File {
     fn crash(&mut self, rng: &mut ChaCha8Rng) {
-        let loose = self.bytes.len() - self.synced;
-        if !self.cut.is_empty() && loose == 0 && rng.random_bool(0.5) {
+        let unsynced = self.bytes.len() - self.synced;
+        if !self.cut.is_empty() && unsynced == 0 && rng.random_bool(0.5) {
             self.bytes.append(&mut self.cut);
         }
         self.cut.clear();
-        if loose > 0 {
-            let kept = self.synced + rng.random_range(0..=loose);
+        if unsynced > 0 {
+            let kept = self.synced + rng.random_range(0..=unsynced);
             match rng.random_range(0..3) {
                 0 => self.bytes.truncate(self.synced),
                 1 => self.bytes.truncate(kept),
-                // Later blocks are there and an earlier one is not.
+                // Later blocks were written and an earlier one was not.
                 _ => self.bytes[self.synced..kept].fill(0),
             }
         }
--- a/crates/anvil_ledger/tests/suspects.rs
+++ b/crates/anvil_ledger/tests/suspects.rs
@@ -1,10 +1,10 @@
-//! Requests under which endpoints crash, as the ledger gathers them from all routers.
+//! Requests during which endpoints crash, as the ledger collects them from all routers.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use anvil_ledger::core::{Entry, EntryId, Payload};
-use anvil_ledger::lives::Lives;
+use anvil_ledger::lives::LostIncarnations;
 use anvil_ledger::machine::{Machine, encode};
 use anvil_ledger::state::{State, Touched};
 use anvil_ledger::suspects::Suspects;
@@ -34,9 +34,9 @@
     left.is_some_and(|left| !left.is_zero())
 }
 
-/// Guards against a request that is quarantined for one crash, because all routers tell of it.
+/// Guards against a request that is quarantined for one crash, because all routers report it.
 #[test]
-fn one_crash_counts_once_whoever_tells_of_it() {
+fn one_crash_counts_once_however_often_it_is_reported() {
     let mut suspects = Suspects::default();
     for _ in 0..5 {
         assert!(suspects.report(&crash("a", &[1], 0)).is_empty());
@@ -49,9 +49,10 @@
     assert!(is_quarantined(&suspects, 1, 9) && !is_quarantined(&suspects, 2, 9));
 }
 
-/// Guards against an endpoint that crashes again and again, and starts again each time under the name that it had.
+/// Guards against repeated crashes that count once, because the endpoint restarts under the same
+/// name.
 #[test]
-fn an_endpoint_that_starts_again_under_its_name_counts_again() {
+fn each_crash_of_an_endpoint_that_restarts_under_its_name_counts() {
     let mut suspects = Suspects::default();
     for second in [0, 4, 8] {
         assert!(!is_quarantined(&suspects, 1, 9));
@@ -60,7 +61,7 @@
     assert!(is_quarantined(&suspects, 1, 9));
 }
 
-/// Guards against a request that stays quarantined though it was answered, and against one that is quarantined for ever.
+/// Guards against a request that stays quarantined after an answer, or for ever.
 #[test]
 fn a_request_is_cleared_by_an_answer_and_by_time() {
     let mut suspects = Suspects::default();
@@ -77,7 +78,7 @@
     assert!(!is_quarantined(&suspects, 2, over));
 }
 
-/// Guards against three more endpoints that are lost each time a request's quarantine is over.
+/// Guards against the loss of three more endpoints each time a request's quarantine ends.
 #[test]
 fn after_its_quarantine_one_more_crash_is_enough() {
     let mut suspects = Suspects::default();
@@ -91,17 +92,18 @@
         BTreeSet::from([1])
     );
     assert!(is_quarantined(&suspects, 1, over));
-    let forgotten = over + REMEMBERED_FOR.as_secs();
+    let expired = over + REMEMBERED_FOR.as_secs();
     assert_eq!(
-        suspects.report(&crash("e", &[1], forgotten)),
+        suspects.report(&crash("e", &[1], expired)),
         BTreeSet::from([1])
     );
     assert_eq!(suspects.get(1), None);
 }
 
-/// Guards against long streams being quarantined, because they were under way at endpoints that another request crashed.
+/// Guards against long streams being quarantined, because they ran at endpoints that another
+/// request crashed.
 #[test]
-fn a_request_whose_runs_had_output_takes_twice_the_crashes() {
+fn a_request_whose_runs_had_output_needs_twice_the_crashes() {
     let mut suspects = Suspects::default();
     for (number, endpoint) in (1..).zip(["a", "b", "c", "d", "e", "f"]) {
         suspects.report(&ReportCrash {
@@ -113,9 +115,9 @@
     }
 }
 
-/// Guards against a flood of crashes that drives out what is known of a request that crashes endpoints.
+/// Guards against many crashes at once that evict the record of a request which crashes endpoints.
 #[test]
-fn a_lost_zone_neither_grows_the_memory_nor_frees_a_quarantined_request() {
+fn a_lost_zone_neither_exceeds_the_memory_limit_nor_evicts_a_quarantined_request() {
     let mut suspects = Suspects::default();
     for endpoint in ["a", "b", "c"] {
         suspects.report(&crash(endpoint, &[0], 0));
@@ -137,9 +139,9 @@
     }
 }
 
-/// Guards against what is known of a request being lost with a restart, or not told to followers.
+/// Guards against suspects that a replica loses when it restarts, or that followers don't receive.
 #[test]
-fn a_snapshot_keeps_suspects_and_followers_are_told() {
+fn a_snapshot_keeps_suspects_and_followers_receive_them() {
     let mut machine = Machine::default();
     for (index, endpoint) in (1..).zip(["a", "b", "c"]) {
         let command = Command::ReportCrash(crash(endpoint, &[7], 0));
@@ -154,10 +156,10 @@
     assert!(is_quarantined(&restored.suspects, 7, 9));
 }
 
-/// Guards against a replica that can't start on the snapshot of an earlier build.
+/// Guards against a replica that can't start from the snapshot of an earlier build.
 #[test]
-fn a_snapshot_without_suspects_is_read() {
-    let before = (State::default(), Lives::default());
+fn a_snapshot_without_suspects_is_restored() {
+    let before = (State::default(), LostIncarnations::default());
     let bytes = bincode::serde::encode_to_vec(before, standard()).expect("bytes");
     assert_eq!(
         Machine::restore(&bytes).expect("a machine"),
