--- a/crates/anvil_gateway/src/admit.rs
+++ b/crates/anvil_gateway/src/admit.rs
@@ -1,7 +1,6 @@
-//! Admits requests: who sends it, where it may go, whether it is paid for.
+//! Admission of requests: identifies the sender, finds the route, reserves tokens.
 //!
-//! Everything here is said before an endpoint has seen anything of the request, so each refusal
-//! is true by itself.
+//! Admission ends before anything is sent to an endpoint, so a request refused here has not run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,9 +25,9 @@
 use crate::trace::Trace;
 use crate::tries::Tries;
 
-/// When to come back where another gateway may serve the request: at once.
+/// Retry-after time if another gateway may serve the request: at once.
 const ELSEWHERE: Duration = Duration::from_millis(20);
-/// Time within which a ledger that has lost its leader has another one, and gateways have found it.
+/// Time in which a ledger without a leader elects one and gateways find it.
 const LEADER_WITHIN: Duration = Duration::from_secs(1);
 
 /// Answers one request.
@@ -136,7 +135,7 @@
     })
 }
 
-/// The routing table; a process that has just started waits for its first one.
+/// The routing table. A process that has just started waits for its first one.
 async fn first_table(
     gw: &Gateway,
     ask: &Ask,
@@ -169,7 +168,7 @@
 }
 
 async fn read_body(body: Incoming, most: usize, until: Instant) -> Result<Bytes, Refused> {
-    // What is announced as too long is not waited for.
+    // A declared length over the limit is refused without reading the body.
     if body.size_hint().lower() > most as u64 {
         return Err((Cause::BodyTooLong, SOON));
     }
@@ -182,7 +181,7 @@
     }
 }
 
-/// Sets aside what the request costs at its most.
+/// Reserves the most that the request can cost.
 async fn reserve(
     gw: &Arc<Gateway>,
     organisation: Option<&Organisation>,
@@ -233,11 +232,11 @@
     }
 }
 
-/// When to come back while the ledger doesn't answer.
+/// Retry-after time while the ledger does not answer.
 ///
-/// Failure: the ledger loses its leader. Every gateway's clients are sent elsewhere at once, are refused
-/// there as well, and give up while the next leader is being elected. So only a gateway that stays
-/// without an answer for longer than that sends its clients away.
+/// Failure: during a leader election no gateway can obtain grants. Clients that are sent to another
+/// gateway at once are refused there too and give up before the election ends. So clients are sent
+/// elsewhere only after this gateway has been without an answer for longer than an election takes.
 fn unreachable(gw: &Gateway) -> Duration {
     if gw.purse.unanswered_for(gw.life.now()) < LEADER_WITHIN {
         return SOON;
--- a/crates/anvil_gateway/src/attempt.rs
+++ b/crates/anvil_gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One request sent to one endpoint, and what can be said of it afterwards.
+//! One attempt: a request sent to one endpoint, and whether it ran there.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,49 +16,50 @@
 use crate::gateway::Gateway;
 use crate::pool::Connection;
 
-/// Why nothing has run.
+/// Why a request has not run at an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NotRun {
-    /// No connection could be made.
+    /// No connection could be made, or nothing was sent on it.
     Unreachable(String),
-    /// The endpoint said so: it is full, leaving, or another life has its address.
+    /// The endpoint said so: it is full, leaving, or another incarnation has its address.
     Refused(u16),
 }
 
-/// Status by which the address of an endpoint that is gone says that another one has it.
+/// Status that an endpoint returns if the request names another incarnation: 421 Misdirected
+/// Request.
 pub const ANOTHER_HAS_IT: u16 = 421;
 
-/// Why nobody can say whether it has run.
+/// Why it is unknown whether a request has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Doubt {
-    /// The connection was lost after bytes had left.
+    /// The connection was lost after part of the request was sent.
     Lost,
-    /// No answer came in time.
+    /// No response came in time.
     Silent,
-    /// The answer belongs to another request.
+    /// The response belongs to another request.
     Misfit,
-    /// What came is not the endpoint's whole answer.
+    /// The response is not the endpoint's complete, signed response.
     Spoiled,
 }
 
-/// An answer whose body is still to come.
+/// A response whose body has not been read yet.
 pub struct Answer {
     /// Status and headers as the endpoint sent them.
     pub parts: response::Parts,
-    /// What the head tells.
+    /// The parsed response head.
     pub head: AnswerHead,
     /// The body.
     pub body: Incoming,
-    /// The connection, to be put back once the body has ended well.
+    /// The connection, to be returned to the pool after the complete body.
     pub sender: SendRequest<Full<Bytes>>,
-    /// What is known of the connection.
+    /// What was observed on the connection.
     pub watch: Arc<ConnectionWatch>,
-    /// The place that the request holds.
+    /// The slot that the request holds.
     pub place: Place,
 }
 
 impl Answer {
-    /// The body has ended well: the connection may carry the next request.
+    /// Returns the connection to the pool; the body must have been read to its end.
     pub fn put_back(
         sender: SendRequest<Full<Bytes>>,
         watch: Arc<ConnectionWatch>,
@@ -69,17 +70,17 @@
     }
 }
 
-/// What came of one try.
+/// Outcome of one attempt.
 pub enum Tried {
-    /// It did not run there and never will.
+    /// The request did not run there and never will.
     NotRun(NotRun),
-    /// It may have run.
+    /// The request may have run.
     Doubt(Doubt),
-    /// An answer begins.
+    /// A response has begun.
     Answer(Box<Answer>),
 }
 
-/// What is sent.
+/// What is sent to an endpoint.
 pub struct Outgoing<'a> {
     /// Method.
     pub method: &'a Method,
@@ -87,17 +88,17 @@
     pub uri: &'a Uri,
     /// Headers for this endpoint.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// Id that the answer must bear.
+    /// Id that the response must carry.
     pub id: &'a str,
-    /// No answer is waited for after this.
+    /// The response head is awaited until then.
     pub until: Instant,
-    /// Where to note the connection on which it is sent.
+    /// Set to the connection on which the request is sent.
     pub watch: &'a mut Option<Arc<ConnectionWatch>>,
 }
 
-/// Sends one request to the endpoint at whose place it is, and waits for the answer's head.
+/// Sends one request to the endpoint of `place` and waits for the response head.
 pub async fn send(gw: &Gateway, place: Place, out: Outgoing<'_>) -> Tried {
     let endpoint = place.endpoint.clone();
     let mut fresh = false;
@@ -124,7 +125,7 @@
             Err(_) => return Tried::Doubt(Doubt::Silent),
             Ok(Ok(answer)) => answer,
             Ok(Err(mut e)) => {
-                // Given back whole: not a byte of it has left, so a new connection may carry it.
+                // The request came back unsent, so it may be sent on a new connection.
                 let unsent = e.take_message().is_some();
                 if unsent && connection.used && !fresh {
                     fresh = true;
@@ -139,8 +140,8 @@
         connection.watch.answered();
         let (parts, body) = answer.into_parts();
         let head = (gw.cfg.dialect.answer)(parts.status, &parts.headers);
-        // Failure: an endpoint sends a second answer, late, where the next request's answer is
-        // due. Only the id tells them apart; taken for the answer, it reaches another caller.
+        // Failure: an endpoint sends a second, late response on the connection, and it is taken for
+        // the response to the next request, from another client. Only the id tells them apart.
         if head.id.as_deref().is_some_and(|id| id != out.id) {
             return Tried::Doubt(Doubt::Misfit);
         }
@@ -173,12 +174,12 @@
     req
 }
 
-/// Longest wait for the rest of a refusal whose connection would be kept.
+/// Longest wait for the rest of a refusal before its connection is dropped.
 const REFUSAL_REST: Duration = Duration::from_millis(20);
 /// Longest body of a refusal that is read, in bytes.
 const REFUSAL_BYTES: usize = 4_096;
 
-/// Reads the rest of a refusal, so that its connection can be used again.
+/// Reads the rest of a refusal, so that its connection can be reused.
 async fn finish(connection: Connection, endpoint: &Endpoint, head: &AnswerHead, body: Incoming) {
     use http_body_util::{BodyExt, Limited};
     let reading = Limited::new(body, REFUSAL_BYTES).collect();
--- a/crates/anvil_gateway/src/choose.rs
+++ b/crates/anvil_gateway/src/choose.rs
@@ -1,4 +1,4 @@
-//! Chooses an endpoint for a request, out of what this gateway knows.
+//! Selects an endpoint for a request, by expected time to the first token.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,39 +13,40 @@
 use crate::gateway::Gateway;
 use crate::table::Route;
 
-/// What was chosen, and on which grounds.
+/// The selected endpoint, and the data behind the decision.
 pub struct Chosen {
-    /// The place taken.
+    /// The slot taken at the endpoint.
     pub place: Place,
     /// Expected time to the first token.
     pub expected: Duration,
-    /// Tokens of the prompt that have to be read there.
+    /// Prompt tokens that the endpoint has to process.
     pub missing: Tokens,
-    /// The engine from which it is to copy what that one has read.
+    /// The engine from which it copies the prompt's cached prefix.
     pub copy_from: Option<SocketAddr>,
-    /// What is known of its load, and how old that is.
+    /// The endpoint's known load and its age, for the trace.
     pub grounds: String,
 }
 
-/// Why nothing was chosen.
+/// Why no endpoint was selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unplaced {
-    /// No endpoint takes work.
+    /// No endpoint accepts work.
     Nobody,
-    /// The best one would answer too late: after this time.
+    /// The best endpoint would respond too late: after this time.
     TooLate(Duration),
-    /// All of them take fewer requests than come; the first one takes another after this time.
+    /// All endpoints are at their announced limits; the first one accepts another request after
+    /// this time.
     AtLimit(Duration),
 }
 
-/// Expected time that one more request waits at a plain endpoint with no place left.
+/// Expected wait for one more request at a non-engine endpoint whose slots are all in use.
 const WHEN_FULL: Duration = Duration::from_millis(30);
 
-/// What it costs to try another endpoint after a bad answer: about one answer of a plain service.
+/// Cost of a retry after a bad response: about the duration of a non-engine request.
 const NEXT_TRY: Duration = Duration::from_millis(40);
 
 impl Gateway {
-    /// Draws one of a route's services by weight.
+    /// Selects one of a route's services at random, by weight.
     pub fn draw_service(&self, route: &Route) -> Option<ServiceId> {
         let total: u32 = route.services.iter().map(|(_, weight)| *weight).sum();
         if total == 0 {
@@ -60,11 +61,11 @@
         found.map(|(service, _)| service.clone())
     }
 
-    /// Chooses among the endpoints of a service that have not been tried.
+    /// Selects among the endpoints of a service that have not been tried.
     ///
-    /// Endpoints that failed lately are passed over while others are there. When all have failed,
-    /// they are tried all the same: a request that is turned away is surely not answered. Those that
-    /// announced a limit get no more than this gateway's part of it.
+    /// Endpoints that failed recently are used only if no others are left: an attempt there may
+    /// still succeed, a refusal can't. Endpoints that announced a limit receive at most this
+    /// gateway's share of it.
     pub fn choose(
         &self,
         service: &str,
@@ -93,14 +94,15 @@
         })
     }
 
-    /// The best of these that takes a request now; the request is counted there.
+    /// Selects the best candidate that accepts a request now, and counts the request against its
+    /// limit.
     fn take_best<'a>(
         &self,
         now: Now,
         all: &'a [Weighed<'a>],
         within: Duration,
     ) -> Result<&'a Weighed<'a>, Unplaced> {
-        // A time of day before the epoch has windows all the same.
+        // A clock before the epoch still yields valid time windows.
         let time_of_day = SystemTime::now().duration_since(UNIX_EPOCH);
         let at = Clocks {
             now,
@@ -124,13 +126,13 @@
             if best.endpoint.takes_one(at, turn) {
                 return Ok(best);
             }
-            // Another request was first.
+            // A concurrent request took the last one allowed.
             taking.retain(|weighed| weighed.endpoint.id != best.endpoint.id);
         }
         Err(soonest.map_or(Unplaced::Nobody, Unplaced::AtLimit))
     }
 
-    /// The engine from which the chosen one copies, where that is much faster than reading.
+    /// The engine to copy the prefix from, if copying is much faster than recomputing it.
     fn source(
         &self,
         service: &str,
@@ -202,21 +204,21 @@
     }
 }
 
-/// An endpoint with what is expected of it.
+/// An endpoint with the estimate for this request.
 struct Weighed<'a> {
     endpoint: &'a Arc<Endpoint>,
-    /// Time to the first token if all that is missing is read.
+    /// Time to the first token if all missing prompt tokens are processed.
     expected: Duration,
-    /// What it lacks of the prompt.
+    /// Prompt tokens that are not cached there.
     lacking: Lacking,
-    /// It failed lately.
+    /// Whether it failed recently and is on cooldown.
     shut: bool,
 }
 
-/// An engine from which another one copies.
+/// An engine from which another one copies a cached prefix.
 struct Source {
     addr: SocketAddr,
-    /// Tokens whose reading takes as long as what remains to be read and copied.
+    /// Tokens whose processing takes as long as copying the prefix and processing the rest.
     left: Tokens,
 }
 
--- a/crates/anvil_gateway/src/connection_watch.rs
+++ b/crates/anvil_gateway/src/connection_watch.rs
@@ -1,10 +1,10 @@
-//! Watches one connection to an endpoint, also after a request on it was given up.
+//! Observes one connection to an endpoint, also after its request was abandoned.
 //!
-//! Failure: a client leaves before its answer begins, and nobody knows whether the endpoint had
-//! begun to work for it. Billed, an organisation pays for tokens it never got and runs dry early;
-//! not billed, it may get more than it paid for. So a connection that is given up is closed for
-//! writing first, which tells the endpoint to stop, and read to its end: an endpoint that had begun
-//! has sent the beginning of its answer.
+//! Failure: a client disconnects before its response begins, and it is unknown whether the endpoint
+//! had begun to run the request. If it is charged, the organisation pays for tokens it never
+//! received; if not, it may receive more than it pays for. So an abandoned connection is first
+//! closed for writing, which stops the endpoint's run, and then read to its end: an endpoint that
+//! had begun has sent the start of its response.
 
 use std::io;
 use std::pin::Pin;
@@ -18,27 +18,27 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Longest time that a connection is read after it was given up. An endpoint hears of the close
-/// within some milliseconds; one that is silent for so long is taken to have begun.
+/// For how long an abandoned connection is read. An endpoint notices the close within a few
+/// milliseconds; one that does not close in this time is assumed to have begun.
 const LINGER: Duration = Duration::from_millis(100);
 
-/// What is known of one connection.
+/// What was observed on one connection.
 #[derive(Debug)]
 pub struct ConnectionWatch {
-    /// Bytes have come since the last request was sent.
+    /// Data was received since the last request was sent.
     heard: AtomicBool,
-    /// A request was sent and its answer has not begun.
+    /// A request was sent and its response has not begun.
     awaited: AtomicBool,
-    /// Whether the connection has ended, and was read to its end.
+    /// How the connection ended; `None` while it is in use.
     ended: watch::Sender<Option<End>>,
 }
 
 /// How a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum End {
-    /// The other side closed it, and all it had to say was read.
+    /// The endpoint closed it and all data was read.
     Read,
-    /// It was still open when it was left.
+    /// It was abandoned before its end was seen.
     Left,
 }
 
@@ -51,25 +51,25 @@
         })
     }
 
-    /// A request is about to be sent.
+    /// Call before a request is sent.
     pub fn sent(&self) {
         self.heard.store(false, Ordering::Relaxed);
         self.awaited.store(true, Ordering::Relaxed);
     }
 
-    /// The answer has begun.
+    /// Call when the response has begun.
     pub fn answered(&self) {
         self.awaited.store(false, Ordering::Relaxed);
     }
 
-    /// Waits for the connection's end, and says whether the endpoint surely had not begun to
-    /// answer the last request.
+    /// Waits for the end of the connection. Returns whether it is certain that the endpoint had not
+    /// begun to respond to the last request.
     pub async fn ended_unheard(&self) -> bool {
         let mut ended = self.ended.subscribe();
         let waiting = ended.wait_for(Option::is_some);
         let end = match timeout(2 * LINGER, waiting).await {
             Ok(Ok(end)) => *end,
-            // Too late, or nobody is left to tell.
+            // Timed out, or the sender was dropped.
             Err(_) | Ok(Err(_)) => None,
         };
         end == Some(End::Read) && !self.heard.load(Ordering::Relaxed)
@@ -80,14 +80,14 @@
     }
 }
 
-/// A socket that keeps its [`ConnectionWatch`] informed.
+/// A socket that updates its [`ConnectionWatch`].
 pub struct WatchedSocket {
     socket: Option<TcpStream>,
     watch: Arc<ConnectionWatch>,
 }
 
 impl WatchedSocket {
-    /// Watches this socket.
+    /// Wraps a socket.
     pub fn new(socket: TcpStream) -> (Self, Arc<ConnectionWatch>) {
         let watch = ConnectionWatch::new();
         let watched = Self {
@@ -99,7 +99,7 @@
 
     fn socket(&mut self) -> Pin<&mut TcpStream> {
         let socket = self.socket.as_mut();
-        // Taken out only when this value is dropped.
+        // The socket is taken out only on drop.
         Pin::new(socket.unwrap_or_else(|| unreachable!("a socket until the drop")))
     }
 }
@@ -127,7 +127,7 @@
 }
 
 async fn read_to_end(mut socket: TcpStream, watch: &ConnectionWatch) -> End {
-    // Fails only where the connection is gone already; the read tells.
+    // Fails only if the connection is already gone, which the read shows.
     let _ = socket.shutdown().await;
     let mut buf = [0; 512];
     match socket.read(&mut buf).await {
@@ -136,7 +136,7 @@
             watch.heard.store(true, Ordering::Relaxed);
             End::Left
         }
-        // A reset may have swallowed what had come.
+        // Data received before a reset may be lost.
         Err(_) => End::Left,
     }
 }
--- a/crates/anvil_gateway/src/content.rs
+++ b/crates/anvil_gateway/src/content.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same one: who sends it, and all of it but its id.
+//! Identifies equal requests by a digest of everything except the request id.
 
 use anvil_world::prelude::*;
 use bytes::Bytes;
@@ -10,7 +10,7 @@
 /// Bytes of the hash that are kept.
 const KEPT: usize = 16;
 
-/// A number that only equal requests share: of one organisation, on one host, with one method, path, query and body.
+/// Equal only for requests of the same organisation, host, method, path, query and body.
 pub fn digest(
     organisation: Option<&Organisation>,
     route: &Route,
@@ -23,7 +23,7 @@
     let mut hash = Sha256::new();
     for part in [organisation, &*route.host, method.as_str(), path] {
         hash.update(part);
-        // No part may run into the next one.
+        // Separates the parts, so that moving a byte between two of them changes the digest.
         hash.update([0]);
     }
     hash.update(body);
@@ -31,7 +31,7 @@
     kept.fold(0, |number, byte| number << 8 | RequestDigest::from(byte))
 }
 
-/// In log lines.
+/// The digest as hexadecimal text, for the log.
 pub fn text(digest: RequestDigest) -> String {
     format!("{digest:032x}")
 }
--- a/crates/anvil_gateway/src/crashes.rs
+++ b/crates/anvil_gateway/src/crashes.rs
@@ -1,5 +1,5 @@
-//! Finds out whether an endpoint that lost answers has crashed. What that rests on is decided in
-//! [`anvil_policy::crash`].
+//! Detects whether an endpoint that lost responses has crashed. [`anvil_policy::crash`] decides
+//! which evidence counts.
 
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -19,13 +19,14 @@
 use crate::metrics;
 use crate::pool::ConnectError;
 
-/// Pause before the look: a process that ends closes its sockets one after the other.
+/// Pause before the probe, because a process that ends closes its sockets one after the other.
 const LOOK_AFTER: Duration = Duration::from_millis(20);
-/// Contents named in one log line.
+/// Maximum number of request digests in one log line.
 const MOST_NAMED: usize = 16;
 
 impl Gateway {
-    /// A request's answer was lost at an endpoint. One that is leaving may end in its own time.
+    /// Records that an endpoint lost the response to a request. Ignored if it is leaving, since it
+    /// may stop at any time.
     pub fn lost_at(
         self: &Arc<Self>,
         endpoint: &Arc<Endpoint>,
@@ -48,18 +49,18 @@
         }
     }
 
-    /// An endpoint begins to answer.
+    /// Records that an endpoint has begun to respond, so it is alive.
     pub fn endpoint_lives(&self, endpoint: &Endpoint) {
         self.crash_watch().lives(&endpoint.id);
     }
 
-    /// An endpoint has answered a request to the end.
+    /// Records that an endpoint has answered a request completely.
     pub fn answered(&self, content: RequestDigest) {
         self.crash_watch().answered(self.life.now(), content);
         self.suspects.answered(content);
     }
 
-    /// There is evidence that an endpoint's process has ended though it wasn't leaving.
+    /// Records evidence that an endpoint's process has ended although it was not leaving.
     pub fn endpoint_crashed(&self, endpoint: &InstanceId, evidence: Evidence) {
         let contents = self.crash_watch().crashed(self.life.now(), endpoint);
         self.crashed_under(endpoint, contents, Some(evidence));
@@ -87,19 +88,19 @@
         }
     }
 
-    /// Whether an endpoint has answered a request a moment before.
+    /// Whether an endpoint answered a request shortly before.
     pub fn was_answered(&self, content: RequestDigest) -> bool {
         let now = self.life.now();
         self.crash_watch().was_answered(now, content)
     }
 
     fn crash_watch(&self) -> MutexGuard<'_, CrashWatch> {
-        // A panic elsewhere leaves ids and times, each of them true.
+        // Sound after a panic elsewhere: each entry is valid by itself.
         self.crashes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Looks whether an endpoint still listens. The connection takes the place of the one that was lost.
+/// Probes whether an endpoint still listens. The new connection replaces the one that was lost.
 async fn look(gw: Arc<Gateway>, endpoint: Arc<Endpoint>) {
     sleep(LOOK_AFTER).await;
     match endpoint.pool.connect().await {
@@ -109,7 +110,7 @@
         {
             gw.endpoint_crashed(&endpoint.id, Evidence::Refused);
         }
-        // It may only be cut off: the platform's list tells.
+        // The endpoint may just be unreachable; the platform's list will show whether it is gone.
         Err(_) => {}
     }
 }
--- a/crates/anvil_gateway/src/dialect.rs
+++ b/crates/anvil_gateway/src/dialect.rs
@@ -1,7 +1,7 @@
-//! What a platform's way of speaking HTTP comes down to, in the product's own words.
+//! The interface between this crate and a platform's HTTP conventions.
 //!
-//! A [`Dialect`] holds the functions of one adapter. They translate names and formats and decide
-//! nothing.
+//! A [`Dialect`] holds the functions of one adapter. They translate names and formats and take no
+//! decisions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,157 +15,157 @@
 
 use crate::table::RouteTable;
 
-/// Number of a part of a prompt. Equal parts have equal numbers.
+/// Id of a part of a prompt; equal parts have equal ids.
 pub type PartId = u64;
 
-/// One part of a prompt, in the order in which the model reads it.
+/// One part of a prompt, in the order in which the model processes the parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Which.
+    /// The part.
     pub id: PartId,
     /// Its length.
     pub tokens: Tokens,
 }
 
-/// What a request asks of a model engine.
+/// The work that a request means for a model engine.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ModelWork {
     /// Tokens of the whole prompt.
     pub prompt: Tokens,
-    /// Most tokens of output.
+    /// Maximum tokens of output.
     pub most_output: Tokens,
-    /// Parts of the prompt; the last one is the request's own, those before are shared.
+    /// Parts of the prompt; the last one is specific to the request, the others are shared.
     pub parts: Vec<PromptPart>,
 }
 
-/// A client's request, as far as its head tells.
+/// The parsed head of a client's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ask {
-    /// Id of this try of the client's; no other try has it.
+    /// Id of this attempt of the client; unique.
     pub id: Arc<str>,
-    /// How long the client will wait, from now.
+    /// The client's timeout.
     pub patience: Duration,
     /// Bearer key.
     pub key: Option<Arc<str>>,
-    /// Only for a model engine.
+    /// Set only for requests to a model engine.
     pub work: Option<ModelWork>,
-    /// The client has a stream's events up to this one already.
+    /// Id of the last event of the stream that the client already has.
     pub after: Option<u64>,
 }
 
-/// A head that can't be served.
+/// A request head that can't be served.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{what} is missing or can't be read"))]
 pub struct BadAsk {
-    /// Which part of the head.
+    /// The missing or invalid part of the head.
     pub what: &'static str,
 }
 
-/// What an endpoint is told beside the client's own words.
+/// What is added to the client's headers for an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Onward<'a> {
-    /// The endpoint that is meant, in its present life; any other one refuses.
+    /// The endpoint incarnation that is meant; any other one must refuse the request.
     pub endpoint: &'a str,
-    /// Who sends the request.
+    /// The organisation that sent the request.
     pub organisation: Option<&'a str>,
-    /// Time left.
+    /// Time left until the deadline.
     pub left: Duration,
-    /// Rank among the endpoint's requests, 0 first.
+    /// Priority class at the endpoint; 0 is the most urgent.
     pub class: u8,
-    /// Go on after this event.
+    /// Resume the stream after this event.
     pub after: Option<u64>,
-    /// The engine from which to copy what it has read of the prompt.
+    /// The engine to copy the prompt's cached prefix from.
     pub copy_from: Option<SocketAddr>,
 }
 
-/// An endpoint's word on its load.
+/// The load that an endpoint reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that it works on.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait in it.
+    /// Queued requests.
     pub waiting: u32,
-    /// Requests that it can work on.
+    /// Requests that it can run concurrently.
     pub slots: u32,
 }
 
-/// What the head of an endpoint's answer tells.
+/// The parsed head of an endpoint's response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// The request that it answers, as far as it says.
+    /// Id of the request, if the response names it.
     pub id: Option<Arc<str>>,
-    /// The endpoint says that it did not run the request and never will.
+    /// The endpoint states that it did not run the request and never will.
     pub not_run: bool,
-    /// The endpoint made this answer: it bears the endpoint's signature.
+    /// The response carries the endpoint's signature.
     pub sealed: bool,
-    /// Load.
+    /// The endpoint's load.
     pub load: Option<Load>,
-    /// For how long the endpoint keeps this connection without a request.
+    /// For how long the endpoint keeps this connection open without a request.
     pub keeps: Option<Duration>,
-    /// The body is in an encoding that nobody asked for.
+    /// The body has a content encoding that was not requested.
     pub encoded: bool,
-    /// What the endpoint takes from all callers together, for as long as it says so.
+    /// The rate limit that the endpoint announces to all callers together.
     pub limit: AnnouncedLimit,
 }
 
-/// An endpoint's word on what it takes.
+/// A rate limit in a response head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnnouncedLimit {
-    /// It announces no limit.
+    /// No limit is announced.
     None,
-    /// So many requests.
+    /// This limit.
     Rate(RateLimit),
-    /// Something that is no limit.
+    /// The value can't be parsed.
     Unreadable,
 }
 
-/// Text that is no routing table.
+/// An invalid routing table.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{place}: found {found}; allowed is {allowed}"))]
 pub struct BadTable {
-    /// Where in the text.
+    /// Position in the text.
     pub place: String,
-    /// What stands there.
+    /// What is there.
     pub found: String,
-    /// What may stand there.
+    /// What is allowed there.
     pub allowed: &'static str,
 }
 
-/// How one platform speaks.
+/// The functions that translate one platform's formats.
 #[derive(Debug, Clone, Copy)]
 pub struct Dialect {
-    /// Reads the head of a client's request.
+    /// Parses the head of a client's request.
     pub ask: fn(&request::Parts) -> Result<Ask, BadAsk>,
-    /// Makes the head for an endpoint out of the client's.
+    /// Makes the headers for an endpoint from the client's.
     pub onward: fn(&HeaderMap, &Onward<'_>) -> HeaderMap,
-    /// Reads the head of an endpoint's answer.
+    /// Parses the head of an endpoint's response.
     pub answer: fn(StatusCode, &HeaderMap) -> AnswerHead,
-    /// Reads and checks a routing table.
+    /// Parses and checks a routing table.
     pub table: fn(&str) -> Result<RouteTable, BadTable>,
 }
 
 /// One page of the platform's list.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ListPage {
-    /// Entries that can be read.
+    /// Valid entries.
     pub listed: Vec<Listed>,
-    /// Entries that can't be read, and so name no endpoint to use.
+    /// Number of entries that can't be parsed and are skipped.
     pub unreadable: u32,
     /// Path of the next page.
     pub next: Option<String>,
 }
 
-/// Where the platform's list is, and how it is read.
+/// Location and format of the platform's list.
 #[derive(Debug, Clone)]
 pub struct ListSource {
-    /// Its address.
+    /// Address.
     pub addr: SocketAddr,
     /// Path of the first page.
     pub path: String,
-    /// By how much it may lag.
+    /// Maximum lag of the list.
     pub lag: Duration,
-    /// Calls a second that it answers, of all processes together.
+    /// Calls per second that the platform accepts from all processes together.
     pub calls_per_second: f64,
-    /// Reads a page.
+    /// Parses a page.
     pub page: fn(&Bytes) -> Result<ListPage, String>,
 }
--- a/crates/anvil_gateway/src/directory.rs
+++ b/crates/anvil_gateway/src/directory.rs
@@ -1,4 +1,4 @@
-//! Which endpoints there are, as the platform lists them.
+//! The known endpoints by service, as the platform lists them.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,42 +13,43 @@
 /// Endpoints of one service.
 pub type Group = Vec<Arc<Endpoint>>;
 
-/// For how long an endpoint that was leaving is still known as such after the list has dropped
-/// it: some times the lag of the list. Afterwards the same name may be another life.
+/// For how long a leaving endpoint is remembered after the list has dropped it: a multiple of the
+/// list's lag. Later the same id may belong to a new incarnation.
 const REMEMBERED: Duration = Duration::from_secs(5);
 
-/// All endpoints by service; replaced whole.
+/// All endpoints by service; replaced as a whole.
 #[derive(Default)]
 pub struct Directory {
     groups: ArcSwap<BTreeMap<ServiceId, Group>>,
-    /// Endpoints that were leaving, with when they were last listed so.
+    /// Leaving endpoints, with the time they were last listed so.
     left: Mutex<BTreeMap<InstanceId, Instant>>,
-    /// Endpoints in a row, by service, at whose address another life answered.
+    /// By service: number of consecutive endpoints whose address another incarnation has taken
+    /// over.
     replaced: Mutex<BTreeMap<ServiceId, usize>>,
 }
 
-/// Least number of endpoints in a row that were found replaced before a list is taken for old: one may
-/// have crashed by itself.
+/// Consecutive replaced endpoints from which on the list counts as stale. A single one may just
+/// have crashed.
 const FEWEST_REPLACED: usize = 2;
-/// Part of a service's endpoints that must be found replaced in a row, as a divisor. Those that are
-/// asked in vain use up the tries that all gateways share.
+/// The list counts as stale if this part of a service's endpoints, given as a divisor, was found
+/// replaced. Each attempt at a replaced endpoint uses up the retry budget shared by all gateways.
 const REPLACED_PART: usize = 3;
 
 /// What a new list changed.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Changes {
-    /// Endpoints that came.
+    /// Endpoints that were added.
     pub came: Vec<InstanceId>,
-    /// Endpoints that take no new work from now on.
+    /// Endpoints that accept no new requests from now on.
     pub leaving: Vec<InstanceId>,
-    /// Endpoints that are not listed any more.
+    /// Endpoints that are no longer listed.
     pub gone: Vec<InstanceId>,
-    /// Of these, those that were not leaving.
+    /// Of these, the ones that had not been leaving.
     pub vanished: Vec<InstanceId>,
 }
 
 impl Changes {
-    /// Whether the list said nothing new.
+    /// Whether the list changed nothing.
     pub fn is_empty(&self) -> bool {
         self.came.is_empty() && self.leaving.is_empty() && self.gone.is_empty()
     }
@@ -74,8 +75,8 @@
         groups.values().flatten().cloned().collect()
     }
 
-    /// The endpoints of a service that take work and are none of these; none while the list is older
-    /// than its endpoints.
+    /// The endpoints of a service that accept requests, without those in `tried`. Empty while the
+    /// list is stale.
     pub fn open(&self, service: &str, tried: &[InstanceId]) -> Group {
         if self.is_old(service) {
             return Group::new();
@@ -85,21 +86,21 @@
         group
     }
 
-    /// Another life has the address of a listed endpoint.
+    /// Records that another incarnation answers at the address of a listed endpoint.
     pub fn found_replaced(&self, service: &ServiceId) {
         *self.replaced().entry(service.clone()).or_default() += 1;
     }
 
-    /// A listed endpoint has answered as the one that it is listed as.
+    /// Records that a listed endpoint answered under its listed id.
     pub fn found_right(&self, service: &str) {
         self.replaced().remove(service);
     }
 
-    /// Whether a service's list is older than its endpoints.
+    /// Whether a service's list is stale.
     ///
-    /// Failure: all endpoints lose power and are back before the list names their new lives. Each
-    /// request finds one replaced, then the next one, until no more tries are allowed, and is refused;
-    /// a moment later the list is right.
+    /// Failure: all endpoints lose power and return before the list names their new incarnations.
+    /// Without this check each request finds one endpoint after the other replaced until its
+    /// attempts are used up, and is refused although the list becomes correct a moment later.
     pub fn is_old(&self, service: &str) -> bool {
         let replaced = self.replaced().get(service).copied().unwrap_or_default();
         let listed = self.groups.load().get(service).map_or(0, Vec::len);
@@ -107,16 +108,16 @@
     }
 
     fn replaced(&self) -> MutexGuard<'_, BTreeMap<ServiceId, usize>> {
-        // A panic elsewhere leaves plain numbers, each of them true.
+        // Sound after a panic elsewhere: each count is valid by itself.
         self.replaced.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether any endpoint is known.
+    /// Whether no endpoint is known.
     pub fn is_empty(&self) -> bool {
         self.groups.load().is_empty()
     }
 
-    /// How many take work, and how many of those are passed over for now.
+    /// Number of endpoints that accept requests, and how many of these are on cooldown.
     pub fn count(&self, now: Now) -> (u64, u64) {
         let groups = self.groups.load();
         let all = groups.values().flatten();
@@ -125,15 +126,15 @@
         (open.len() as u64, shut.count() as u64)
     }
 
-    /// Takes in a whole list. Endpoints in the same life at the same address keep their
-    /// connections and what is known of them; those not listed get no new work.
+    /// Applies a complete list. An endpoint with the same id, address and service keeps its
+    /// connections and statistics; endpoints that are not listed receive no new requests.
     pub fn take(&self, list: &[Listed]) -> Changes {
         let old = self.groups.load();
         let mut known: BTreeMap<&InstanceId, &Arc<Endpoint>> = BTreeMap::new();
         for endpoint in old.values().flatten() {
             known.insert(&endpoint.id, endpoint);
         }
-        // A panic elsewhere leaves names and times, each of them true.
+        // Sound after a panic elsewhere: each entry is valid by itself.
         let mut left = self.left.lock().unwrap_or_else(PoisonError::into_inner);
         left.retain(|_, at| at.elapsed() < REMEMBERED);
         let mut changes = Changes::default();
@@ -146,8 +147,8 @@
                 changes.came.push(listed.id.clone());
                 Arc::new(Endpoint::new(listed))
             });
-            // Failure: a list that lags names an endpoint as ready that an earlier one named as
-            // leaving or no longer at all, and it gets work just before it goes.
+            // Failure: a lagging list names an endpoint as ready that an earlier list had as
+            // leaving or no longer had, so it would receive requests just before it stops.
             let leaves = listed.leaving || left.contains_key(&listed.id);
             if leaves && endpoint.leave() {
                 changes.leaving.push(listed.id.clone());
--- a/crates/anvil_gateway/src/discovery.rs
+++ b/crates/anvil_gateway/src/discovery.rs
@@ -1,6 +1,7 @@
-//! Keeps the list of endpoints current: reads it, or asks the sibling that reads it for the others.
+//! Keeps the list of endpoints current: reads it from the platform, or requests it from the gateway
+//! of the same zone (sibling) that reads it for the others.
 //!
-//! Whose turn it is, and how old the list may grow, is decided in [`anvil_policy::list_turn`].
+//! [`anvil_policy::list_turn`] decides which gateway reads, and how old the list may grow.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -19,28 +20,29 @@
 use crate::log_events as events;
 use crate::metrics;
 
-/// Bounds of the pause before a list that is doubted is read again, drawn up to half as long again: a
-/// list lags by less than a second, and a process that finds it old serves nobody meanwhile.
+/// Bounds of the pause before a list that proved wrong is read again; up to half as much is added
+/// at random. The list lags by less than a second, and a gateway with a wrong list can serve nobody
+/// in the meantime.
 const DOUBTED_AFTER: (Duration, Duration) =
     (Duration::from_millis(250), Duration::from_millis(500));
-/// Part of the calls that the list answers which are used when all gateways doubt it at once.
+/// Fraction of the platform's call rate that is used if all gateways read at once.
 const RATE_PART: f64 = 0.8;
-/// Pause after a list that could not be had.
+/// Pause after a failed reading.
 const AGAIN: Duration = Duration::from_millis(400);
-/// Time that a sibling's answer takes on its way.
+/// Time allowed for a sibling's reply to arrive.
 const ON_THE_WAY: Duration = Duration::from_millis(50);
 
-/// What the loop keeps between two steps.
+/// State kept between two readings.
 #[derive(Default)]
 struct Discovery {
     reader: ListReader,
-    /// The last reading failed.
+    /// Whether the last reading failed.
     lost: bool,
-    /// Whom the list came from last; itself before the first.
+    /// The gateway that the last list came from; `None` before the first list.
     source: Option<InstanceId>,
 }
 
-/// Keeps the list current for as long as the process lives.
+/// Keeps the list current for as long as the process runs.
 pub async fn run(gw: &Gateway) {
     let ages = ListAges::within(gw.cfg.list_within);
     let mut discovery = Discovery::default();
@@ -59,10 +61,11 @@
     }
 }
 
-/// Waits until the list is due, or sooner when it is doubted here or by a sibling.
+/// Waits until the list is due, or until it is found wrong here or by a sibling.
 ///
-/// Failure: all endpoints lose power and are back within a second, in other lives. A gateway that
-/// has just read the list has nobody to send requests to until it reads it again.
+/// Failure: all endpoints lose power and return within a second as new incarnations. Without the
+/// early wake-up, a gateway that has just read the list has no usable endpoint until the list is
+/// due again.
 async fn until_due(gw: &Gateway, due: Duration) {
     let doubted = async {
         pause_in_doubt(gw).await;
@@ -71,12 +74,12 @@
             () = gw.read_wanted.notified() => {}
         }
     };
-    // Either way it is read next.
+    // The list is read next in either case.
     let _ = timeout(due, doubted).await;
 }
 
-/// Pause before a doubted list is read again, so long that all gateways together stay within what
-/// the list answers.
+/// Pause before a wrong list is read again, long enough to keep all gateways together within the
+/// platform's call rate.
 async fn pause_in_doubt(gw: &Gateway) {
     let gateways = f64::from(gw.gateways.load(Ordering::Relaxed));
     let pause = gateways / (RATE_PART * gw.cfg.list.calls_per_second);
@@ -104,14 +107,15 @@
                     event!(gw.log, events::GATEWAY_LIST_LOST, "error" => e.to_string());
                 }
                 self.lost = true;
-                // A sibling may still reach it.
+                // A sibling may still reach the platform.
                 gw.siblings.pass_over(&gw.cfg.id, gw.life.now());
                 sleep(AGAIN).await;
             }
         }
     }
 
-    /// Asks a sibling for a newer list; one that has none when this one has that age is passed over.
+    /// Requests a newer list from a sibling. A sibling that has none by the time the cached list is
+    /// due is skipped for a while.
     async fn ask(&mut self, gw: &Gateway, sibling: &InstanceId, until: Duration) {
         let waiting = ask_for(gw, sibling, gw.listings.age() / 2, until);
         let doubted = async {
@@ -149,7 +153,8 @@
     }
 }
 
-/// Asks a sibling, until what is held has this age; returns whether its answer is newer.
+/// Requests the list from a sibling until the cached list reaches the age `until`. Returns whether
+/// the reply is newer.
 async fn ask_for(
     gw: &Gateway,
     sibling: &InstanceId,
@@ -176,7 +181,7 @@
     );
 }
 
-/// Takes the newest list in.
+/// Applies the newest list to the directory.
 fn take(gw: &Gateway, unreadable: u32) {
     let Some(listing) = gw.listings.newest() else {
         return;
--- a/crates/anvil_gateway/src/endpoint.rs
+++ b/crates/anvil_gateway/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint that is called directly: its connections and what is known of its load.
+//! One endpoint: its connections, its known load and its rate limit.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,17 +16,17 @@
 use crate::log_events as events;
 use crate::pool::Pool;
 
-/// One endpoint in one life.
+/// One incarnation of an endpoint.
 pub struct Endpoint {
-    /// Its id; another life has another one.
+    /// Its id, unique to the incarnation.
     pub id: InstanceId,
-    /// What it serves.
+    /// The service it belongs to.
     pub service: ServiceId,
     /// Where it listens.
     pub addr: SocketAddr,
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: ZoneId,
-    /// Requests that it works on side by side, as listed.
+    /// Requests that it runs concurrently, as listed.
     pub slots: u32,
     /// Connections to it.
     pub pool: Pool,
@@ -36,7 +36,7 @@
 }
 
 impl Endpoint {
-    /// As the platform lists it.
+    /// Creates it from an entry of the platform's list.
     pub fn new(listed: &Listed) -> Self {
         Self {
             id: listed.id.clone(),
@@ -51,36 +51,36 @@
         }
     }
 
-    /// Whether it takes no new work.
+    /// Whether it accepts no new requests.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Marks it as leaving. Returns whether that is news. An endpoint never comes back in the
-    /// same life, so a list that lags can't take the mark away.
+    /// Marks it as leaving. Returns whether that is new. An incarnation never becomes ready again,
+    /// so a lagging list can't remove the mark.
     pub fn leave(&self) -> bool {
         !self.leaving.swap(true, Ordering::Relaxed)
     }
 
-    /// What is known of its load.
+    /// Its known load.
     pub fn load(&self) -> MutexGuard<'_, EndpointLoad> {
-        // A panic elsewhere leaves plain numbers, each of them valid.
+        // Sound after a panic elsewhere: each number is valid by itself.
         self.load.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What it takes from all routers together, as far as is known.
+    /// The limit it has announced to all gateways together, if any.
     pub fn limit(&self) -> Option<RateLimit> {
         self.rate_share().limit()
     }
 
-    /// An answer of its to a request sent at `sent` announces this limit, or none.
+    /// Applies the limit announced in the response to a request sent at `sent`, or its absence.
     pub fn limit_heard(&self, now: Now, sent: Now, word: Option<RateLimit>, log: &Logger) {
         if self.rate_share().heard(now, sent, word) {
             self.log_limit("heard", log);
         }
     }
 
-    /// The ledger tells of its limit, or that there is none any more.
+    /// Applies the limit reported by the ledger, or its end.
     pub fn limit_told(&self, now: Now, limit: Option<RateLimit>, log: &Logger) {
         if self.rate_share().told(now, limit) {
             self.log_limit("told", log);
@@ -94,29 +94,30 @@
         );
     }
 
-    /// Requests sent since its limit is known, and thousandths of those that this gateway might have sent.
+    /// Requests sent since the limit is known, and thousandths of requests this gateway could have
+    /// sent.
     pub fn limit_used(&self, now: Now, turn: Turn) -> (u64, u64) {
         self.rate_share().used(now, turn)
     }
 
-    /// Time until it may be sent a request; nothing when it may be now.
+    /// Time until the limit allows another request; zero if it does now.
     pub fn opens_in(&self, at: Clocks, turn: Turn) -> Duration {
         self.rate_share().opens_in(at, turn)
     }
 
-    /// Counts a request that is about to be sent; false where it may not be.
+    /// Counts a request that is about to be sent. Returns false if the limit does not allow it.
     pub fn takes_one(&self, at: Clocks, turn: Turn) -> bool {
         self.rate_share().send(at, turn)
     }
 
     fn rate_share(&self) -> MutexGuard<'_, RateShare> {
-        // A panic elsewhere leaves numbers and times, each of them valid.
+        // Sound after a panic elsewhere: each number is valid by itself.
         self.rate_share
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// It failed a request: it is passed over for a while.
+    /// Records a failed request and puts the endpoint on cooldown.
     pub fn failed(&self, now: Now, log: &Logger, why: &str) {
         let mut load = self.load();
         let was_shut = load.is_shut(now);
@@ -129,22 +130,22 @@
         }
     }
 
-    /// Takes in its own word on its load.
+    /// Applies the load that the endpoint reports.
     pub fn heard(&self, now: Now, load: &Load) {
         self.load()
             .heard(now, load.running, load.waiting, load.slots);
     }
 }
 
-/// A place at an endpoint that one request holds. Dropping it gives the place back.
+/// A slot at an endpoint, held by one request and released on drop.
 pub struct Place {
-    /// Where.
+    /// The endpoint.
     pub endpoint: Arc<Endpoint>,
     unread: Tokens,
 }
 
 impl Place {
-    /// Takes a place.
+    /// Takes a slot.
     pub fn take(
         endpoint: Arc<Endpoint>,
         now: Now,
@@ -156,7 +157,7 @@
         Self { endpoint, unread }
     }
 
-    /// The first piece of the answer is here: the prompt has been read.
+    /// Records that the response has begun, so the prompt has been processed.
     pub fn answered(&mut self) {
         let unread = std::mem::take(&mut self.unread);
         self.endpoint.load().read(unread);
--- a/crates/anvil_gateway/src/endpoint_limits.rs
+++ b/crates/anvil_gateway/src/endpoint_limits.rs
@@ -1,7 +1,8 @@
-//! Limits that endpoints announced: heard here in an answer, or told by the ledger.
+//! Rate limits announced by endpoints, learned from responses or from the ledger.
 //!
-//! The first router that hears of a limit, or of its end, tells the ledger, which tells all others. What a
-//! router may send is decided in [`anvil_policy::rate_share`].
+//! The first gateway that receives a limit, or notices its end, reports it to the ledger, which
+//! announces it to all others. [`anvil_policy::rate_share`] decides how much of it each gateway may
+//! use.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,21 +20,21 @@
 use crate::metrics;
 use crate::reports;
 
-/// A limit is told again when the ledger heard of it so long ago, so that it isn't forgotten there.
+/// Age from which on the ledger's record of a limit is refreshed, so that it does not expire.
 const TOLD_AGAIN: Duration = Duration::from_mins(2);
 
-/// What is known of endpoints' limits.
+/// Limits learned from the ledger, and those still to be reported.
 #[derive(Default)]
 pub struct EndpointLimits {
     told: ArcSwap<BTreeMap<InstanceId, EndpointLimit>>,
-    /// What the ledger has not heard of yet; the newest word of each endpoint.
+    /// Limits that the ledger has not accepted yet; the latest one of each endpoint.
     untold: Mutex<BTreeMap<InstanceId, Option<RateLimit>>>,
     wanted: Notify,
 }
 
 impl EndpointLimits {
     fn untold(&self) -> MutexGuard<'_, BTreeMap<InstanceId, Option<RateLimit>>> {
-        // A panic elsewhere leaves names and numbers, each of them true.
+        // Sound after a panic elsewhere: each entry is valid by itself.
         self.untold.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -57,7 +58,7 @@
         Some(Command::ReportLimit(ReportLimit {
             endpoint: endpoint.clone(),
             limit: *limit,
-            // The leader puts its own time in.
+            // The ledger's leader sets the time.
             at: UNIX_EPOCH,
         }))
     }
@@ -67,7 +68,7 @@
             return;
         };
         let mut untold = self.untold();
-        // Another word of the endpoint may have come meanwhile.
+        // The endpoint may have announced another limit in the meantime.
         if untold.get(&taken.endpoint) == Some(&taken.limit) {
             untold.remove(&taken.endpoint);
         }
@@ -75,12 +76,12 @@
 }
 
 impl Gateway {
-    /// Takes in an endpoint's word in the answer to a request that was sent at `sent`.
+    /// Applies the limit in a response to a request that was sent at `sent`.
     pub fn limit_heard(&self, endpoint: &Endpoint, sent: Now, word: AnnouncedLimit) {
         let word = match word {
             AnnouncedLimit::None => None,
             AnnouncedLimit::Rate(limit) => Some(limit),
-            // What was known before holds on.
+            // The previous limit stays in force.
             AnnouncedLimit::Unreadable => return self.metrics.count(metrics::LIMITS_UNREADABLE),
         };
         endpoint.limit_heard(self.life.now(), sent, word, &self.log);
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Takes in what the ledger tells.
+    /// Applies the limits reported by the ledger.
     pub fn take_limits(&self, told: &BTreeMap<InstanceId, EndpointLimit>) {
         let before = self.endpoint_limits.told.load_full();
         if *before == *told {
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Tells endpoints that have just been listed what the ledger knows of them.
+    /// Applies the ledger's limits to endpoints that have just been listed.
     pub fn limits_of_new(&self, came: &[InstanceId]) {
         let told = self.endpoint_limits.told.load();
         for endpoint in came {
@@ -127,7 +128,7 @@
     }
 }
 
-/// Tells the ledger what is heard here, for as long as the process lives.
+/// Reports limits to the ledger for as long as the process runs.
 pub async fn run(gw: &Gateway) {
     let limits = &gw.endpoint_limits;
     let next = || limits.next_report();
--- a/crates/anvil_gateway/src/events.rs
+++ b/crates/anvil_gateway/src/events.rs
@@ -1,39 +1,39 @@
-//! Cuts an endpoint's stream into whole events.
+//! Splits an endpoint's stream into complete events.
 //!
-//! Failure: an endpoint stops in the middle of an event, and another one continues the stream.
-//! Had the first half been passed on, the client would read pieces of two runs as one event. So
-//! only whole events leave here, and what is left of a half one is dropped with its endpoint.
+//! Failure: an endpoint stops in the middle of an event and another one resumes the stream. If the
+//! first half had been forwarded, the client would parse parts of two runs as one event. So only
+//! complete events are forwarded, and a partial one is dropped with its endpoint.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event, in bytes. One that is longer is no event.
+/// Longest event, in bytes. Anything longer is treated as a broken stream.
 const LONGEST: usize = 1 << 20;
 
-/// One whole event, with the empty line that ends it.
+/// One complete event, including the empty line that ends it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// As the endpoint sent it.
+    /// The bytes as the endpoint sent them.
     pub bytes: Bytes,
-    /// Its number, where it has one.
+    /// The event's id, if it has a numeric one.
     pub id: Option<u64>,
 }
 
-/// Takes bytes as they come and gives back whole events.
+/// Accumulates bytes and returns complete events.
 #[derive(Debug, Default)]
 pub struct Splitter {
     buf: BytesMut,
-    /// Bytes at the beginning in which no event ends.
+    /// Length of the prefix in which no event ends.
     searched: usize,
 }
 
 impl Splitter {
-    /// Takes in bytes. False when what has gathered is too long to be an event.
+    /// Appends bytes. Returns false if the buffer is too long to be an event.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buf.extend_from_slice(bytes);
         self.buf.len() <= LONGEST
     }
 
-    /// The next whole event.
+    /// The next complete event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let from = self.searched.saturating_sub(3);
         let Some(end) = end_of_event(&self.buf[from..]) else {
@@ -46,13 +46,13 @@
         Some(StreamEvent { bytes, id })
     }
 
-    /// Whether no part of an event is left.
+    /// Whether no partial event is left.
     pub fn is_empty(&self) -> bool {
         self.buf.is_empty()
     }
 }
 
-/// Position behind the first empty line.
+/// Position after the first empty line.
 fn end_of_event(buf: &[u8]) -> Option<usize> {
     let mut at = 0;
     while let Some(newline) = buf[at..].iter().position(|byte| *byte == b'\n') {
--- a/crates/anvil_gateway/src/exchange.rs
+++ b/crates/anvil_gateway/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One admitted request's way: from the first endpoint that is tried to its answer's end.
+//! One admitted request: attempts at endpoints until one responds, then its response up to the end.
 
 mod learning;
 
@@ -29,50 +29,51 @@
 use crate::trace::Trace;
 use crate::tries::Tries;
 
-/// Longest body of a plain answer that is kept whole before it is passed on, in bytes. It must
-/// have ended well before the client sees any of it, so that a broken one can be asked for again.
+/// Longest non-streamed response body that is buffered, in bytes. Nothing reaches the client before
+/// the body is complete, so that a broken response can be requested again.
 const WHOLE_ANSWER: usize = 4 << 20;
-/// Rank of a request when its organisation and its route leave more urgent ones room.
+/// The least urgent priority class that is sent to endpoints.
 const LOWEST_CLASS: u8 = 9;
-/// Part of the time left within which a first token must be expected for a request to be sent.
+/// A request is sent only if the first token is expected within this fraction of its remaining
+/// time.
 const SENT_WITHIN: f64 = 0.8;
-/// When to come back to a process or service that is not there now.
+/// Retry-after time while a process or service is unavailable.
 pub const SOON: Duration = Duration::from_millis(300);
-/// Bounds of the time to come back after an overload.
+/// Shortest and longest retry-after time when endpoints are overloaded.
 const OVERLOAD: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(2));
 
-/// A cause, and when to come back where that helps.
+/// Why a request is refused, and the retry-after time where a retry helps.
 pub type Refused = (Cause, Duration);
 
-/// One request, as it is sent to endpoints.
+/// One request with the state of its attempts.
 pub struct Exchange {
-    /// What all requests share.
+    /// State shared by all requests.
     pub gw: Arc<Gateway>,
-    /// Its head.
+    /// The parsed request head.
     pub ask: Ask,
-    /// Its route.
+    /// The matching route.
     pub route: Arc<Route>,
-    /// Who sends it.
+    /// The organisation that sent the request.
     pub organisation: Option<Arc<Organisation>>,
-    /// The service drawn for it.
+    /// The service that was selected for it.
     pub service: ServiceId,
-    /// Tokens of output in one event, at most.
+    /// Maximum output tokens in one event.
     pub per_event: Tokens,
-    /// What came of its tries so far.
+    /// Attempts made so far.
     pub tries: Tries,
-    /// No answer is waited for after this.
+    /// The request fails if it has no response by then.
     pub deadline: Instant,
-    /// What it costs.
+    /// Its reservation; `None` if the organisation does not prepay.
     pub spend: Option<Spend>,
-    /// What is logged of it.
+    /// Collects what is logged about the request.
     pub trace: Trace,
     /// Whether an endpoint may have run it.
     pub in_doubt: bool,
-    /// Whether it has waited for endpoints already.
+    /// Whether it has waited for endpoints; it does so only once.
     pub has_waited: bool,
-    /// The connection on which it waits for an answer to begin.
+    /// The connection whose response has not begun yet.
     pub waits_on: Option<Arc<ConnectionWatch>>,
-    /// Parts of its prompt with their tokens.
+    /// Parts of the prompt with their token counts.
     pub parts: Vec<(u64, Tokens)>,
     /// Method.
     pub method: Method,
@@ -80,14 +81,14 @@
     pub uri: Uri,
     /// The client's headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// What makes another request the same one.
+    /// Equal for requests that count as the same one.
     pub content: RequestDigest,
 }
 
 impl Exchange {
-    /// Sends the request to endpoints until one answers.
+    /// Sends the request to endpoints until one responds.
     pub async fn run(mut self) -> Reply {
         self.gw.first_try(&self.service);
         match self.first_answer(None).await {
@@ -99,18 +100,19 @@
         }
     }
 
-    /// Ends the request without an answer.
+    /// Ends the request with a refusal.
     pub fn refuse(mut self, (cause, again): Refused) -> Reply {
         self.trace.ended(cause.text());
         refusal(cause, Some(again))
     }
 
-    /// Time that is left.
+    /// Time left until the deadline.
     pub fn left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Tries endpoints until one begins to answer. `after` is the last event that was delivered.
+    /// Runs attempts until a response begins. `after` is the id of the last event that was
+    /// delivered.
     pub async fn first_answer(&mut self, after: Option<u64>) -> Result<Box<Answer>, Refused> {
         let mut failure: Option<Box<Answer>> = None;
         loop {
@@ -136,15 +138,15 @@
                 continue;
             }
             if let Some(refused) = refused {
-                // Where an endpoint has failed by its own word, that is the truest answer there is.
+                // An endpoint's own error response says more than a refusal by the gateway.
                 return failure.ok_or(refused);
             }
         }
     }
 
-    /// Waits for endpoints in their new lives, once, when none that was asked is there any more.
+    /// Waits once for endpoints when none of those tried still exists.
     ///
-    /// Nothing has run, so the request may wait and go to any of them.
+    /// No attempt has run, so the request may wait and go to any of the new endpoints.
     async fn finds_endpoints(&mut self, refused: Option<Refused>) -> bool {
         let nobody = matches!(refused, Some((Cause::NoEndpoint | Cause::Refused, _)));
         if !nobody || self.has_waited || self.in_doubt || !self.tries.found_nobody() {
@@ -169,7 +171,8 @@
         found
     }
 
-    /// A failure of the endpoint's own is passed on where nothing better can be had.
+    /// Whether the response is passed on. A server error is retried first if the route and the
+    /// retry budget allow it.
     fn is_wanted(&mut self, answer: &Answer) -> bool {
         self.in_doubt = true;
         let failed = answer.parts.status.is_server_error();
@@ -177,7 +180,7 @@
         !(again && self.gw.may_try_again(&self.service))
     }
 
-    /// Whether another endpoint may be tried.
+    /// Whether the attempt limit and the deadline allow another attempt.
     pub fn has_tries(&self) -> bool {
         self.tries.may_go_on(self.route.attempts) && !self.left().is_zero()
     }
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Whether one more endpoint may be tried after this failure.
+    /// Whether the request may be sent to another endpoint after this failure.
     pub fn may_go_on(&mut self, failed: Cause) -> Result<(), Refused> {
         let cause = if self.in_doubt && failed == Cause::Refused {
             Cause::Lost
@@ -212,8 +215,8 @@
         Ok(())
     }
 
-    /// Whether the shared budget allows one more arrival; a request that has reached no endpoint
-    /// yet needs none of it.
+    /// Whether the shared retry budget allows another attempt. A request that has not reached any
+    /// endpoint does not use the budget.
     fn may_arrive_again(&self) -> bool {
         !self.tries.arrived() || self.gw.may_try_again(&self.service)
     }
@@ -266,8 +269,8 @@
             until,
             watch: &mut self.waits_on,
         };
-        // Counted before it is sent: a client that leaves ends this in the middle of the wait,
-        // when the endpoint may have begun.
+        // Counted before it is sent: if the client disconnects, this function is dropped during the
+        // wait, when the endpoint may have begun.
         let counted_before = self.in_doubt;
         if let Some(spend) = &mut self.spend {
             spend.begun();
@@ -283,8 +286,8 @@
         Ok(tried)
     }
 
-    /// How long an answer's head is waited for: to the end, but for a request that another
-    /// endpoint may run instead.
+    /// Until when the response head is awaited: up to the deadline, or less if another endpoint may
+    /// run the request instead.
     fn answer_until(&self) -> Instant {
         let repeatable = self.route.repeat.may_run_again();
         if !repeatable || self.tries.is_last(self.route.attempts) {
@@ -314,7 +317,7 @@
         }
     }
 
-    /// Passes on a plain answer once all of it is here.
+    /// Passes on a non-streamed response once it is complete.
     async fn whole_answer(mut self, answer: Answer) -> Reply {
         let mut answer = answer;
         loop {
@@ -364,7 +367,7 @@
             return;
         };
         self.trace.billed(spend.cost());
-        // The client has left while an answer was waited for.
+        // The client has disconnected before the response began.
         let Some(watch) = self.waits_on.take().filter(|_| !self.in_doubt) else {
             return;
         };
@@ -379,6 +382,6 @@
     }
 }
 
-/// How many times its target an answer's head is waited for where another endpoint may run the
-/// request instead: an endpoint that has been silent for so long is more likely lost than slow.
+/// If another endpoint may run the request, the response head is awaited for this multiple of the
+/// route's target: an endpoint that takes longer is more likely lost than slow.
 const SILENT_TARGETS: f64 = 2.0;
--- a/crates/anvil_gateway/src/exchange/learning.rs
+++ b/crates/anvil_gateway/src/exchange/learning.rs
@@ -1,4 +1,4 @@
-//! What a request teaches of the endpoints that it is sent to, and of itself.
+//! Updates the view of endpoints, and of the request itself, after each attempt.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 use crate::attempt::{ANOTHER_HAS_IT, Doubt, NotRun, Tried};
 use crate::endpoint::Endpoint;
 
-/// A full endpoint gets nothing for about the time of one of its requests.
+/// Pause after an endpoint reported that it is full: about the duration of one of its requests.
 const FULL_PAUSE: Duration = Duration::from_millis(25);
 
 impl Exchange {
-    /// Takes in what came of sending it to an endpoint.
+    /// Records the outcome of an attempt.
     pub(super) fn learn(&mut self, endpoint: &Arc<Endpoint>, tried: &Tried, waited: Duration) {
         let now = self.gw.life.now();
         match tried {
@@ -36,7 +36,8 @@
             }
             Tried::NotRun(NotRun::Refused(_)) => endpoint.load().was_full(now, FULL_PAUSE),
             Tried::NotRun(NotRun::Unreachable(why)) => self.endpoint_failed(endpoint, why),
-            // A client that waits for less than an answer takes says nothing of the endpoint.
+            // Not a sign of failure if the client's timeout is shorter than a normal response
+            // takes.
             Tried::Doubt(Doubt::Silent) if waited < self.route.target => {}
             Tried::Doubt(doubt) => {
                 self.answer_lost(endpoint, CrashedRun::BeforeOutput, &format!("{doubt:?}"));
@@ -44,14 +45,14 @@
         }
     }
 
-    /// Notes that an endpoint lost the answer to this request.
+    /// Records that an endpoint lost the response to this request.
     pub fn answer_lost(&mut self, endpoint: &Arc<Endpoint>, run: CrashedRun, why: &str) {
         self.trace.content(self.content);
         self.endpoint_failed(endpoint, why);
         self.gw.lost_at(endpoint, self.content, run);
     }
 
-    /// Notes that an endpoint failed this request.
+    /// Records that an endpoint failed this request.
     pub fn endpoint_failed(&self, endpoint: &Endpoint, why: &str) {
         endpoint.failed(self.gw.life.now(), &self.gw.log, why);
     }
--- a/crates/anvil_gateway/src/follow.rs
+++ b/crates/anvil_gateway/src/follow.rs
@@ -1,4 +1,4 @@
-//! Keeps the routing table current, and what is known of the other processes.
+//! Keeps the routing table and the membership current by following the ledger.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,20 +16,21 @@
 use crate::gateway::Gateway;
 use crate::log_events as events;
 
-/// Longest time to open a stream to a replica.
+/// Timeout for opening a stream to a replica.
 const OPENING: Duration = Duration::from_millis(300);
-/// Longest wait for a replica's first word. One that is current gives it at once; one that joins or
-/// waits for a leader gives none, and a gateway that has just started serves nobody meanwhile.
+/// Longest wait for a replica's first update. An up-to-date replica sends it at once; one that is
+/// joining or has no leader sends none, and a gateway that has just started can't serve until it
+/// has one.
 const FIRST_WORD: Duration = Duration::from_millis(350);
 /// Pause before another replica is followed.
 const AGAIN: Duration = Duration::from_millis(50);
 
-/// Follows one replica after the other, for as long as the process lives.
+/// Follows the replicas in turn for as long as the process runs.
 pub async fn run(gw: &Gateway) {
     let mut held = Held::default();
     let mut revision = 0;
     let mut in_touch = false;
-    // Gateways start at different replicas, so that no replica spreads to all of them.
+    // Start at a random replica, so that no single replica sends updates to all gateways.
     let mut replica = rand::random_range(0..64);
     loop {
         let heard = follow_one(gw, replica, &mut held, &mut revision, &mut in_touch).await;
@@ -114,7 +115,7 @@
 fn count_gateways(gw: &Gateway, held: &Held) {
     let alive = members::alive(held, Role::Router);
     let mut ids: BTreeSet<_> = alive.map(|router| &router.id).collect();
-    // The ledger may not have heard of it yet.
+    // This gateway may not be in the ledger's membership yet.
     ids.insert(&gw.cfg.id);
     let rank = ids.iter().position(|id| **id == gw.cfg.id).unwrap_or(0);
     let rank = u32::try_from(rank).unwrap_or(u32::MAX);
--- a/crates/anvil_gateway/src/gateway.rs
+++ b/crates/anvil_gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Everything that the requests of one process share.
+//! State shared by all requests and tasks of one gateway process.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -31,128 +31,132 @@
 use crate::suspects::Suspects;
 use crate::table::RouteTable;
 
-/// What a gateway is told at its start.
+/// Settings of a gateway.
 #[derive(Clone)]
 pub struct GatewaySettings {
-    /// Name of the instance.
+    /// Id of the instance.
     pub id: InstanceId,
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: Zone,
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Where the balancer asks whether this process takes connections.
+    /// Address for the load balancer's readiness checks.
     pub ready_listen: SocketAddr,
-    /// Replicas of the ledger that are known at the start.
+    /// Ledger replicas that are known at the start.
     pub ledger: Vec<SocketAddr>,
     /// The platform's list of endpoints.
     pub list: ListSource,
-    /// How the platform speaks.
+    /// The platform's header and text formats.
     pub dialect: Dialect,
-    /// Time between a planned stop's signal and its end.
+    /// Time from the signal for a planned stop to the end of the process.
     pub grace: Duration,
-    /// Tries beyond the first that all gateways together may make, as a part of the requests.
+    /// Retries that all gateways together may make, as a fraction of requests.
     pub retry_part: f64,
-    /// Tries beyond that part that all gateways together may make within [`Self::retry_window`].
+    /// Retries beyond that fraction that all gateways together may make within
+    /// [`Self::retry_window`].
     pub retry_slack: f64,
     /// See [`Self::retry_slack`].
     pub retry_window: Duration,
-    /// Where siblings ask this gateway; all gateways answer at the same port.
+    /// Address at which the gateways of this zone reach this one; all of them use the same port.
     pub siblings: SocketAddr,
-    /// Where it listens for them, if the address above is passed on to it by something between.
+    /// Address to bind for them, if traffic to [`Self::siblings`] is forwarded to another address.
     pub siblings_bind: Option<SocketAddr>,
-    /// Oldest that the platform's list may grow before it is read again.
+    /// Maximum age of the platform's list before it is read again.
     pub list_within: Duration,
 }
 
 /// One gateway process.
 pub struct Gateway {
-    /// What it was told.
+    /// Settings.
     pub cfg: GatewaySettings,
-    /// The routing table in force.
+    /// The routing table in force; `None` until the first one.
     pub table: ArcSwapOption<RouteTable>,
     /// The endpoints.
     pub directory: Directory,
-    /// Grants.
+    /// Grants, and what is reserved and settled on them.
     pub purse: Arc<Purse>,
-    /// Wakes the task that talks to the ledger about money.
+    /// Wakes the task that requests grants from the ledger.
     pub money_wanted: Notify,
-    /// Clock and wish to leave.
+    /// The process's clock and incarnation, and whether it is stopping.
     pub life: Life,
-    /// The way to the ledger.
+    /// Client of the ledger.
     pub ledger: LedgerClient,
-    /// Replicas that the settings name.
+    /// Ledger replicas that the settings name.
     pub seeds: ArcSwap<Vec<SocketAddr>>,
-    /// Where log lines go.
+    /// The log.
     pub log: Logger,
-    /// Log lines that were dropped.
+    /// Counts dropped log lines.
     pub dropped: Dropped,
-    /// What is measured.
+    /// Metrics.
     pub metrics: Metrics,
-    /// How engines are judged.
+    /// Constants for estimates of engines.
     pub rule: EngineRule,
-    /// Gateways that are alive, as the ledger knows them; this one among them.
+    /// Number of live gateways according to the ledger, this one included.
     pub gateways: AtomicU32,
-    /// The place of this one among them.
+    /// Rank of this gateway among them.
     pub rank: AtomicU32,
-    /// When the ledger last said that what is held here is current, in milliseconds of the life.
+    /// When the ledger last confirmed that the cached state is current, in milliseconds since the
+    /// start.
     pub confirmed: AtomicU64,
-    /// The platform's list.
+    /// Copies of the platform's list.
     pub listings: Listings,
     /// The other gateways of the availability zone.
     pub siblings: Siblings,
-    /// Wakes the task that reads the platform's list: a sibling has found it wrong.
+    /// Wakes the task that reads the platform's list: a sibling has found the list wrong.
     pub read_wanted: Notify,
-    /// Wakes the task that reads the platform's list: an endpoint was another one than listed.
+    /// Wakes the task that reads the platform's list: another incarnation answered for a listed
+    /// endpoint.
     pub list_doubted: Notify,
     /// Wakes requests that wait for a routing table or for endpoints.
     pub news: Notify,
-    /// Endpoints that lost answers or crashed lately.
+    /// Endpoints that recently lost responses or crashed.
     pub crashes: Mutex<CrashWatch>,
     /// Requests under which endpoints crashed.
     pub suspects: Suspects,
     /// Limits that endpoints announced.
     pub endpoint_limits: EndpointLimits,
-    /// Requests under way.
+    /// Requests in progress.
     pub open: AtomicU32,
-    /// In milliseconds of the life: until then this gateway can't pay for what it is asked.
+    /// End of the time in which this gateway reports that it can't obtain grants, in milliseconds
+    /// since the start.
     starved_until: AtomicU64,
     retries: Mutex<BTreeMap<ServiceId, OwnRetries>>,
 }
 
-/// Longest wait for one replica's or relay's answer; a commit takes some 10 ms.
+/// Timeout for one replica or relay; a commit takes about 10 ms.
 const ONE_REPLICA: Duration = Duration::from_millis(300);
-/// A second way to the ledger is asked after this time: five commits, and a quarter of the time
-/// that a request waits for money.
+/// A second address of the ledger is tried after this time: five commits, and a quarter of the time
+/// that a request waits for tokens.
 const SECOND_WAY: Duration = Duration::from_millis(50);
-/// Part of the shared retry budget that is used. The rest covers requests that the platform
-/// counts in another window than this process does.
+/// Fraction of the shared retry budget that is used. The platform may count requests in a window
+/// other than this process's; the rest is a reserve for that.
 const RETRY_MARGIN: f64 = 0.8;
-/// Part of this gateway's slack that may be used at once. With [`RETRY_REFILL`] it stays below
-/// the whole slack in any window.
+/// Fraction of this gateway's slack that may be used at once. Together with [`RETRY_REFILL`] it
+/// stays below the whole slack in any window.
 const RETRY_RESERVE: f64 = 0.5;
-/// Part of this gateway's slack that comes back within a window.
+/// Fraction of this gateway's slack that is refilled within a window.
 const RETRY_REFILL: f64 = 0.3;
-/// For how long a gateway that could not pay for a request asks for no new clients, in
-/// milliseconds: the balancer looks once a second and believes the second refusal.
+/// For how long a gateway that could not pay for a request reports that it is not ready, in
+/// milliseconds: the load balancer checks once per second and acts on the second failed check.
 const STARVED_MS: u64 = 2_500;
-/// Gateways that are assumed to share the budget before the ledger has told how many there are.
+/// Number of gateways assumed to share the budget until the ledger reports it.
 const GATEWAYS_UNTIL_TOLD: u32 = 16;
 
-/// Sizes of grants where no sidecar gives evidence of a lost gateway's spending: all that is left
-/// in its grants counts as spent.
+/// Sizes of grants. Without sidecars nothing shows what a lost gateway has spent, so everything
+/// left in its grants counts as spent.
 ///
-/// So little lies ready, and a request that finds too little asks the ledger, which answers
-/// within some 10 ms. The horizon bounds what a lost gateway costs: 0.7 s of its demand, as a mean
-/// over the last second, beside what its running requests have set aside.
+/// Grants are therefore small, and a request that needs more triggers a batch to the ledger, which
+/// answers within about 10 ms. A lost gateway costs what its horizon covers, 0.7 s of its demand
+/// averaged over the last second, and what its running requests have reserved.
 fn grant_policy() -> GrantPolicy {
     GrantPolicy {
         horizon: Duration::from_millis(700),
-        // Some five batches, and about as long as a prompt's answer takes.
+        // About five batches, and about the duration of a response to a prompt.
         smooth_over: Some(Duration::from_secs(1)),
         patience: Duration::from_millis(450),
         recall_patience: Duration::from_millis(120),
-        // Four batches: the ledger calls back with one, routers give back with the next, and a lost one is sent
-        // again.
+        // Four batches: the ledger recalls in one, routers return in the next, and a lost one is
+        // sent again.
         recalled_within: Duration::from_millis(800),
         row_within: Duration::from_secs(10),
         idle: Duration::from_millis(400),
@@ -166,11 +170,11 @@
 }
 
 impl Gateway {
-    /// Before anything is known.
+    /// Creates a gateway without a routing table, endpoints or grants.
     pub fn new(cfg: GatewaySettings, log: Logger, metrics: Metrics) -> Self {
         let life = Life::begin();
-        // A clock that was set back makes a later life look older, and the ledger would refuse
-        // its batches. So the life is a part of the name.
+        // If the clock was set back, a later incarnation would look older and the ledger would
+        // refuse its batches. A random part of the name keeps incarnations apart.
         let name = format!("{}#{:x}", cfg.id, rand::random::<u64>());
         let purse = Purse::new(name.into(), life.incarnation, grant_policy());
         Self {
@@ -205,23 +209,23 @@
         }
     }
 
-    /// Whether new connections are welcome.
+    /// Whether the load balancer may send new connections.
     pub fn is_ready(&self) -> bool {
         let knows = self.table.load().is_some() && !self.directory.is_empty();
         knows && !self.life.is_leaving() && !self.is_starved()
     }
 
-    /// Whether requests were refused lately because no way leads to the ledger and the grants
-    /// are used up.
+    /// Whether requests were refused recently because the ledger is unreachable and the grants are
+    /// used up.
     ///
-    /// Failure: one gateway is cut off from the ledger and from all relays. Its clients stay, are
-    /// refused, come back and are refused again, while the gateway beside it could serve them.
-    /// So it asks the balancer for no more clients and closes the connections of those it has.
+    /// Failure: one gateway is cut off from the ledger and from all relays. Its clients stay
+    /// connected, retry and are refused again, although another gateway could serve them. So this
+    /// gateway reports that it is not ready and closes its clients' connections.
     pub fn is_starved(&self) -> bool {
         self.now_ms() < self.starved_until.load(Ordering::Relaxed)
     }
 
-    /// A request could not be paid for, because the ledger can't be reached.
+    /// Records that a request could not be paid for because the ledger is unreachable.
     pub fn starve(&self) {
         let until = self.now_ms() + STARVED_MS;
         if !self.is_starved() {
@@ -230,12 +234,12 @@
         self.starved_until.store(until, Ordering::Relaxed);
     }
 
-    /// The ledger has answered.
+    /// Records that the ledger has answered.
     pub fn fed(&self) {
         self.starved_until.store(0, Ordering::Relaxed);
     }
 
-    /// With what the log had to drop.
+    /// Sets the counter of dropped log lines.
     pub fn with_dropped(mut self, dropped: Dropped) -> Self {
         self.dropped = dropped;
         self
@@ -245,7 +249,7 @@
         u64::try_from(self.life.now().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// This gateway among those that share what an endpoint takes.
+    /// The position of this gateway among those that share endpoints' rate limits.
     pub(crate) fn turn(&self) -> Turn {
         Turn {
             rank: self.rank.load(Ordering::Relaxed),
@@ -253,13 +257,13 @@
         }
     }
 
-    /// Takes other seeds, as the settings name them now.
+    /// Replaces the seeds after the settings have changed.
     pub fn set_seeds(&self, seeds: &[SocketAddr]) {
         self.seeds.store(Arc::new(seeds.to_vec()));
         self.ledger.add_ways(seeds);
     }
 
-    /// This process, as the ledger knows it.
+    /// This process as a member in the ledger.
     pub fn instance(&self) -> Instance {
         Instance {
             id: self.cfg.id.clone(),
@@ -271,13 +275,13 @@
         }
     }
 
-    /// Counts a first try at a service.
+    /// Counts the first attempt of a request to a service.
     pub fn first_try(&self, service: &ServiceId) {
         let now = self.life.now();
         self.with_retries(service, |budget| budget.first_try(now));
     }
 
-    /// Whether one more try at a service is within the budget; it is counted when it is.
+    /// Whether the budget allows a retry at a service; if so, it is counted.
     pub fn may_try_again(&self, service: &ServiceId) -> bool {
         let now = self.life.now();
         let mut rng = rand::rng();
@@ -289,10 +293,10 @@
         allowed
     }
 
-    /// The budget of a service, by the number of gateways as it is known now.
+    /// The service's retry budget, adjusted to the current number of gateways.
     fn with_retries<T>(&self, service: &ServiceId, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let gateways = self.gateways.load(Ordering::Relaxed).max(1);
-        // A panic elsewhere leaves a number between nothing and the reserve.
+        // Sound after a panic elsewhere: the budget stays between zero and the reserve.
         let mut retries = self.retries.lock().unwrap_or_else(PoisonError::into_inner);
         let own = retries
             .entry(service.clone())
@@ -308,7 +312,7 @@
         f(&mut own.budget)
     }
 
-    /// This gateway's part of what all may do, as one of so many.
+    /// This gateway's share of the retry budget, as one of `gateways`.
     fn retry_rule(&self, gateways: u32) -> RetryRule {
         let slack = self.cfg.retry_slack / f64::from(gateways);
         RetryRule {
@@ -321,9 +325,9 @@
     }
 }
 
-/// The tries beyond the first that this gateway may make at one service.
+/// The retry budget of this gateway for one service.
 struct OwnRetries {
-    /// For how many gateways it was reckoned.
+    /// Number of gateways for which the budget was computed.
     gateways: u32,
     budget: RetryBudget,
 }
--- a/crates/anvil_gateway/src/lib.rs
+++ b/crates/anvil_gateway/src/lib.rs
@@ -1,24 +1,28 @@
-//! A router that calls endpoints directly, over the HTTP/1.1 that a platform speaks.
+//! A router that calls endpoints directly over HTTP/1.1, in the platform's own header conventions.
 //!
-//! Where a sidecar stands beside each endpoint, `anvilreel::router` is the way in. Where none
-//! does, this is: clients' requests come in over HTTP, are admitted by a [`table::RouteTable`] and
-//! a prepaid budget, sent to an endpoint on the platform's list, and answered whole or as a stream
-//! of events. How a platform names things is kept outside, in a [`dialect::Dialect`].
+//! `anvilreel::router` serves deployments with a sidecar beside each endpoint; this crate serves
+//! deployments without sidecars. Client requests arrive over HTTP, are admitted by a
+//! [`table::RouteTable`] and a prepaid budget, are sent to an endpoint from the platform's list,
+//! and are answered with a complete body or a stream of events. The platform's names and formats
+//! are kept out of this crate by a [`dialect::Dialect`].
 //!
-//! One request's way: [`serve`] takes the connection, [`admit`] checks and pays, [`exchange`]
-//! tries endpoints, [`choose`] picks them, [`attempt`] sends it to one, [`tries`] counts,
-//! [`arrival`] waits for what is about to come, [`relay`] passes a stream on and has it continued
-//! elsewhere, [`reply`] says no.
+//! Path of a request: [`serve`] accepts the connection, [`admit`] checks the request and reserves
+//! tokens, [`exchange`] runs attempts until one succeeds, [`choose`] selects the endpoint,
+//! [`attempt`] sends the request to it, [`attempt_counter`] counts attempts, [`availability`] waits
+//! for a routing table or endpoints that are expected shortly, [`stream_relay`] forwards a stream
+//! and resumes it at another endpoint, [`reply`] builds refusals.
 //!
-//! Which requests are kept from endpoints because these crash under them: [`crashes`] finds out what crashed,
-//! [`suspects`] tells the ledger and hears of all others, [`content`] says which requests are the same.
+//! Quarantine of requests that crash endpoints: [`crashes`] detects which endpoint crashed,
+//! [`suspects`] reports the requests to the ledger and learns of those reported by other gateways,
+//! [`request_digest`] decides which requests are the same.
 //!
-//! How many requests an endpoint takes from all gateways: [`endpoint_limits`] tells the ledger what it announced and hears
-//! of others. [`reports`] is the way of both to the ledger.
+//! Rate limits announced by endpoints: [`endpoint_limits`] reports them to the ledger and learns of
+//! those reported by other gateways. [`reports`] delivers both kinds of reports.
 //!
-//! What the gateway believes, and from whom: the routing table and the number of gateways
-//! ([`follow`], from the ledger), grants ([`money_loop`], from the ledger), the endpoints
-//! ([`discovery`], from the platform's list by [`list_reader`], or from [`siblings`] that read it), their load ([`endpoint`], from their answers).
+//! Where the gateway's view comes from: the routing table and the number of gateways from the
+//! ledger ([`ledger_updates`]), grants from the ledger ([`grant_loop`]), the list of endpoints from
+//! the platform ([`discovery`], [`list_reader`]) or from the gateways of the same zone that read it
+//! ([`siblings`]), endpoint load from response headers ([`endpoint`]).
 
 pub mod admit;
 pub mod arrival;
--- a/crates/anvil_gateway/src/list_reader.rs
+++ b/crates/anvil_gateway/src/list_reader.rs
@@ -16,42 +16,42 @@
 
 /// Longest wait for one page.
 const PAGE_WITHIN: Duration = Duration::from_millis(700);
-/// Most pages of one list.
+/// Maximum number of pages of one list.
 const MOST_PAGES: usize = 200;
 /// Longest page, in bytes.
 const PAGE_BYTES: usize = 4 << 20;
 
-/// A list that could not be had.
+/// A failed reading of the list.
 #[derive(Debug, Snafu)]
 pub enum ListError {
-    /// A page didn't come.
+    /// A page did not arrive in time.
     #[snafu(display("no answer within {PAGE_WITHIN:?}"))]
     Slow,
-    /// The connection failed, or a page can't be read.
+    /// The connection failed, or a page can't be parsed.
     #[snafu(display("{why}"))]
     Lost {
-        /// Why.
+        /// Details.
         why: String,
     },
-    /// The platform refused.
+    /// The platform returned an error.
     #[snafu(display("status {status}"))]
     Status {
-        /// Its status.
+        /// The HTTP status.
         status: u16,
     },
-    /// It has no end.
+    /// The list has too many pages.
     #[snafu(display("more than {MOST_PAGES} pages"))]
     Endless,
 }
 
-/// One connection to the list, kept between looks.
+/// One connection to the platform's list, kept between readings.
 #[derive(Default)]
 pub struct ListReader {
     sender: Option<SendRequest<Full<Bytes>>>,
 }
 
 impl ListReader {
-    /// All pages, and how many entries can't be read.
+    /// All entries, and how many entries can't be parsed.
     pub async fn list(&mut self, source: &ListSource) -> Result<(Vec<Listed>, u32), ListError> {
         let listed = self.pages(source).await;
         if listed.is_err() {
@@ -108,7 +108,7 @@
     let handshake = Builder::new().handshake(TokioIo::new(socket)).await;
     let (sender, connection) = handshake.map_err(|e| lost(e.to_string()))?;
     tokio::spawn(async move {
-        // Its error reaches whoever waits for the answer.
+        // An error reaches the caller that waits for the response.
         let _ = connection.await;
     });
     Ok(sender)
--- a/crates/anvil_gateway/src/listing.rs
+++ b/crates/anvil_gateway/src/listing.rs
@@ -1,4 +1,4 @@
-//! The platform's list of endpoints as this gateway holds it: what it says, and how old that may be.
+//! Cached copies of the platform's list of endpoints, each with an upper bound of its age.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,14 +12,16 @@
 /// Endpoints by id.
 type Entries = BTreeMap<InstanceId, Listed>;
 
-/// Earlier lists from which siblings are told the changes only; whoever holds an older one is sent all.
+/// Earlier lists that are kept to send only the changes to siblings. A sibling with an older list
+/// receives the complete one.
 const EARLIER: usize = 4;
 
-/// A moment by two clocks.
+/// A moment on both the monotonic clock and the wall clock.
 ///
-/// Failure: a machine is suspended for seconds, and its steady clock does not count them. A sibling is
-/// told that a list of before is fresh, and goes on sending work to endpoints that have left meanwhile.
-/// The time of day counts them; where it was set, the longer of both times is the safe one.
+/// Failure: while a machine is suspended, the monotonic clock may stand still. An outdated list
+/// then counts as fresh, and siblings send requests to endpoints that have left in the meantime.
+/// The wall clock includes the suspension; if it was adjusted, the greater of both ages is the safe
+/// one.
 #[derive(Debug, Clone, Copy)]
 pub struct Moment {
     steady: Instant,
@@ -27,7 +29,7 @@
 }
 
 impl Moment {
-    /// This one.
+    /// The current moment.
     pub fn now() -> Self {
         Self {
             steady: Instant::now(),
@@ -35,14 +37,15 @@
         }
     }
 
-    /// Longest time since then.
+    /// Maximum time since this moment.
     pub fn age(&self) -> Duration {
-        // A time of day that was set back tells nothing.
+        // A wall clock that was set back yields no age.
         let wall = self.wall.elapsed().unwrap_or_default();
         self.steady.elapsed().max(wall)
     }
 
-    /// A moment of so much after and before this one; `None` before the clocks' beginning.
+    /// The moment shifted forward by `after` and back by `before`; `None` if a clock can't
+    /// represent it.
     fn moved(&self, after: Duration, before: Duration) -> Option<Self> {
         let steady = self.steady.checked_add(after)?.checked_sub(before)?;
         let wall = self.wall.checked_add(after)?.checked_sub(before)?;
@@ -50,12 +53,12 @@
     }
 }
 
-/// One list.
+/// One version of the list.
 #[derive(Debug, Clone)]
 pub struct Listing {
     version: ListVersion,
     entries: Arc<Entries>,
-    /// When its reading began, or a moment before that.
+    /// When its reading began, or earlier.
     as_of: Moment,
 }
 
@@ -73,13 +76,13 @@
         self.entries.values()
     }
 
-    /// Longest time since it was read.
+    /// Maximum time since it was read.
     pub fn age(&self) -> Duration {
         self.as_of.age()
     }
 }
 
-/// The newest list, and some before it.
+/// The newest list and a few earlier ones.
 pub struct Listings {
     newest: watch::Sender<Option<Listing>>,
     earlier: Mutex<VecDeque<Listing>>,
@@ -95,36 +98,38 @@
 }
 
 impl Listings {
-    /// The newest one.
+    /// The newest list.
     pub fn newest(&self) -> Option<Listing> {
         self.newest.borrow().clone()
     }
 
-    /// Longest time since the newest one was read; endless before the first.
+    /// Maximum time since the newest list was read; `Duration::MAX` if there is none.
     pub fn age(&self) -> Duration {
         let newest = self.newest.borrow();
         newest.as_ref().map_or(Duration::MAX, Listing::age)
     }
 
-    /// Which list is the newest; 0 before the first.
+    /// Version of the newest list; 0 if there is none.
     pub fn version(&self) -> ListVersion {
         let newest = self.newest.borrow();
         newest.as_ref().map_or(0, |listing| listing.version)
     }
 
-    /// Takes a list that was read from the platform since `begun`.
+    /// Stores a list whose reading from the platform began at `begun`.
     pub fn read(&self, begun: Moment, listed: Vec<Listed>) {
         let mut entries = Entries::new();
         for listed in listed {
             let leaves = listed.leaving;
             let id = listed.id.clone();
-            // Of two entries with one name the first holds, and either of them that says it leaves.
+            // Of two entries with the same id the first is used; it is leaving if either of them
+            // says so.
             entries.entry(id).or_insert(listed).leaving |= leaves;
         }
         self.put(Listing::new(entries, begun));
     }
 
-    /// Takes a sibling's answer to what was asked at `asked`. Returns whether it is newer than what is held.
+    /// Applies a sibling's reply to a request sent at `asked`. Returns whether it is newer than the
+    /// cached list.
     pub fn told(&self, asked: Moment, reply: ListReply) -> bool {
         let Some(as_of) = asked.moved(reply.held_for, reply.age) else {
             return false;
@@ -150,7 +155,7 @@
         earlier.truncate(EARLIER);
     }
 
-    /// Waits until a list is held that answers this question, or until its time is over, and answers.
+    /// Waits until the cached list satisfies the request or its time is over, then replies.
     pub async fn answer(&self, ask: &ListAsk, most: Duration) -> ListReply {
         let asked = Moment::now();
         let is_fresh = |listing: &Listing| {
@@ -158,7 +163,7 @@
         };
         let mut newest = self.newest.subscribe();
         let waiting = newest.wait_for(|newest| newest.as_ref().is_some_and(is_fresh));
-        // Either there is one, or the time is over: what is held tells its own age.
+        // The reply carries the list's age, so it is valid even if the wait timed out.
         let _ = tokio::time::timeout(ask.wait.min(most), waiting).await;
         ListReply {
             held_for: asked.steady.elapsed(),
@@ -192,12 +197,12 @@
     }
 
     fn earlier(&self) -> MutexGuard<'_, VecDeque<Listing>> {
-        // A panic elsewhere leaves whole lists.
+        // Sound after a panic elsewhere: lists are stored whole.
         self.earlier.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The list that these news lead to; `None` where they don't lead to the one that they name.
+/// The list that results from a reply; `None` if it does not match the version the reply names.
 fn listing_of(news: ListNews, held: Option<Listing>, as_of: Moment) -> Option<Listing> {
     let (version, entries) = match news {
         ListNews::Nothing => return None,
@@ -220,7 +225,7 @@
     Some(Listing::new(entries, as_of)).filter(|listing| listing.version == version)
 }
 
-/// Alike for equal lists in all routers; never 0.
+/// Equal for equal lists on all gateways; never 0.
 fn digest(entries: &Entries) -> ListVersion {
     let mut hash = Xxh3::new();
     for listed in entries.values() {
--- a/crates/anvil_gateway/src/metrics.rs
+++ b/crates/anvil_gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a gateway measures. docs/METRICS.md lists names and units; a test holds both together.
+//! Metrics of the gateway. docs/METRICS.md lists names and units; a test compares both.
 
 use std::sync::atomic::Ordering;
 
@@ -6,68 +6,69 @@
 
 use crate::gateway::Gateway;
 
-/// Requests that were answered whole. Count.
+/// Requests answered completely. Count.
 pub const COMPLETED: &str = "requests.completed";
-/// Requests that ended with an endpoint's own failure, passed on. Count.
+/// Requests that ended with an endpoint's own error response. Count.
 pub const ENDPOINT_FAILED: &str = "requests.endpoint_failed";
-/// Requests whose clients left before the end. Count.
+/// Requests whose clients disconnected before the end. Count.
 pub const CLIENT_LEFT: &str = "requests.client_left";
-/// Time from a request's arrival to the first piece of its answer. Milliseconds.
+/// Time from a request's arrival to the start of its response. Milliseconds.
 pub const FIRST_PIECE: &str = "request.first_piece";
 /// Time from a request's arrival to its end. Milliseconds.
 pub const TOOK: &str = "request.took";
-/// Time that requests waited for money. Milliseconds.
+/// Time that requests waited for grants. Milliseconds.
 pub const MONEY_WAIT: &str = "request.money_wait";
-/// Time that requests waited for the first routing table, or for endpoints in their new lives. Milliseconds.
+/// Time that requests waited for the first routing table, or for new incarnations of endpoints.
+/// Milliseconds.
 pub const ARRIVAL_WAIT: &str = "request.arrival_wait";
 /// Time between two events of a stream. Milliseconds.
 pub const GAP: &str = "stream.gap";
 /// Requests sent to endpoints. Count.
 pub const TRIES: &str = "tries.sent";
-/// Of these, those beyond a request's first. Count.
+/// Of these, the ones after a request's first attempt. Count.
 pub const TRIES_AGAIN: &str = "tries.again";
-/// Tries that surely did not run. Count.
+/// Attempts that certainly did not run. Count.
 pub const TRIES_NOT_RUN: &str = "tries.not_run";
-/// Tries that may have run and whose answer was lost. Count.
+/// Attempts that may have run and whose response was lost. Count.
 pub const TRIES_IN_DOUBT: &str = "tries.in_doubt";
-/// Tries that the shared budget did not allow. Count.
+/// Retries that the shared budget did not allow. Count.
 pub const TRIES_DENIED: &str = "tries.denied";
-/// Tries that told the endpoint to copy a prompt's beginning from another one. Count.
+/// Attempts that told the endpoint to copy a cached prompt prefix from another one. Count.
 pub const TRIES_COPIED: &str = "tries.copied";
 /// Endpoints that crashed under requests. Count.
 pub const CRASHES: &str = "endpoints.crashed";
-/// Of these, those of which the ledger was not told, for too many waited. Count.
+/// Of these, the ones whose report was dropped because too many were pending. Count.
 pub const CRASHES_UNTOLD: &str = "endpoints.crashed_untold";
-/// Requests that are kept from endpoints, because these crash under them. Gauge.
+/// Requests in quarantine because endpoints crash under them. Gauge.
 pub const QUARANTINED: &str = "requests.quarantined";
-/// Answers whose limit can't be read. Count.
+/// Responses whose rate limit can't be parsed. Count.
 pub const LIMITS_UNREADABLE: &str = "endpoints.limit_unreadable";
-/// Endpoints that announced how many requests they take from all gateways. Gauge.
+/// Endpoints that announced a rate limit to all gateways together. Gauge.
 pub const LIMITED: &str = "endpoints.limited";
-/// Of what this gateway might have sent to those, what it has sent. Gauge, percent.
+/// Requests sent to these, relative to what this gateway could have sent. Gauge, percent.
 pub const LIMIT_USED: &str = "endpoints.limit_used";
-/// Streams that another endpoint went on with. Count.
+/// Streams resumed by another endpoint. Count.
 pub const RESUMED: &str = "streams.resumed";
-/// Times that the platform's list was read here. Count.
+/// Readings of the platform's list by this gateway. Count.
 pub const LIST_READ: &str = "list.read";
-/// Times that a sibling told what it has read. Count.
+/// Lists received from a sibling. Count.
 pub const LIST_TOLD: &str = "list.told";
-/// Requests under way. Gauge.
+/// Requests in progress. Gauge.
 pub const OPEN: &str = "requests.open";
-/// The operator's number of the routing table in force. Gauge.
+/// Version of the routing table in force. Gauge.
 pub const TABLE: &str = "table.version";
 /// Gateways that share the retry budget. Gauge.
 pub const GATEWAYS: &str = "gateways";
-/// Endpoints that take work. Gauge.
+/// Endpoints that accept requests. Gauge.
 pub const ENDPOINTS: &str = "endpoints.open";
-/// Endpoints that are passed over for a while. Gauge.
+/// Endpoints on cooldown. Gauge.
 pub const ENDPOINTS_SHUT: &str = "endpoints.shut";
-/// Time since the ledger last confirmed what is held. Gauge, milliseconds.
+/// Time since the ledger last confirmed the cached state. Gauge, milliseconds.
 pub const CONFIRMED_AGE: &str = "age.ledger";
 /// Time since the platform's list was last read. Gauge, milliseconds.
 pub const LIST_AGE: &str = "age.list";
 
-/// Every name with its unit.
+/// All names with their units.
 pub const ALL: &[(&str, &str)] = &[
     (COMPLETED, "count"),
     (ENDPOINT_FAILED, "count"),
@@ -102,7 +103,7 @@
 ];
 
 impl Gateway {
-    /// Brings the gauges up to date.
+    /// Updates the gauges.
     pub fn measure(&self) {
         let now = self.now_ms();
         let (open, shut) = self.directory.count(self.life.now());
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Endpoints that announced limits, and the part of them that is used here, in percent.
+    /// Number of endpoints with a limit, and the percentage of this gateway's share that is used.
     fn measure_limits(&self) -> (u64, u64) {
         let all = self.directory.all();
         let limited = all.iter().filter(|endpoint| endpoint.limit().is_some());
@@ -140,7 +141,7 @@
             sent += one_sent;
             might = might.saturating_add(one_might);
         }
-        // One request at least, so that a limit heard of just now isn't used many times over.
+        // At least one request, so that a limit learned just now does not yield a huge percentage.
         (count, sent * 100_000 / might.max(1_000))
     }
 }
--- a/crates/anvil_gateway/src/money.rs
+++ b/crates/anvil_gateway/src/money.rs
@@ -1,12 +1,12 @@
-//! What one request costs its organisation.
+//! The cost of one request to its organisation.
 
 use std::sync::Arc;
 
 use anvil_world::prelude::*;
 use anvilreel::money::{Purse, Reservation};
 
-/// Tokens set aside for one request. Dropping it settles what was used, however the request
-/// ended: answered, failed, or left by its client.
+/// Tokens reserved for one request. Dropping it settles what was used, however the request ended:
+/// answered, failed, or abandoned by its client.
 pub struct Spend {
     purse: Arc<Purse>,
     reservation: Option<Reservation>,
@@ -16,7 +16,7 @@
 }
 
 impl Spend {
-    /// Of a reservation that covers prompt and output at their most.
+    /// Starts with a reservation that covers the prompt and the maximum output.
     pub fn new(purse: Arc<Purse>, reservation: Reservation, prompt: Tokens) -> Self {
         Self {
             purse,
@@ -27,24 +27,24 @@
         }
     }
 
-    /// An endpoint may have begun: the prompt counts from now on, once.
+    /// Records that an endpoint may have begun: from now on the prompt is charged, once.
     pub fn begun(&mut self) {
         self.ran = true;
     }
 
-    /// An endpoint said that it did not run the request.
+    /// Records that the request did not run.
     pub fn not_run(&mut self) {
         self.ran = false;
     }
 
-    /// What it costs as it stands, in tokens; never more than was set aside.
+    /// The cost so far in tokens; at most the reserved amount.
     pub fn cost(&self) -> Tokens {
         let bound = self.reservation.as_ref().map_or(0, Reservation::bound);
         let cost = self.prompt.saturating_add(self.output);
         if self.ran { cost.min(bound) } else { 0 }
     }
 
-    /// Output was handed to the client.
+    /// Records output that was handed to the client.
     pub fn delivered(&mut self, tokens: Tokens) {
         self.output = self.output.saturating_add(tokens);
     }
@@ -60,8 +60,8 @@
             self.purse.release(reservation);
             return;
         }
-        // The purse keeps a broken invariant and refuses everything after it; the loop that
-        // talks to the ledger logs it.
+        // On a broken invariant the grant account refuses everything that follows, and the grant
+        // loop logs it.
         let _ = self.purse.settle(reservation, cost);
     }
 }
--- a/crates/anvil_gateway/src/money_loop.rs
+++ b/crates/anvil_gateway/src/money_loop.rs
@@ -1,4 +1,4 @@
-//! The one task that talks to the ledger about money.
+//! Exchanges grant batches with the ledger. Only this task does so.
 
 use std::time::Duration;
 
@@ -9,26 +9,26 @@
 use crate::gateway::Gateway;
 use crate::log_events as events;
 
-/// Longest wait for the ledger's answer to a batch; afterwards the same batch is sent again.
+/// Longest wait for the ledger's answer; afterwards the same batch is sent again.
 const BATCH_WITHIN: Duration = Duration::from_millis(800);
-/// Time between two looks at whether a batch is due.
+/// Interval between checks whether a batch is due.
 const LOOK: Duration = Duration::from_millis(125);
-/// Least time between two batches, also when a request waits for money.
+/// Minimum time between two batches, also if a request waits for tokens.
 const URGENT: Duration = Duration::from_millis(10);
 
-/// Exchanges batches, for as long as the process lives.
+/// Exchanges batches for as long as the process runs.
 pub async fn run(gw: &Gateway) {
     loop {
         exchange(gw).await;
         sleep(URGENT).await;
         if !gw.purse.is_urgent() {
-            // Either wake-up is followed by a look, so it does not matter which one it was.
+            // The loop checks after each wake-up, so its reason does not matter.
             let _ = timeout(LOOK, gw.money_wanted.notified()).await;
         }
     }
 }
 
-/// Gives every grant back, within this time.
+/// Returns all grants to the ledger, as far as possible within this time.
 pub async fn give_back(gw: &Gateway, within: Duration) {
     gw.purse.stop();
     let deadline = Instant::now() + within;
@@ -63,7 +63,7 @@
                 event!(gw.log, events::GATEWAY_FENCED, "why" => denial.to_string());
             }
         }
-        // The purse gives the same batch again when it is due.
+        // The same batch is sent again when it is due.
         Ok(_) | Err(_) => {}
     }
 }
--- a/crates/anvil_gateway/src/pool.rs
+++ b/crates/anvil_gateway/src/pool.rs
@@ -1,7 +1,7 @@
-//! Kept connections to one endpoint.
+//! Connections to one endpoint.
 //!
-//! A connection carries one request at a time. It goes back into the pool only after a whole
-//! answer to the right request, and is never used again in doubt.
+//! A connection carries one request at a time. It is reused only after a complete response to the
+//! right request, never after a failure.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,40 +17,40 @@
 
 use crate::connection_watch::{ConnectionWatch, WatchedSocket};
 
-/// Longest time to make a connection. The next endpoint is tried instead: a lost opening packet
-/// is sent again only after a second.
+/// Connect timeout. The next endpoint is tried instead, since a lost SYN is retransmitted only
+/// after a second.
 const CONNECT: Duration = Duration::from_millis(400);
-/// For how long an idle connection is used again when the endpoint does not say.
+/// For how long an idle connection is reused if the endpoint does not announce its idle timeout.
 const KEEP: Duration = Duration::from_secs(4);
-/// Part of the endpoint's own idle time for which a connection is used: a request that crosses
-/// the endpoint's close on the way would be in doubt.
+/// Fraction of the endpoint's idle timeout in which a connection is reused. If the endpoint closes
+/// the connection while a request is on its way, it is unknown whether the request ran.
 const KEEP_PART: f64 = 0.6;
-/// Idle connections kept for one endpoint.
+/// Maximum number of idle connections to one endpoint.
 const MOST_IDLE: usize = 64;
 
 /// A connection could not be made, so nothing was sent.
 #[derive(Debug, Snafu)]
 pub enum ConnectError {
-    /// It took too long.
+    /// Connecting timed out.
     #[snafu(display("no connection to {addr} within {CONNECT:?}"))]
     Slow {
-        /// Where.
+        /// Address.
         addr: SocketAddr,
     },
-    /// It was refused or reset.
+    /// The connection was refused or reset.
     #[snafu(display("no connection to {addr}: {source}"))]
     Refused {
-        /// Where.
+        /// Address.
         addr: SocketAddr,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// The protocol could not be begun.
+    /// The HTTP handshake failed.
     #[snafu(display("no connection to {addr}: {source}"))]
     Handshake {
-        /// Where.
+        /// Address.
         addr: SocketAddr,
-        /// Why.
+        /// Cause.
         source: hyper::Error,
     },
 }
@@ -59,7 +59,7 @@
 pub struct Connection {
     /// Sends one request.
     pub sender: SendRequest<Full<Bytes>>,
-    /// What is known of it.
+    /// What was observed on it.
     pub watch: Arc<ConnectionWatch>,
     /// Whether it has carried a request before.
     pub used: bool,
@@ -78,7 +78,7 @@
 }
 
 impl Pool {
-    /// No connection yet.
+    /// Creates an empty pool.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
             addr,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The connection that was used last, or a new one.
+    /// The most recently used idle connection, or a new one.
     pub async fn take(&self) -> Result<Connection, ConnectError> {
         if let Some(Idle { sender, watch, .. }) = self.take_idle() {
             return Ok(Connection {
@@ -106,14 +106,14 @@
             return SlowSnafu { addr }.fail();
         };
         let socket = socket.context(RefusedSnafu { addr })?;
-        // Without it the end of a request waits for an acknowledgement; with a failure it is
-        // only slower.
+        // Without TCP_NODELAY the end of a request may wait for an acknowledgement. If setting it
+        // fails, the connection is only slower.
         let _ = socket.set_nodelay(true);
         let (socket, watch) = WatchedSocket::new(socket);
         let handshake = Builder::new().handshake(TokioIo::new(socket)).await;
         let (sender, connection) = handshake.context(HandshakeSnafu { addr })?;
         tokio::spawn(async move {
-            // Its error reaches whoever waits for the answer.
+            // An error reaches the caller that waits for the response.
             let _ = connection.await;
         });
         Ok(Connection {
@@ -123,7 +123,7 @@
         })
     }
 
-    /// Puts a connection back that has carried a whole answer.
+    /// Returns a connection after a complete response.
     pub fn put(
         &self,
         sender: SendRequest<Full<Bytes>>,
@@ -159,7 +159,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<Idle>> {
-        // A panic elsewhere leaves a list of connections, each of them checked before use.
+        // Sound after a panic elsewhere: each connection is checked before use.
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/anvil_gateway/src/relay.rs
+++ b/crates/anvil_gateway/src/relay.rs
@@ -1,9 +1,9 @@
-//! Passes a stream of events on, and has another endpoint continue it where that is allowed.
+//! Forwards a stream of events, and resumes it at another endpoint where the route allows that.
 //!
-//! Failure: an endpoint is lost in the middle of a stream. It shows as a client with half an
-//! answer. Another endpoint goes on after the last event that was delivered, within the same
-//! answer; the connection to the one before is closed first, which makes it stop. Where nobody
-//! can go on, the client's connection is closed without the stream's end.
+//! Failure: an endpoint is lost in the middle of a stream, and the client has only part of the
+//! response. Another endpoint continues after the last delivered event, within the same response;
+//! the connection to the previous endpoint is closed first, which stops its run. If no endpoint can
+//! continue, the client's connection is closed without the end of the stream.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,10 +25,10 @@
 use crate::metrics;
 use crate::reply::{BrokenOff, Cause, Reply, strip};
 
-/// Pauses between events that a resumable stream is given before another endpoint goes on, as
-/// times of the route's longest pause. The client leaves after eight.
+/// A resumable stream counts as stalled after this multiple of the route's maximum gap. The client
+/// gives up after eight such gaps.
 const SILENT_GAPS: f64 = 4.0;
-/// For a route that names no longest pause.
+/// Time after which a stream counts as stalled if its route sets no maximum gap.
 const SILENT: Duration = Duration::from_secs(2);
 
 struct Source {
@@ -38,17 +38,17 @@
     watch: Arc<ConnectionWatch>,
     head: AnswerHead,
     place: Place,
-    /// How far it has come, should the endpoint crash now.
+    /// What is reported should the endpoint crash now.
     run: CrashedRun,
 }
 
-/// A stream under way.
+/// A stream in progress.
 pub struct Relay {
     exchange: Exchange,
     source: Option<Source>,
-    /// Number of the last event handed to the client.
+    /// Id of the last event handed to the client.
     last: Option<u64>,
-    /// An event that was read ahead of the answer's head.
+    /// The first event, read before the response head is sent.
     ahead: Option<StreamEvent>,
     /// When the last event was handed to the client.
     delivered_at: Option<Instant>,
@@ -61,8 +61,8 @@
 }
 
 impl Relay {
-    /// Begins the client's answer once the first event is here, so that a stream which breaks
-    /// before it can still be asked for elsewhere, or be refused with a status.
+    /// Starts the client's response once the first event has arrived. A stream that breaks before
+    /// that can still be retried elsewhere, or refused with a status.
     pub async fn begin(exchange: Exchange, answer: Answer) -> Reply {
         let mut parts = answer.parts.clone();
         strip(&mut parts.headers);
@@ -117,8 +117,8 @@
         Ok(Some(event.bytes))
     }
 
-    /// The next event, from the present endpoint or from one that goes on after it. `None` at
-    /// the stream's end. `head` is replaced while the client has not seen one.
+    /// The next event, from the current endpoint or from one that resumes the stream. `None` at the
+    /// end of the stream. `head` is replaced as long as the client has not received one.
     async fn next_anywhere(
         &mut self,
         mut head: Option<&mut http::response::Parts>,
@@ -151,8 +151,8 @@
             if let Some(event) = source.splitter.next_event() {
                 source.place.answered();
                 source.run = CrashedRun::AfterOutput;
-                // Failure: an endpoint sends an event twice, or one of a run that it had
-                // before. Numbers rise by one; what does not follow is not delivered.
+                // Failure: an endpoint repeats an event, or sends one of an earlier run. Ids
+                // increase by one; an event that does not follow is not delivered.
                 if follows(self.last, event.id) {
                     return Next::Event(event);
                 }
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Until when the present endpoint may be silent. Only where another one may go on is that
-    /// sooner than the request's own end.
+    /// Until when the current endpoint may send nothing. Earlier than the deadline only if another
+    /// endpoint may resume the stream.
     fn silent_until(&self) -> Instant {
         let deadline = self.exchange.deadline;
         if !self.exchange.route.repeat.may_go_on_elsewhere() || !self.exchange.has_tries() {
@@ -198,7 +198,7 @@
             self.exchange
                 .trace
                 .step(format_args!("{id} broke off after {last:?}"));
-            // Dropped here: its connection closes, and the endpoint stops its run.
+            // Dropping the source closes its connection, which stops the endpoint's run.
         }
         let late = self.exchange.left().is_zero();
         let cause = if late { Cause::Late } else { Cause::Lost };
--- a/crates/anvil_gateway/src/reply.rs
+++ b/crates/anvil_gateway/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to clients.
+//! Responses to clients, and the reasons for refusals.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -10,56 +10,56 @@
 use http_body_util::{BodyExt, Full};
 use snafu::Snafu;
 
-/// A stream that can't be finished. The connection is closed without the stream's end, so that
-/// nobody takes the part for the whole.
+/// A stream that can't be completed. The connection is closed without the end of the stream, so
+/// that the client does not take the part for the whole.
 #[derive(Debug, Snafu)]
 #[snafu(display("the answer broke off"))]
 pub struct BrokenOff;
 
-/// A body for a client.
+/// Body of a response to a client.
 pub type ReplyBody = UnsyncBoxBody<Bytes, BrokenOff>;
-/// An answer for a client.
+/// A response to a client.
 pub type Reply = Response<ReplyBody>;
 
-/// Why a request has no answer of an endpoint.
+/// Why a request is refused or has failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    /// The head can't be read.
+    /// The request head is invalid.
     BadHead,
-    /// No bearer key, or one that nobody holds.
+    /// The bearer key is missing or unknown.
     UnknownKey,
-    /// No route has this host and path.
+    /// No route matches host and path.
     NoRoute,
-    /// The body is longer than allowed.
+    /// The body exceeds the limit.
     BodyTooLong,
     /// The client did not send the body in time.
     BodyLate,
-    /// The budget does not cover the request at its most.
+    /// The budget does not cover the maximum cost.
     BudgetExhausted,
-    /// Money may come, but not in time.
+    /// Tokens may become available, but not in time.
     BudgetBusy,
-    /// The ledger can't be reached for money; another process may reach it.
+    /// The ledger is unreachable, so no tokens can be obtained; another process may reach it.
     LedgerUnreachable,
     /// This process has no routing table or no endpoints yet.
     NotReady,
     /// This process is stopping.
     Leaving,
-    /// No endpoint of the service takes work.
+    /// No endpoint of the service accepts requests.
     NoEndpoint,
-    /// All endpoints are too busy to answer in time.
+    /// All endpoints are too busy to respond in time.
     Overloaded,
     /// Endpoints crashed under the same request.
     CrashesEndpoints,
-    /// Endpoints refused it or could not be reached.
+    /// Endpoints refused it or were unreachable.
     Refused,
-    /// It may have run, and its answer is lost.
+    /// It may have run, and the response is lost.
     Lost,
-    /// It may have run, and no answer came in time.
+    /// It may have run, and no response came in time.
     Late,
 }
 
 impl Cause {
-    /// Each one.
+    /// All causes.
     pub const ALL: [Self; 16] = [
         Self::BadHead,
         Self::UnknownKey,
@@ -79,7 +79,7 @@
         Self::Late,
     ];
 
-    /// Status for the client. 429 and 503 say that it has not run and never will.
+    /// Status for the client. 429 and 503 state that the request has not run and never will.
     pub fn status(self) -> StatusCode {
         match self {
             Self::BadHead => StatusCode::BAD_REQUEST,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// In log lines and for the client.
+    /// Text for the log and for the client.
     pub fn text(self) -> &'static str {
         match self {
             Self::BadHead => "bad_head",
@@ -123,14 +123,14 @@
         }
     }
 
-    /// Whether it has not run and the client may come again.
+    /// Whether the request has not run and the client may retry it.
     pub fn may_come_again(self) -> bool {
         let status = self.status();
         status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS
     }
 }
 
-/// Says why there is no answer.
+/// The response that states why a request is refused.
 pub fn refusal(cause: Cause, come_again: Option<Duration>) -> Reply {
     let text = format!("{{\"error\":{{\"type\":\"{}\"}}}}", cause.text());
     let body = Full::new(Bytes::from(text)).map_err(never).boxed_unsync();
@@ -147,12 +147,12 @@
     reply
 }
 
-/// A whole body.
+/// A body that is available as a whole.
 pub fn whole(bytes: Bytes) -> ReplyBody {
     Full::new(bytes).map_err(never).boxed_unsync()
 }
 
-/// Asks the client to use another connection next time.
+/// Asks the client to use another connection for its next request.
 pub fn close_after(reply: &mut Reply) {
     let headers = reply.headers_mut();
     headers.insert(CONNECTION, HeaderValue::from_static("close"));
@@ -162,7 +162,7 @@
     match never {}
 }
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection.
 pub const ONE_CONNECTION: [HeaderName; 8] = [
     http::header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -174,7 +174,7 @@
     http::header::UPGRADE,
 ];
 
-/// Takes out what concerns only the connection to the endpoint.
+/// Removes headers that apply only to the connection to the endpoint.
 pub fn strip(headers: &mut HeaderMap) {
     for name in ONE_CONNECTION {
         headers.remove(name);
--- a/crates/anvil_gateway/src/reports.rs
+++ b/crates/anvil_gateway/src/reports.rs
@@ -1,4 +1,4 @@
-//! Tells the ledger what is seen here, one report after the other, until it has taken each.
+//! Delivers observations to the ledger, one report at a time, each until it is accepted.
 
 use std::time::Duration;
 
@@ -8,13 +8,14 @@
 
 use crate::gateway::Gateway;
 
-/// Longest wait for the ledger to take a report; afterwards it is sent again.
+/// Longest wait for the ledger to accept a report.
 const TAKEN_WITHIN: Duration = Duration::from_secs(2);
 /// Pause before a report is sent again.
 const AGAIN: Duration = Duration::from_millis(100);
 
-/// Sends what `next` has, whenever `wanted` is notified, for as long as the process lives. A report may come twice, and
-/// `next` gives it until `taken` was told that the ledger has it.
+/// Sends the reports that `next` returns, whenever `wanted` is notified, for as long as the process
+/// runs. `next` returns the same report until `taken` was called with it, so the ledger may receive
+/// a report twice.
 pub async fn run(
     gw: &Gateway,
     wanted: &Notify,
@@ -28,7 +29,7 @@
         };
         match gw.ledger.propose(report.clone(), TAKEN_WITHIN).await {
             Ok(_) => taken(&report),
-            // What it says counts here meanwhile.
+            // The report is applied locally in the meantime.
             Err(_) => sleep(AGAIN).await,
         }
     }
--- a/crates/anvil_gateway/src/run.rs
+++ b/crates/anvil_gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! A gateway as a process: all its tasks, from the start to the end of a planned stop.
+//! A gateway process: all its tasks, from the start to the end of a planned stop.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,29 +11,29 @@
 use crate::log_events as events;
 use crate::{discovery, endpoint_limits, follow, money_loop, serve, siblings, suspects};
 
-/// Longest time to give grants back at a planned stop.
+/// Time to return grants to the ledger at a planned stop.
 const GIVE_BACK: Duration = Duration::from_millis(250);
 
-/// A gateway that did not start.
+/// Why a gateway could not start.
 #[derive(Debug, Snafu)]
 pub enum GatewayError {
-    /// It can't listen.
+    /// An address could not be bound.
     #[snafu(display("can't listen at {addr}: {source}"))]
     Listen {
-        /// Where.
+        /// The address.
         addr: std::net::SocketAddr,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// It can't listen for siblings.
+    /// The address for siblings could not be bound.
     #[snafu(display("can't listen for other gateways: {source}"))]
     Siblings {
-        /// Where and why.
+        /// Cause.
         source: anvil_wire::WireError,
     },
 }
 
-/// Runs a gateway until `stop` is ready and its requests have ended.
+/// Runs a gateway until `stop` completes and its requests have ended.
 pub async fn run(gw: Arc<Gateway>, stop: impl Future<Output = ()>) -> Result<(), GatewayError> {
     let (cfg, log) = (&gw.cfg, &gw.log);
     let addr = cfg.listen;
--- a/crates/anvil_gateway/src/serve.rs
+++ b/crates/anvil_gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Clients' connections, and the balancer's question.
+//! Serves clients' connections and the load balancer's readiness checks.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -21,17 +21,17 @@
 use crate::reply::{Reply, close_after, whole};
 use anvilreel::event;
 
-/// Idle time of a client's connection until the routing table says otherwise.
+/// Idle timeout of a client's connection until a routing table sets one.
 const IDLE: Duration = Duration::from_secs(15);
-/// For how long a stopping process goes on taking connections and requests: the balancer asks
-/// once a second and believes the second refusal.
+/// For how long a stopping process keeps accepting connections and requests: the load balancer
+/// checks once per second and acts on the second failed check.
 const STILL_TAKING: Duration = Duration::from_millis(2_600);
-/// Time before the end of the grace period by which everything has ended.
+/// All connections are closed this long before the end of the grace period.
 const SPARE: Duration = Duration::from_millis(350);
-/// Pause after a connection could not be accepted, for want of descriptors or memory.
+/// Pause after an accept failed for lack of file descriptors or memory.
 const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
 
-/// Serves clients until a planned stop has finished.
+/// Serves clients until a planned stop is complete.
 pub async fn clients(gw: Arc<Gateway>, listener: TcpListener) {
     let (tell, told) = watch::channel(false);
     let mut connections = JoinSet::new();
@@ -58,14 +58,15 @@
         }
     };
     drop(listener);
-    // Fails only when no connection is left to be told.
+    // Fails only if no connection is left.
     let _ = tell.send(true);
     let end = left_at + gw.cfg.grace.saturating_sub(SPARE);
     while let Ok(Some(_)) = timeout_at(end, connections.join_next()).await {}
 }
 
 async fn client(gw: Arc<Gateway>, socket: TcpStream, mut told: watch::Receiver<bool>) {
-    // Without it small pieces wait for an acknowledgement; with a failure they are only slower.
+    // Without TCP_NODELAY small chunks wait for an acknowledgement. If setting it fails, they are
+    // only slower.
     let _ = socket.set_nodelay(true);
     let table = gw.table.load();
     let idle = table.as_ref().map_or(IDLE, |table| table.limits.idle_time);
@@ -98,11 +99,11 @@
 }
 
 async fn stopped(told: &mut watch::Receiver<bool>) {
-    // An error means that the accepting side has ended, which comes after the stop.
+    // An error means that the accept loop has ended, which happens after the stop.
     let _ = told.wait_for(|stop| *stop).await;
 }
 
-/// Answers the balancer's question at any path, for as long as the process lives.
+/// Answers readiness checks on any path for as long as the process runs.
 pub async fn ready(listener: TcpListener, log: Logger, is_ready: impl Fn() -> bool) {
     let is_ready = &is_ready;
     let mut connections = futures::stream::FuturesUnordered::new();
@@ -138,6 +139,6 @@
         .timer(TokioTimer::new())
         .header_read_timeout(IDLE)
         .serve_connection(TokioIo::new(socket), service);
-    // The balancer hears of a failure by itself: it gets no answer.
+    // On failure the load balancer receives no answer and counts the check as failed.
     let _ = connection.await;
 }
--- a/crates/anvil_gateway/src/siblings.rs
+++ b/crates/anvil_gateway/src/siblings.rs
@@ -1,4 +1,5 @@
-//! The other gateways of this availability zone: who they are, and what they are told of the list.
+//! The other gateways of this availability zone, and the service that sends them the list of
+//! endpoints.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,21 +15,21 @@
 
 use crate::gateway::Gateway;
 
-/// For how long a sibling that didn't answer is not asked: about as long as the ledger takes to hold a
-/// process for silent.
+/// For how long a sibling that did not answer is skipped: about as long as the ledger takes to
+/// regard a process as unresponsive.
 const PASSED_OVER_FOR: Duration = Duration::from_secs(5);
 
-/// The gateways of one availability zone, as the ledger's members tell.
+/// The gateways of one availability zone, according to the ledger's membership.
 pub struct Siblings {
     own: InstanceId,
-    /// Where each of them answers siblings; this gateway is among them.
+    /// Addresses at which they serve siblings, including this gateway's own.
     addrs: ArcSwap<BTreeMap<InstanceId, SocketAddr>>,
     peers: Peers,
     passed_over: Mutex<BTreeMap<InstanceId, Now>>,
 }
 
 impl Siblings {
-    /// Only this gateway, until the ledger has told of others.
+    /// Contains only this gateway until the ledger reports others.
     pub fn of(own: InstanceId, addr: SocketAddr) -> Self {
         let addrs = BTreeMap::from([(own.clone(), addr)]);
         Self {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Takes in who is alive. All answer siblings at the same port.
+    /// Updates the live gateways. All of them serve siblings at the same port.
     pub fn set<'a>(&self, alive: impl Iterator<Item = &'a Instance>) {
         let Some(own) = self.addrs.load().get(&self.own).copied() else {
             return;
@@ -55,7 +56,7 @@
         self.addrs.store(Arc::new(addrs));
     }
 
-    /// The gateways that may read the list, the first one first.
+    /// The gateways that may read the list, in order of preference.
     pub fn order(&self, now: Now) -> Vec<InstanceId> {
         let mut passed_over = self.passed_over();
         passed_over.retain(|_, until| now < *until);
@@ -63,19 +64,19 @@
         in_order(addrs.keys().cloned(), |id| passed_over.contains_key(id))
     }
 
-    /// The way to a sibling.
+    /// The channel to a sibling.
     pub fn channel(&self, id: &InstanceId) -> Option<Channel> {
         let addrs = self.addrs.load();
         addrs.get(id).map(|addr| self.peers.to(*addr))
     }
 
-    /// A sibling has not answered in time.
+    /// Skips a sibling that has not answered in time.
     pub fn pass_over(&self, id: &InstanceId, now: Now) {
         self.passed_over().insert(id.clone(), now + PASSED_OVER_FOR);
     }
 
     fn passed_over(&self) -> MutexGuard<'_, BTreeMap<InstanceId, Now>> {
-        // A panic elsewhere leaves names and times, each of them true.
+        // Sound after a panic elsewhere: each entry is valid by itself.
         self.passed_over
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -87,13 +88,13 @@
     Server::bind(gw.cfg.siblings_bind.unwrap_or(gw.cfg.siblings)).await
 }
 
-/// Answers siblings for as long as the process lives.
+/// Serves siblings for as long as the process runs.
 pub async fn answer(gw: Arc<Gateway>, server: Server) {
     let handlers = Handlers::default().with::<ListCall, _, _>(move |ask: ListAsk, tx| {
         let gw = gw.clone();
         async move {
             let reply = tell(&gw, &ask).await;
-            // Fails only where the asker is gone.
+            // Fails only if the sibling has disconnected.
             let _ = tx.finish(&reply).await;
         }
     });
--- a/crates/anvil_gateway/src/suspects.rs
+++ b/crates/anvil_gateway/src/suspects.rs
@@ -1,7 +1,8 @@
-//! Requests under which endpoints crashed: those that this gateway saw, and those that the ledger tells of.
+//! Requests under which endpoints crashed: those observed by this gateway, and those the ledger
+//! reports.
 //!
-//! What is seen here is told to the ledger, which gathers it from all gateways and keeps it over restarts. Until
-//! the ledger has it, it counts here by itself.
+//! Observations are reported to the ledger, which merges the reports of all gateways and keeps them
+//! across restarts. Until the ledger has accepted a report, this gateway applies it locally.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
@@ -20,7 +21,8 @@
 use crate::log_events as events;
 use crate::reports;
 
-/// Crashes that wait for the ledger: each of a large fleet's endpoints, once. The oldest are left out.
+/// Unreported crashes that are kept: one for each endpoint of a large fleet. The oldest are
+/// dropped.
 const MOST_WAITING: usize = 8_192;
 
 /// Requests under which endpoints crashed.
@@ -31,22 +33,22 @@
     wanted: Notify,
 }
 
-/// What the ledger tells of a request.
+/// A suspect request as the ledger reports it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Told {
     suspect: Suspect,
-    /// When it told this gateway first.
+    /// When the ledger first reported it to this gateway.
     since: Now,
 }
 
-/// Why a request is kept from endpoints.
+/// Why a request is not sent to endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Quarantine {
-    /// For how much longer.
+    /// Time until the quarantine ends.
     pub left: Duration,
-    /// Endpoints that crashed under it, as many as it took.
+    /// Endpoints that crashed under the request, as many as its quarantine required.
     pub endpoints: Vec<InstanceId>,
-    /// When the ledger told of it first; `None` where this gateway knows by itself.
+    /// When the ledger first reported it; `None` if only this gateway's own observations count.
     pub told: Option<Now>,
 }
 
@@ -64,11 +66,11 @@
     }
 }
 
-/// What the ledger has not heard of yet.
+/// Observations that the ledger has not accepted yet.
 #[derive(Default)]
 struct Own {
     crashes: VecDeque<ReportCrash>,
-    /// The same by request.
+    /// The same crashes, by request.
     endpoints: BTreeMap<RequestDigest, BTreeMap<InstanceId, CrashedRun>>,
     answered: BTreeSet<RequestDigest>,
 }
@@ -96,7 +98,8 @@
 }
 
 impl Suspects {
-    /// An endpoint crashed under these requests. Returns whether an older report was left out for it.
+    /// Records that an endpoint crashed under these requests. Returns whether an older report was
+    /// dropped to make room.
     pub fn crashed(
         &self,
         endpoint: &InstanceId,
@@ -110,20 +113,20 @@
         own.add(ReportCrash {
             endpoint: endpoint.clone(),
             requests: requests.into_iter().collect(),
-            // The leader puts its own time in.
+            // The ledger's leader sets the time.
             at: UNIX_EPOCH,
         });
         self.wanted.notify_one();
         is_full
     }
 
-    /// Why a request is kept from endpoints; `None` where it may go to them.
+    /// Why a request is not sent to endpoints; `None` if it may be sent.
     pub fn quarantine(&self, request: RequestDigest) -> Option<Quarantine> {
         let told = self.told.load();
         let told = told.get(&request);
         let own = {
             let own = self.own();
-            // The ledger is about to hear that it was answered.
+            // A report that it was answered is on its way to the ledger.
             if own.answered.contains(&request) {
                 return None;
             }
@@ -147,7 +150,7 @@
         })
     }
 
-    /// An endpoint has answered a request: what crashed before did so for another reason.
+    /// Records that an endpoint answered a request, so the earlier crashes had another cause.
     pub fn answered(&self, request: RequestDigest) {
         let mut own = self.own();
         let is_suspect =
@@ -157,7 +160,7 @@
         }
     }
 
-    /// How many are kept from endpoints, by the ledger's word.
+    /// Number of requests in quarantine according to the ledger.
     pub fn count_quarantined(&self) -> u64 {
         let now = SystemTime::now();
         let told = self.told.load();
@@ -168,7 +171,7 @@
     }
 
     fn own(&self) -> MutexGuard<'_, Own> {
-        // A panic elsewhere leaves whole reports.
+        // Sound after a panic elsewhere: reports are added and removed whole.
         self.own.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -187,7 +190,7 @@
     fn was_taken(&self, report: &Command) {
         let mut own = self.own();
         match report {
-            // Another one is the first where this one was left out meanwhile.
+            // The first report is a different one if this one was dropped in the meantime.
             Command::ReportCrash(taken) if own.crashes.front() == Some(taken) => own.remove_first(),
             Command::ClearSuspects(taken) => {
                 own.answered
@@ -208,8 +211,9 @@
 }
 
 impl Gateway {
-    /// Takes in what the ledger tells. A request that an endpoint has answered here a moment before is cleared:
-    /// where a zone loses power, equal requests of many callers were under way at several endpoints.
+    /// Applies the suspects reported by the ledger. A request that an endpoint answered here
+    /// shortly before is cleared: when a zone loses power, equal requests from many clients were in
+    /// flight at several endpoints.
     pub fn take_suspects(&self, told: &BTreeMap<RequestDigest, Suspect>) {
         let before = self.suspects.told.load_full();
         let known = before
@@ -257,7 +261,7 @@
     }
 }
 
-/// Tells the ledger what is seen here, for as long as the process lives.
+/// Reports observations to the ledger for as long as the process runs.
 pub async fn run(gw: &Gateway) {
     let suspects = &gw.suspects;
     let next = || suspects.next_report();
--- a/crates/anvil_gateway/src/table.rs
+++ b/crates/anvil_gateway/src/table.rs
@@ -1,4 +1,5 @@
-//! The routing table: which request goes to which service, under which terms, for whom.
+//! The routing table: which request goes to which service, on which terms, and for which
+//! organisation.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,31 +7,31 @@
 
 use anvil_world::prelude::*;
 
-/// What may be repeated on a route.
+/// How often a request on a route may run, and whether its response is a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
     /// May run any number of times.
     Idempotent,
-    /// May run once at most.
+    /// May run at most once.
     Once,
-    /// A stream of events that may run once at most.
+    /// A stream of events; may run at most once.
     StreamOnce,
-    /// A stream of events that another endpoint may continue after the last one delivered.
+    /// A stream of events that another endpoint may resume after the last delivered event.
     StreamResumed,
 }
 
 impl Repeat {
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::StreamOnce | Self::StreamResumed)
     }
 
-    /// Whether another endpoint may continue the stream after the last event delivered.
+    /// Whether another endpoint may resume the stream after the last delivered event.
     pub fn may_go_on_elsewhere(self) -> bool {
         self == Self::StreamResumed
     }
 
-    /// Whether a request that may have run may run again.
+    /// Whether a request that may have run may be run again.
     pub fn may_run_again(self) -> bool {
         matches!(self, Self::Idempotent | Self::StreamResumed)
     }
@@ -39,106 +40,106 @@
 /// One route.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name, for log lines.
+    /// Name, for the log.
     pub name: Arc<str>,
-    /// Host that it answers for.
+    /// Host that it matches.
     pub host: Arc<str>,
-    /// Beginning of the paths that it answers for; begins and ends with a slash.
+    /// Path prefix that it matches; begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// How often a request may run.
     pub repeat: Repeat,
-    /// Longest time that a request is kept.
+    /// Upper bound of a request's timeout.
     pub timeout: Duration,
-    /// Time within which an answer is on time: whole, or to its first event.
+    /// Target time to the complete response, or to the first event of a stream.
     pub target: Duration,
-    /// Longest pause between two events that is still on time; none where it doesn't matter.
+    /// Target for the longest gap between two events; `None` if there is none.
     pub gap: Option<Duration>,
-    /// Rank; 0 goes first.
+    /// Priority class; 0 is the most urgent.
     pub class: u8,
-    /// Services that serve it, by weight.
+    /// Services that serve the route, with their weights.
     pub services: Vec<(ServiceId, u32)>,
-    /// Most endpoints that one request is sent to.
+    /// Maximum number of endpoints that receive one request.
     pub attempts: u32,
-    /// Whether it is served without a bearer key.
+    /// Whether requests need no bearer key.
     pub public: bool,
 }
 
-/// What is known of a service.
+/// Settings of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name.
     pub id: ServiceId,
-    /// Connections that one of its endpoints takes from all callers.
+    /// Connections that one endpoint accepts from all callers together.
     pub connections: u32,
-    /// Only for a pool of model engines.
+    /// Set only for a pool of model engines.
     pub engine: Option<Engine>,
 }
 
-/// What is known of the model engines of a service.
+/// Settings of the model engines of a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Engine {
-    /// Requests that it works on side by side.
+    /// Requests that an engine runs concurrently.
     pub batch: u32,
-    /// Tokens that its memory holds.
+    /// Tokens that fit into an engine's memory.
     pub memory: Tokens,
-    /// Tokens of output in one event, at most.
+    /// Maximum output tokens in one event.
     pub tokens_per_event: Tokens,
-    /// Bytes of memory that one token takes; 0 where it isn't told.
+    /// Bytes of memory per token; 0 if unknown.
     pub bytes_per_token: f64,
-    /// What an engine's link to the others carries, in megabits a second; 0 where it isn't told.
+    /// Bandwidth of the link between engines, in megabits per second; 0 if unknown.
     pub link_mbps: f64,
 }
 
-/// Who sends requests, and pays for them.
+/// The sender of requests, who also pays for them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Organisation {
-    /// Its name; its budget has the same.
+    /// Name; its budget has the same name.
     pub id: OrganisationId,
-    /// Its rank, where it goes before the route's.
+    /// Priority class that overrides the route's.
     pub class: Option<u8>,
     /// Whether it has a prepaid budget.
     pub prepaid: bool,
 }
 
-/// What clients may send.
+/// Limits on clients' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum bytes of a request head.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum bytes of a request body.
     pub body_bytes: usize,
-    /// Time for a request's head.
+    /// Maximum time to receive a request head.
     pub head_time: Duration,
-    /// Time that a connection may stay idle.
+    /// Maximum time that a connection may be idle.
     pub idle_time: Duration,
 }
 
-/// A whole routing table. It does not change; a newer one takes its place.
+/// A complete, immutable routing table; an update replaces it as a whole.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteTable {
-    /// The operator's number of it.
+    /// The operator's version number.
     pub version: RoutingVersion,
     /// Services by name.
     pub services: BTreeMap<ServiceId, Service>,
-    /// Bounds for clients.
+    /// Limits for clients.
     pub limits: Limits,
     hosts: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Arc<Route>>>,
     keys: BTreeMap<Arc<str>, Arc<Organisation>>,
     asks_for_keys: bool,
 }
 
-/// Parts of a table before it is put together.
+/// The contents of a table, before they are indexed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TableParts {
-    /// The operator's number of it.
+    /// The operator's version number.
     pub version: RoutingVersion,
     /// Routes in any order; no two share host and prefix.
     pub routes: Vec<Route>,
     /// All services.
     pub services: Vec<Service>,
-    /// Organisations with their bearer keys; none where requests carry no keys.
+    /// Organisations with their bearer keys; empty if requests carry no keys.
     pub organisations: Vec<(Organisation, Vec<Arc<str>>)>,
-    /// Bounds for clients.
+    /// Limits for clients.
     pub limits: Limits,
 }
 
@@ -170,17 +171,17 @@
 }
 
 impl RouteTable {
-    /// The route with the longest prefix that begins the path.
+    /// The route with the longest prefix of the path.
     ///
-    /// Prefixes end with a slash, so only the path's own slashes are looked at: the cost grows
-    /// with the depth of the path, not with the number of routes.
+    /// Prefixes end with a slash, so only the slashes of the path are tried: the cost grows with
+    /// the depth of the path, not with the number of routes.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let prefixes = self.hosts.get(host)?;
         let ends = path.rmatch_indices('/').map(|(at, _)| at + 1);
         ends.into_iter().find_map(|end| prefixes.get(&path[..end]))
     }
 
-    /// Who holds this key.
+    /// The organisation that holds this key.
     pub fn organisation(&self, key: &str) -> Option<&Arc<Organisation>> {
         self.keys.get(key)
     }
--- a/crates/anvil_gateway/src/trace.rs
+++ b/crates/anvil_gateway/src/trace.rs
@@ -1,4 +1,4 @@
-//! What is logged of one request: one line at its end, with what decided it.
+//! The trace of one request: a single log line at its end, with the decisions taken.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -14,7 +14,8 @@
 use crate::log_events as events;
 use crate::metrics;
 
-/// Gathers what happens to one request, and logs it when the request ends, however it ends.
+/// Collects what happens to a request and logs it on drop, so each request is logged however it
+/// ends.
 pub struct Trace {
     gw: Arc<Gateway>,
     begun: Instant,
@@ -30,11 +31,11 @@
     outcome: Option<&'static str>,
 }
 
-/// Bytes of steps that are kept for one request. A request makes a handful.
+/// No steps are added beyond this many bytes; a normal request has only a few steps.
 const MOST_STEPS: usize = 1_024;
 
 impl Trace {
-    /// For a request that has just arrived.
+    /// Starts the trace of a request that has just arrived.
     pub fn new(gw: Arc<Gateway>, id: Arc<str>, begun: Instant) -> Self {
         gw.open.fetch_add(1, Ordering::Relaxed);
         Self {
@@ -53,48 +54,48 @@
         }
     }
 
-    /// Notes the route, and the routing table that it comes from.
+    /// Records the route, and the version of the routing table that it is from.
     pub fn routed(&mut self, route: &Arc<str>, table: u64) {
         self.route = Some(route.clone());
         self.table = table;
     }
 
-    /// Notes who sends it.
+    /// Records the organisation that sent the request.
     pub fn sent_by(&mut self, organisation: &Arc<str>) {
         self.organisation = Some(organisation.clone());
     }
 
-    /// Notes one decision with what it rests on.
+    /// Records one decision with its reasons.
     pub fn step(&mut self, step: std::fmt::Arguments<'_>) {
         if self.steps.len() > MOST_STEPS {
             return;
         }
         let at = self.begun.elapsed().as_millis();
-        // Writing to a string does not fail.
+        // Writing to a string can't fail.
         let _ = write!(self.steps, "{at}ms {step}; ");
     }
 
-    /// Notes that the first piece of an answer went out.
+    /// Records that the response to the client has begun.
     pub fn first_piece(&mut self) {
         self.first.get_or_insert(self.begun.elapsed());
     }
 
-    /// Notes the time between two events of a stream; the longest one is logged.
+    /// Records the gap between two events of a stream; the longest one is logged.
     pub fn paused(&mut self, pause: Duration) {
         self.pause = self.pause.max(pause);
     }
 
-    /// Notes what it cost, in tokens.
+    /// Records the cost in tokens.
     pub fn billed(&mut self, tokens: u64) {
         self.billed = tokens;
     }
 
-    /// Notes what makes it the same request as another one.
+    /// Records the digest that is equal for equal requests.
     pub fn content(&mut self, content: RequestDigest) {
         self.content = Some(content);
     }
 
-    /// Notes how it ended. The first word counts.
+    /// Records the outcome. Only the first call has an effect.
     pub fn ended(&mut self, outcome: &'static str) {
         self.outcome.get_or_insert(outcome);
     }
--- a/crates/anvil_gateway/src/tries.rs
+++ b/crates/anvil_gateway/src/tries.rs
@@ -1,19 +1,20 @@
-//! Counts one request's tries.
+//! Counts the attempts of one request.
 //!
 //! Failure: endpoints die and stay on the platform's list for seconds. A request whose route allows
-//! one try meets one of them, is turned away, comes back and meets the next, while all the others
-//! are free. An endpoint that could not be reached, or at whose address another one answers, has
-//! not been asked at all, so it uses up no try.
+//! one attempt would be sent to one of them, be refused, come back and find the next one, while all
+//! others are free. An endpoint that is unreachable, or whose address belongs to another
+//! incarnation by now, has not received the request, so it does not count against the route's
+//! limit.
 
 use anvil_world::prelude::*;
 
 use crate::attempt::{ANOTHER_HAS_IT, NotRun, Tried};
 
-/// Endpoints that one request may find gone. Each costs up to the time to connect, and a fleet of
-/// which four in a row are gone is better left to the client's own return.
+/// Maximum number of missing endpoints per request. Each takes up to the connect timeout; after
+/// four in a row the client's own retry is the better choice.
 const MOST_GONE: u32 = 4;
 
-/// One request's tries so far.
+/// The attempts of one request so far.
 #[derive(Debug, Default)]
 pub struct Tries {
     endpoints: Vec<InstanceId>,
@@ -23,7 +24,7 @@
 }
 
 impl Tries {
-    /// Notes what came of sending it to an endpoint.
+    /// Records the outcome of an attempt at an endpoint.
     pub fn note(&mut self, endpoint: InstanceId, tried: &Tried) {
         self.endpoints.push(endpoint);
         match tried {
@@ -44,27 +45,28 @@
         &self.endpoints
     }
 
-    /// Whether any endpoint has got it: every later arrival counts against the shared budget.
+    /// Whether any endpoint has received the request; further ones then count against the retry
+    /// budget.
     pub fn arrived(&self) -> bool {
         self.arrived
     }
 
-    /// Whether every endpoint that was tried was gone, or none was there to be tried.
+    /// Whether no attempt has reached the endpoint it was meant for.
     pub fn found_nobody(&self) -> bool {
         self.used == 0
     }
 
-    /// Endpoints in new lives are there: those that were gone count no more.
+    /// Resets the count of missing endpoints after the list has been updated.
     pub fn forget_gone(&mut self) {
         self.gone = 0;
     }
 
-    /// Whether one more endpoint may be tried, of so many that may get it.
+    /// Whether another attempt is allowed if `attempts` endpoints may receive the request.
     pub fn may_go_on(&self, attempts: u32) -> bool {
         self.used < attempts && self.gone < MOST_GONE
     }
 
-    /// Whether the next endpoint is the last one that may get it.
+    /// Whether the next attempt is the last one allowed.
     pub fn is_last(&self, attempts: u32) -> bool {
         self.used + 1 >= attempts
     }
