--- a/crates/anvil_gateway/src/admit.rs
+++ b/crates/anvil_gateway/src/admit.rs
@@ -13,25 +13,25 @@
 use hyper::body::{Body, Incoming};
 use tokio::time::{Instant, timeout_at};
 
-use crate::arrival;
-use crate::content;
+use crate::attempt_counter::AttemptCounter;
+use crate::availability;
 use crate::dialect::Ask;
-use crate::exchange::{Exchange, Refused, SOON};
+use crate::exchange::{DEFAULT_RETRY_AFTER, Exchange, Refusal};
 use crate::gateway::Gateway;
 use crate::metrics;
-use crate::money::Spend;
 use crate::reply::{Cause, Reply, refusal};
+use crate::request_charge::RequestCharge;
+use crate::request_digest;
 use crate::table::{Organisation, Route, RouteTable};
 use crate::trace::Trace;
-use crate::tries::Tries;
 
 /// Retry-after time if another gateway may serve the request: at once.
-const ELSEWHERE: Duration = Duration::from_millis(20);
+const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_millis(20);
 /// Time in which a ledger without a leader elects one and gateways find it.
-const LEADER_WITHIN: Duration = Duration::from_secs(1);
+const LEADER_ELECTION_TIME: Duration = Duration::from_secs(1);
 
 /// Answers one request.
-pub async fn answer(gw: &Arc<Gateway>, req: Request<Incoming>) -> Reply {
+pub async fn handle_request(gw: &Arc<Gateway>, req: Request<Incoming>) -> Reply {
     let begun = Instant::now();
     let (parts, body) = req.into_parts();
     let ask = match (gw.cfg.dialect.ask)(&parts) {
@@ -39,7 +39,7 @@
         Err(e) => {
             let mut trace = Trace::new(gw.clone(), "unknown".into(), begun);
             trace.step(format_args!("{e}"));
-            trace.ended(Cause::BadHead.text());
+            trace.record_outcome(Cause::BadHead.text());
             return refusal(Cause::BadHead, None);
         }
     };
@@ -47,7 +47,7 @@
     match admit(gw, parts, body, ask, begun, &mut trace).await {
         Ok(admitted) => admitted.into_exchange(gw.clone(), trace).run().await,
         Err((cause, again)) => {
-            trace.ended(cause.text());
+            trace.record_outcome(cause.text());
             refusal(cause, Some(again))
         }
     }
@@ -58,12 +58,12 @@
     route: Arc<Route>,
     organisation: Option<Arc<Organisation>>,
     service: ServiceId,
-    per_event: Tokens,
+    tokens_per_event: Tokens,
     deadline: Instant,
-    spend: Option<Spend>,
+    charge: Option<RequestCharge>,
     head: request::Parts,
     body: Bytes,
-    content: RequestDigest,
+    digest: RequestDigest,
 }
 
 impl Admitted {
@@ -72,24 +72,24 @@
         let parts = parts.map(|work| work.parts.iter().map(|p| (p.id, p.tokens)).collect());
         Exchange {
             gw,
-            parts: parts.unwrap_or_default(),
+            prompt_parts: parts.unwrap_or_default(),
             ask: self.ask,
             route: self.route,
             organisation: self.organisation,
             service: self.service,
-            per_event: self.per_event,
-            tries: Tries::default(),
+            tokens_per_event: self.tokens_per_event,
+            attempts: AttemptCounter::default(),
             deadline: self.deadline,
-            spend: self.spend,
+            charge: self.charge,
             trace,
             in_doubt: false,
-            has_waited: false,
-            waits_on: None,
+            has_waited_for_endpoints: false,
+            awaited_connection: None,
             method: self.head.method,
             uri: self.head.uri,
             headers: self.head.headers,
             body: self.body,
-            content: self.content,
+            digest: self.digest,
         }
     }
 }
@@ -101,23 +101,25 @@
     ask: Ask,
     begun: Instant,
     trace: &mut Trace,
-) -> Result<Admitted, Refused> {
-    let table = first_table(gw, &ask, trace).await?;
-    let route = route_of(&table, &head).ok_or((Cause::NoRoute, SOON))?;
-    trace.routed(&route.name, table.version);
-    let organisation = sender(&table, &route, &ask)?;
+) -> Result<Admitted, Refusal> {
+    let table = wait_for_table(gw, &ask, trace).await?;
+    let route = find_route(&table, &head).ok_or((Cause::NoRoute, DEFAULT_RETRY_AFTER))?;
+    trace.record_route(&route.name, table.version);
+    let organisation = identify_sender(&table, &route, &ask)?;
     if let Some(organisation) = &organisation {
-        trace.sent_by(&organisation.id);
+        trace.record_organisation(&organisation.id);
     }
     let deadline = begun + ask.patience.min(route.timeout);
     let body = read_body(body, table.limits.body_bytes, deadline).await?;
     let payer = organisation.as_deref();
-    let content = content::digest(payer, &route, &head.method, &head.uri, &body);
+    let content = request_digest::digest(payer, &route, &head.method, &head.uri, &body);
     if let Some(quarantine) = gw.suspects.quarantine(content) {
         trace.step(format_args!("in quarantine: {quarantine}"));
-        return Err((Cause::CrashesEndpoints, quarantine.left));
+        return Err((Cause::CrashesEndpoints, quarantine.time_left));
     }
-    let service = gw.draw_service(&route).ok_or((Cause::NoEndpoint, SOON))?;
+    let service = gw
+        .pick_service(&route)
+        .ok_or((Cause::NoEndpoint, DEFAULT_RETRY_AFTER))?;
     let engine = table.services.get(&service).and_then(|s| s.engine);
     let per_event = engine.map_or(1, |engine| engine.tokens_per_event.max(1));
     let spend = reserve(gw, organisation.as_deref(), &ask, deadline, trace).await?;
@@ -126,58 +128,58 @@
         route,
         organisation,
         service,
-        per_event,
+        tokens_per_event: per_event,
         deadline,
-        spend,
+        charge: spend,
         head,
         body,
-        content,
+        digest: content,
     })
 }
 
 /// The routing table. A process that has just started waits for its first one.
-async fn first_table(
+async fn wait_for_table(
     gw: &Gateway,
     ask: &Ask,
     trace: &mut Trace,
-) -> Result<Arc<RouteTable>, Refused> {
-    let most = arrival::for_start(gw.life.now(), ask.patience);
-    let table = arrival::wait(gw, most, || gw.table.load_full()).await;
+) -> Result<Arc<RouteTable>, Refusal> {
+    let most = availability::startup_wait(gw.lifecycle.now(), ask.patience);
+    let table = availability::wait_until_available(gw, most, || gw.table.load_full()).await;
     if table.is_none() {
         trace.step(format_args!("no routing table"));
     }
-    table.ok_or((Cause::NotReady, SOON))
+    table.ok_or((Cause::NotReady, DEFAULT_RETRY_AFTER))
 }
 
-fn route_of(table: &RouteTable, head: &request::Parts) -> Option<Arc<Route>> {
+fn find_route(table: &RouteTable, head: &request::Parts) -> Option<Arc<Route>> {
     let host = head.headers.get(http::header::HOST)?.to_str().ok()?;
     let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
     table.route(name, head.uri.path()).cloned()
 }
 
-fn sender(
+fn identify_sender(
     table: &RouteTable,
     route: &Route,
     ask: &Ask,
-) -> Result<Option<Arc<Organisation>>, Refused> {
+) -> Result<Option<Arc<Organisation>>, Refusal> {
     let known = ask.key.as_deref().and_then(|key| table.organisation(key));
-    if known.is_none() && table.asks_for_keys() && !route.public {
-        return Err((Cause::UnknownKey, SOON));
+    if known.is_none() && table.requires_keys() && !route.public {
+        return Err((Cause::UnknownKey, DEFAULT_RETRY_AFTER));
     }
     Ok(known.cloned())
 }
 
-async fn read_body(body: Incoming, most: usize, until: Instant) -> Result<Bytes, Refused> {
+async fn read_body(body: Incoming, most: usize, until: Instant) -> Result<Bytes, Refusal> {
     // A declared length over the limit is refused without reading the body.
     if body.size_hint().lower() > most as u64 {
-        return Err((Cause::BodyTooLong, SOON));
+        return Err((Cause::BodyTooLong, DEFAULT_RETRY_AFTER));
     }
     let reading = Limited::new(body, most).collect();
     match timeout_at(until, reading).await {
-        Err(_) => Err((Cause::BodyLate, SOON)),
+        Err(_) => Err((Cause::BodyLate, DEFAULT_RETRY_AFTER)),
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => Err((Cause::BodyTooLong, SOON)),
-        Ok(Err(_)) => Err((Cause::BadHead, SOON)),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err((Cause::BodyTooLong, DEFAULT_RETRY_AFTER)),
+        Ok(Err(_)) => Err((Cause::BadHead, DEFAULT_RETRY_AFTER)),
     }
 }
 
@@ -188,7 +190,7 @@
     ask: &Ask,
     deadline: Instant,
     trace: &mut Trace,
-) -> Result<Option<Spend>, Refused> {
+) -> Result<Option<RequestCharge>, Refusal> {
     let Some(organisation) = organisation.filter(|organisation| organisation.prepaid) else {
         return Ok(None);
     };
@@ -200,13 +202,13 @@
     let mut give_up: Option<Now> = None;
     let asked = Instant::now();
     loop {
-        let changed = gw.purse.changed();
-        let shortage = match gw.purse.reserve(gw.life.now(), &split, bound) {
+        let changed = gw.grant_account.changed();
+        let shortage = match gw.grant_account.reserve(gw.lifecycle.now(), &split, bound) {
             Ok(reservation) => {
                 if give_up.is_some() {
-                    gw.metrics.time(metrics::MONEY_WAIT, asked.elapsed());
+                    gw.metrics.time(metrics::GRANT_WAIT, asked.elapsed());
                 }
-                let spend = Spend::new(gw.purse.clone(), reservation, work.prompt);
+                let spend = RequestCharge::new(gw.grant_account.clone(), reservation, work.prompt);
                 return Ok(Some(spend));
             }
             Err(shortage) => shortage,
@@ -214,19 +216,19 @@
         let (until, otherwise) = match shortage {
             Shortage::Refused(refusal) => {
                 trace.step(format_args!("no money: {:?}", refusal.reason));
-                return Err(broke(gw, &refusal.reason));
+                return Err(shortage_refusal(gw, &refusal.reason));
             }
             Shortage::WaitFor { until, otherwise } => (until, otherwise),
         };
         let until = *give_up.get_or_insert(until);
-        let left = until.saturating_sub(gw.life.now());
-        gw.money_wanted.notify_one();
+        let left = until.saturating_sub(gw.lifecycle.now());
+        gw.grants_wanted.notify_one();
         let ends = (Instant::now() + left).min(deadline);
         if left.is_zero() || timeout_at(ends, changed).await.is_err() {
             trace.step(format_args!("money did not come: {:?}", otherwise.reason));
             return Err(match otherwise.reason {
-                Reason::BudgetExhausted(_) => (Cause::BudgetBusy, SOON),
-                reason => broke(gw, &reason),
+                Reason::BudgetExhausted(_) => (Cause::BudgetBusy, DEFAULT_RETRY_AFTER),
+                reason => shortage_refusal(gw, &reason),
             });
         }
     }
@@ -237,18 +239,18 @@
 /// Failure: during a leader election no gateway can obtain grants. Clients that are sent to another
 /// gateway at once are refused there too and give up before the election ends. So clients are sent
 /// elsewhere only after this gateway has been without an answer for longer than an election takes.
-fn unreachable(gw: &Gateway) -> Duration {
-    if gw.purse.unanswered_for(gw.life.now()) < LEADER_WITHIN {
-        return SOON;
+fn unreachable_retry_after(gw: &Gateway) -> Duration {
+    if gw.grant_account.unanswered_for(gw.lifecycle.now()) < LEADER_ELECTION_TIME {
+        return DEFAULT_RETRY_AFTER;
     }
-    gw.starve();
-    ELSEWHERE
+    gw.mark_starved();
+    RETRY_ELSEWHERE_AFTER
 }
 
-fn broke(gw: &Gateway, reason: &Reason) -> Refused {
+fn shortage_refusal(gw: &Gateway, reason: &Reason) -> Refusal {
     match reason {
-        Reason::BudgetExhausted(_) => (Cause::BudgetExhausted, SOON),
-        Reason::LedgerUnreachable => (Cause::LedgerUnreachable, unreachable(gw)),
-        _ => (Cause::BudgetBusy, SOON),
+        Reason::BudgetExhausted(_) => (Cause::BudgetExhausted, DEFAULT_RETRY_AFTER),
+        Reason::LedgerUnreachable => (Cause::LedgerUnreachable, unreachable_retry_after(gw)),
+        _ => (Cause::BudgetBusy, DEFAULT_RETRY_AFTER),
     }
 }
--- a/crates/anvil_gateway/src/attempt.rs
+++ b/crates/anvil_gateway/src/attempt.rs
@@ -12,7 +12,7 @@
 
 use crate::connection_watch::ConnectionWatch;
 use crate::dialect::AnswerHead;
-use crate::endpoint::{Endpoint, Place};
+use crate::endpoint::{Endpoint, EndpointSlot};
 use crate::gateway::Gateway;
 use crate::pool::Connection;
 
@@ -27,7 +27,7 @@
 
 /// Status that an endpoint returns if the request names another incarnation: 421 Misdirected
 /// Request.
-pub const ANOTHER_HAS_IT: u16 = 421;
+pub const MISDIRECTED_STATUS: u16 = 421;
 
 /// Why it is unknown whether a request has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 }
 
 /// A response whose body has not been read yet.
-pub struct Answer {
+pub struct EndpointResponse {
     /// Status and headers as the endpoint sent them.
     pub parts: response::Parts,
     /// The parsed response head.
@@ -55,12 +55,12 @@
     /// What was observed on the connection.
     pub watch: Arc<ConnectionWatch>,
     /// The slot that the request holds.
-    pub place: Place,
+    pub slot: EndpointSlot,
 }
 
-impl Answer {
+impl EndpointResponse {
     /// Returns the connection to the pool; the body must have been read to its end.
-    pub fn put_back(
+    pub fn release_connection(
         sender: SendRequest<Full<Bytes>>,
         watch: Arc<ConnectionWatch>,
         endpoint: &Endpoint,
@@ -71,17 +71,17 @@
 }
 
 /// Outcome of one attempt.
-pub enum Tried {
+pub enum AttemptOutcome {
     /// The request did not run there and never will.
     NotRun(NotRun),
     /// The request may have run.
     Doubt(Doubt),
     /// A response has begun.
-    Answer(Box<Answer>),
+    Answer(Box<EndpointResponse>),
 }
 
 /// What is sent to an endpoint.
-pub struct Outgoing<'a> {
+pub struct OutgoingRequest<'a> {
     /// Method.
     pub method: &'a Method,
     /// Path and query.
@@ -93,13 +93,13 @@
     /// Id that the response must carry.
     pub id: &'a str,
     /// The response head is awaited until then.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Set to the connection on which the request is sent.
     pub watch: &'a mut Option<Arc<ConnectionWatch>>,
 }
 
 /// Sends one request to the endpoint of `place` and waits for the response head.
-pub async fn send(gw: &Gateway, place: Place, out: Outgoing<'_>) -> Tried {
+pub async fn send(gw: &Gateway, place: EndpointSlot, out: OutgoingRequest<'_>) -> AttemptOutcome {
     let endpoint = place.endpoint.clone();
     let mut fresh = false;
     loop {
@@ -110,63 +110,63 @@
                 endpoint.pool.take().await
             }
         };
-        let Ok(taken) = timeout_at(out.until, taking).await else {
-            return Tried::NotRun(NotRun::Unreachable("no time left to connect".into()));
+        let Ok(taken) = timeout_at(out.deadline, taking).await else {
+            return AttemptOutcome::NotRun(NotRun::Unreachable("no time left to connect".into()));
         };
         let mut connection = match taken {
             Ok(connection) => connection,
-            Err(e) => return Tried::NotRun(NotRun::Unreachable(e.to_string())),
+            Err(e) => return AttemptOutcome::NotRun(NotRun::Unreachable(e.to_string())),
         };
-        connection.watch.sent();
-        let sent = gw.life.now();
+        connection.watch.request_sent();
+        let sent = gw.lifecycle.now();
         *out.watch = Some(connection.watch.clone());
-        let sending = connection.sender.try_send_request(request(&out));
-        let answer = match timeout_at(out.until, sending).await {
-            Err(_) => return Tried::Doubt(Doubt::Silent),
+        let sending = connection.sender.try_send_request(build_request(&out));
+        let answer = match timeout_at(out.deadline, sending).await {
+            Err(_) => return AttemptOutcome::Doubt(Doubt::Silent),
             Ok(Ok(answer)) => answer,
             Ok(Err(mut e)) => {
                 // The request came back unsent, so it may be sent on a new connection.
                 let unsent = e.take_message().is_some();
-                if unsent && connection.used && !fresh {
+                if unsent && connection.reused && !fresh {
                     fresh = true;
                     continue;
                 }
                 if unsent {
-                    return Tried::NotRun(NotRun::Unreachable(e.into_error().to_string()));
+                    return AttemptOutcome::NotRun(NotRun::Unreachable(e.into_error().to_string()));
                 }
-                return Tried::Doubt(Doubt::Lost);
+                return AttemptOutcome::Doubt(Doubt::Lost);
             }
         };
-        connection.watch.answered();
+        connection.watch.response_started();
         let (parts, body) = answer.into_parts();
         let head = (gw.cfg.dialect.answer)(parts.status, &parts.headers);
         // Failure: an endpoint sends a second, late response on the connection, and it is taken for
         // the response to the next request, from another client. Only the id tells them apart.
         if head.id.as_deref().is_some_and(|id| id != out.id) {
-            return Tried::Doubt(Doubt::Misfit);
+            return AttemptOutcome::Doubt(Doubt::Misfit);
         }
-        gw.limit_heard(&endpoint, sent, head.limit);
+        gw.apply_announced_limit(&endpoint, sent, head.limit);
         if head.not_run {
             let status = parts.status.as_u16();
-            finish(connection, &endpoint, &head, body).await;
-            return Tried::NotRun(NotRun::Refused(status));
+            drain_refusal(connection, &endpoint, &head, body).await;
+            return AttemptOutcome::NotRun(NotRun::Refused(status));
         }
         let sound = head.sealed && !head.encoded && head.id.is_some();
         if parts.status.is_success() && !sound {
-            return Tried::Doubt(Doubt::Spoiled);
+            return AttemptOutcome::Doubt(Doubt::Spoiled);
         }
-        return Tried::Answer(Box::new(Answer {
+        return AttemptOutcome::Answer(Box::new(EndpointResponse {
             parts,
             head,
             body,
             sender: connection.sender,
             watch: connection.watch,
-            place,
+            slot: place,
         }));
     }
 }
 
-fn request(out: &Outgoing<'_>) -> Request<Full<Bytes>> {
+fn build_request(out: &OutgoingRequest<'_>) -> Request<Full<Bytes>> {
     let mut req = Request::new(Full::new(out.body.clone()));
     *req.method_mut() = out.method.clone();
     *req.uri_mut() = out.uri.clone();
@@ -175,16 +175,21 @@
 }
 
 /// Longest wait for the rest of a refusal before its connection is dropped.
-const REFUSAL_REST: Duration = Duration::from_millis(20);
+const REFUSAL_READ_TIMEOUT: Duration = Duration::from_millis(20);
 /// Longest body of a refusal that is read, in bytes.
-const REFUSAL_BYTES: usize = 4_096;
+const MAX_REFUSAL_BYTES: usize = 4_096;
 
 /// Reads the rest of a refusal, so that its connection can be reused.
-async fn finish(connection: Connection, endpoint: &Endpoint, head: &AnswerHead, body: Incoming) {
+async fn drain_refusal(
+    connection: Connection,
+    endpoint: &Endpoint,
+    head: &AnswerHead,
+    body: Incoming,
+) {
     use http_body_util::{BodyExt, Limited};
-    let reading = Limited::new(body, REFUSAL_BYTES).collect();
-    let until = Instant::now() + REFUSAL_REST;
+    let reading = Limited::new(body, MAX_REFUSAL_BYTES).collect();
+    let until = Instant::now() + REFUSAL_READ_TIMEOUT;
     if let Ok(Ok(_)) = timeout_at(until, reading).await {
-        Answer::put_back(connection.sender, connection.watch, endpoint, head);
+        EndpointResponse::release_connection(connection.sender, connection.watch, endpoint, head);
     }
 }
--- a/crates/anvil_gateway/src/tries.rs
+++ b/crates/anvil_gateway/src/attempt_counter.rs
@@ -8,34 +8,34 @@
 
 use anvil_world::prelude::*;
 
-use crate::attempt::{ANOTHER_HAS_IT, NotRun, Tried};
+use crate::attempt::{AttemptOutcome, MISDIRECTED_STATUS, NotRun};
 
 /// Maximum number of missing endpoints per request. Each takes up to the connect timeout; after
 /// four in a row the client's own retry is the better choice.
-const MOST_GONE: u32 = 4;
+const MAX_MISSING_ENDPOINTS: u32 = 4;
 
 /// The attempts of one request so far.
 #[derive(Debug, Default)]
-pub struct Tries {
+pub struct AttemptCounter {
     endpoints: Vec<InstanceId>,
-    used: u32,
-    gone: u32,
-    arrived: bool,
+    counted: u32,
+    missing: u32,
+    was_received: bool,
 }
 
-impl Tries {
+impl AttemptCounter {
     /// Records the outcome of an attempt at an endpoint.
-    pub fn note(&mut self, endpoint: InstanceId, tried: &Tried) {
+    pub fn record(&mut self, endpoint: InstanceId, tried: &AttemptOutcome) {
         self.endpoints.push(endpoint);
         match tried {
-            Tried::NotRun(NotRun::Unreachable(_)) => self.gone += 1,
-            Tried::NotRun(NotRun::Refused(ANOTHER_HAS_IT)) => {
-                self.gone += 1;
-                self.arrived = true;
+            AttemptOutcome::NotRun(NotRun::Unreachable(_)) => self.missing += 1,
+            AttemptOutcome::NotRun(NotRun::Refused(MISDIRECTED_STATUS)) => {
+                self.missing += 1;
+                self.was_received = true;
             }
-            Tried::NotRun(_) | Tried::Doubt(_) | Tried::Answer(_) => {
-                self.used += 1;
-                self.arrived = true;
+            AttemptOutcome::NotRun(_) | AttemptOutcome::Doubt(_) | AttemptOutcome::Answer(_) => {
+                self.counted += 1;
+                self.was_received = true;
             }
         }
     }
@@ -47,27 +47,27 @@
 
     /// Whether any endpoint has received the request; further ones then count against the retry
     /// budget.
-    pub fn arrived(&self) -> bool {
-        self.arrived
+    pub fn was_received(&self) -> bool {
+        self.was_received
     }
 
     /// Whether no attempt has reached the endpoint it was meant for.
-    pub fn found_nobody(&self) -> bool {
-        self.used == 0
+    pub fn reached_none(&self) -> bool {
+        self.counted == 0
     }
 
     /// Resets the count of missing endpoints after the list has been updated.
-    pub fn forget_gone(&mut self) {
-        self.gone = 0;
+    pub fn reset_missing(&mut self) {
+        self.missing = 0;
     }
 
     /// Whether another attempt is allowed if `attempts` endpoints may receive the request.
-    pub fn may_go_on(&self, attempts: u32) -> bool {
-        self.used < attempts && self.gone < MOST_GONE
+    pub fn may_continue(&self, attempts: u32) -> bool {
+        self.counted < attempts && self.missing < MAX_MISSING_ENDPOINTS
     }
 
     /// Whether the next attempt is the last one allowed.
     pub fn is_last(&self, attempts: u32) -> bool {
-        self.used + 1 >= attempts
+        self.counted + 1 >= attempts
     }
 }
--- a/crates/anvil_gateway/src/arrival.rs
+++ b/crates/anvil_gateway/src/availability.rs
@@ -16,40 +16,44 @@
 
 /// Time in which a started process receives a routing table. Processes that start together come up
 /// within 0.3 s of each other and elect a leader within 0.3 s; a lost SYN takes 0.25 s.
-const STARTS_WITHIN: Duration = Duration::from_secs(1);
+const STARTUP_TIME: Duration = Duration::from_secs(1);
 /// Time, beyond the list's lag, in which a wrong list has been read twice: the first reading may
 /// still lack the new incarnations.
-const READ_WITHIN: Duration = Duration::from_millis(700);
+const LIST_REREAD_TIME: Duration = Duration::from_millis(700);
 /// A request waits for at most this part of its remaining time, as a divisor, so that a client that
 /// is refused in the end can still retry.
-const PART_OF_PATIENCE: u32 = 4;
+const MAX_WAIT_DIVISOR: u32 = 4;
 
 /// Longest wait for a routing table, by the age of the process.
-pub fn for_start(age: Now, patience: Duration) -> Duration {
-    let expected = STARTS_WITHIN.saturating_sub(age);
-    expected.min(patience / PART_OF_PATIENCE)
+pub fn startup_wait(age: Now, patience: Duration) -> Duration {
+    let expected = STARTUP_TIME.saturating_sub(age);
+    expected.min(patience / MAX_WAIT_DIVISOR)
 }
 
 /// Longest wait for endpoints while the list is known to be wrong.
-pub fn for_endpoints(lag: Duration, left: Duration) -> Duration {
-    let expected = lag + READ_WITHIN;
-    expected.min(left / PART_OF_PATIENCE)
+pub fn endpoints_wait(lag: Duration, left: Duration) -> Duration {
+    let expected = lag + LIST_REREAD_TIME;
+    expected.min(left / MAX_WAIT_DIVISOR)
 }
 
 /// Waits until `f` returns a value, for at most this time.
-pub async fn wait<T>(gw: &Gateway, most: Duration, f: impl Fn() -> Option<T>) -> Option<T> {
+pub async fn wait_until_available<T>(
+    gw: &Gateway,
+    most: Duration,
+    f: impl Fn() -> Option<T>,
+) -> Option<T> {
     if let Some(found) = f() {
         return Some(found);
     }
     let begun = Instant::now();
-    let found = wait_for(gw, begun + most, f).await;
-    gw.metrics.time(metrics::ARRIVAL_WAIT, begun.elapsed());
+    let found = poll_until(gw, begun + most, f).await;
+    gw.metrics.time(metrics::AVAILABILITY_WAIT, begun.elapsed());
     found
 }
 
-async fn wait_for<T>(gw: &Gateway, until: Instant, f: impl Fn() -> Option<T>) -> Option<T> {
+async fn poll_until<T>(gw: &Gateway, until: Instant, f: impl Fn() -> Option<T>) -> Option<T> {
     loop {
-        let news = gw.news.notified();
+        let news = gw.state_changed.notified();
         tokio::pin!(news);
         // Registers before the check, so that a change between the two is not missed.
         news.as_mut().enable();
--- a/crates/anvil_gateway/src/choose.rs
+++ b/crates/anvil_gateway/src/choose.rs
@@ -9,22 +9,22 @@
 use anvil_policy::rate_share::Clocks;
 use anvil_world::prelude::*;
 
-use crate::endpoint::{Endpoint, Place};
+use crate::endpoint::{Endpoint, EndpointSlot};
 use crate::gateway::Gateway;
 use crate::table::Route;
 
 /// The selected endpoint, and the data behind the decision.
-pub struct Chosen {
+pub struct Selection {
     /// The slot taken at the endpoint.
-    pub place: Place,
+    pub slot: EndpointSlot,
     /// Expected time to the first token.
     pub expected: Duration,
     /// Prompt tokens that the endpoint has to process.
-    pub missing: Tokens,
+    pub missing_tokens: Tokens,
     /// The engine from which it copies the prompt's cached prefix.
     pub copy_from: Option<SocketAddr>,
     /// The endpoint's known load and its age, for the trace.
-    pub grounds: String,
+    pub load_summary: String,
 }
 
 /// Why no endpoint was selected.
@@ -40,14 +40,14 @@
 }
 
 /// Expected wait for one more request at a non-engine endpoint whose slots are all in use.
-const WHEN_FULL: Duration = Duration::from_millis(30);
+const FULL_ENDPOINT_WAIT: Duration = Duration::from_millis(30);
 
 /// Cost of a retry after a bad response: about the duration of a non-engine request.
-const NEXT_TRY: Duration = Duration::from_millis(40);
+const RETRY_COST: Duration = Duration::from_millis(40);
 
 impl Gateway {
     /// Selects one of a route's services at random, by weight.
-    pub fn draw_service(&self, route: &Route) -> Option<ServiceId> {
+    pub fn pick_service(&self, route: &Route) -> Option<ServiceId> {
         let total: u32 = route.services.iter().map(|(_, weight)| *weight).sum();
         if total == 0 {
             return None;
@@ -66,64 +66,70 @@
     /// Endpoints that failed recently are used only if no others are left: an attempt there may
     /// still succeed, a refusal can't. Endpoints that announced a limit receive at most this
     /// gateway's share of it.
-    pub fn choose(
+    pub fn select_endpoint(
         &self,
         service: &str,
         prompt: &Prompt<'_>,
         tried: &[InstanceId],
         within: Duration,
-    ) -> Result<Chosen, Unplaced> {
-        let now = self.life.now();
-        let open = self.directory.open(service, tried);
+    ) -> Result<Selection, Unplaced> {
+        let now = self.lifecycle.now();
+        let open = self.directory.available(service, tried);
         let home = home_of(prompt, &open);
-        let weighed = |endpoint| self.weigh(now, prompt, home, endpoint);
-        let all: Vec<Weighed<'_>> = open.iter().map(weighed).collect();
-        let best = self.take_best(now, &all, within)?;
-        let source = self.source(service, prompt, best, &all);
+        let weighed = |endpoint| self.estimate(now, prompt, home, endpoint);
+        let all: Vec<Candidate<'_>> = open.iter().map(weighed).collect();
+        let best = self.reserve_best(now, &all, within)?;
+        let source = self.copy_source(service, prompt, best, &all);
         let missing = source
             .as_ref()
-            .map_or(best.lacking.believed, |source| source.left);
+            .map_or(best.lacking.believed, |source| source.equivalent_tokens);
         let grounds = best.endpoint.load().grounds(now);
-        let place = Place::take(best.endpoint.clone(), now, &self.rule, prompt, missing);
-        Ok(Chosen {
-            place,
-            expected: best.expected,
+        let place = EndpointSlot::take(
+            best.endpoint.clone(),
+            now,
+            &self.engine_rule,
+            prompt,
             missing,
+        );
+        Ok(Selection {
+            slot: place,
+            expected: best.expected,
+            missing_tokens: missing,
             copy_from: source.map(|source| source.addr),
-            grounds,
+            load_summary: grounds,
         })
     }
 
     /// Selects the best candidate that accepts a request now, and counts the request against its
     /// limit.
-    fn take_best<'a>(
+    fn reserve_best<'a>(
         &self,
         now: Now,
-        all: &'a [Weighed<'a>],
+        all: &'a [Candidate<'a>],
         within: Duration,
-    ) -> Result<&'a Weighed<'a>, Unplaced> {
+    ) -> Result<&'a Candidate<'a>, Unplaced> {
         // A clock before the epoch still yields valid time windows.
         let time_of_day = SystemTime::now().duration_since(UNIX_EPOCH);
         let at = Clocks {
             now,
             time_of_day: time_of_day.unwrap_or_default(),
         };
-        let turn = self.turn();
+        let turn = self.share_position();
         let mut taking = Vec::new();
         let mut soonest = None;
         for weighed in all {
-            let wait = weighed.endpoint.opens_in(at, turn);
+            let wait = weighed.endpoint.rate_limit_wait(at, turn);
             soonest = Some(soonest.map_or(wait, |soonest: Duration| soonest.min(wait)));
             if wait.is_zero() {
                 taking.push(weighed);
             }
         }
-        let by_rank = |weighed: &&Weighed<'_>| (weighed.shut, weighed.expected);
+        let by_rank = |weighed: &&Candidate<'_>| (weighed.on_cooldown, weighed.expected);
         while let Some(best) = taking.iter().copied().min_by_key(by_rank) {
             if best.expected > within {
                 return Err(Unplaced::TooLate(best.expected));
             }
-            if best.endpoint.takes_one(at, turn) {
+            if best.endpoint.try_count_request(at, turn) {
                 return Ok(best);
             }
             // A concurrent request took the last one allowed.
@@ -133,93 +139,97 @@
     }
 
     /// The engine to copy the prefix from, if copying is much faster than recomputing it.
-    fn source(
+    fn copy_source(
         &self,
         service: &str,
         prompt: &Prompt<'_>,
-        chosen: &Weighed<'_>,
-        all: &[Weighed<'_>],
-    ) -> Option<Source> {
+        chosen: &Candidate<'_>,
+        all: &[Candidate<'_>],
+    ) -> Option<CopySource> {
         prompt.subject()?;
         let table = self.table.load();
         let engine = table.as_ref()?.services.get(service)?.engine?;
-        let rate = Copying::between(engine.bytes_per_token, engine.link_mbps, &self.rule)?;
-        let others = all.iter().filter(|other| !other.shut);
+        let rate = Copying::between(engine.bytes_per_token, engine.link_mbps, &self.engine_rule)?;
+        let others = all.iter().filter(|other| !other.on_cooldown);
         let others = others.filter(|other| other.endpoint.id != chosen.endpoint.id);
         let others: Vec<_> = others
             .map(|other| (other.endpoint.addr, other.lacking))
             .collect();
         let (addr, there) = copying::source(chosen.lacking, &others)?;
-        Some(Source {
+        Some(CopySource {
             addr,
-            left: rate.as_if_missing(chosen.lacking.believed, there, &self.rule),
+            equivalent_tokens: rate.as_if_missing(
+                chosen.lacking.believed,
+                there,
+                &self.engine_rule,
+            ),
         })
     }
 
-    fn weigh<'a>(
+    fn estimate<'a>(
         &self,
         now: Now,
         prompt: &Prompt<'_>,
         home: Option<u64>,
         endpoint: &'a Arc<Endpoint>,
-    ) -> Weighed<'a> {
+    ) -> Candidate<'a> {
         let load = endpoint.load();
         let far = *endpoint.zone != *self.cfg.zone.id;
         let way = if far {
-            self.rule.other_zone
+            self.engine_rule.other_zone
         } else {
             Duration::ZERO
         };
-        let before = way + load.set_back(NEXT_TRY);
+        let before = way + load.set_back(RETRY_COST);
         let shut = load.is_shut(now);
         if prompt.parts.is_empty() {
             let full = f64::from(load.busy(now)) / f64::from(load.slots(endpoint.slots).max(1));
             let spread = Duration::from_micros(rand::random_range(0..500));
-            return Weighed {
+            return Candidate {
                 endpoint,
-                expected: before + WHEN_FULL.mul_f64(full) + spread,
+                expected: before + FULL_ENDPOINT_WAIT.mul_f64(full) + spread,
                 lacking: Lacking {
                     unsent: 0,
                     believed: 0,
                 },
-                shut,
+                on_cooldown: shut,
             };
         }
         let is_home = prompt
             .subject()
             .is_some_and(|subject| Some(home_rank(subject, &endpoint.id)) == home);
-        let unsent = load.missing(now, &self.rule, prompt, false);
+        let unsent = load.missing(now, &self.engine_rule, prompt, false);
         let believed = if is_home {
-            load.missing(now, &self.rule, prompt, true)
+            load.missing(now, &self.engine_rule, prompt, true)
         } else {
             unsent
         };
-        let expected = load.expected(now, &self.rule, believed, endpoint.slots);
-        Weighed {
+        let expected = load.expected(now, &self.engine_rule, believed, endpoint.slots);
+        Candidate {
             endpoint,
             expected: before + expected,
             lacking: Lacking { unsent, believed },
-            shut,
+            on_cooldown: shut,
         }
     }
 }
 
 /// An endpoint with the estimate for this request.
-struct Weighed<'a> {
+struct Candidate<'a> {
     endpoint: &'a Arc<Endpoint>,
     /// Time to the first token if all missing prompt tokens are processed.
     expected: Duration,
     /// Prompt tokens that are not cached there.
     lacking: Lacking,
     /// Whether it failed recently and is on cooldown.
-    shut: bool,
+    on_cooldown: bool,
 }
 
 /// An engine from which another one copies a cached prefix.
-struct Source {
+struct CopySource {
     addr: SocketAddr,
     /// Tokens whose processing takes as long as copying the prefix and processing the rest.
-    left: Tokens,
+    equivalent_tokens: Tokens,
 }
 
 fn home_of(prompt: &Prompt<'_>, group: &[Arc<Endpoint>]) -> Option<u64> {
--- a/crates/anvil_gateway/src/connection_watch.rs
+++ b/crates/anvil_gateway/src/connection_watch.rs
@@ -26,9 +26,9 @@
 #[derive(Debug)]
 pub struct ConnectionWatch {
     /// Data was received since the last request was sent.
-    heard: AtomicBool,
+    received_data: AtomicBool,
     /// A request was sent and its response has not begun.
-    awaited: AtomicBool,
+    awaiting_response: AtomicBool,
     /// How the connection ended; `None` while it is in use.
     ended: watch::Sender<Option<End>>,
 }
@@ -37,34 +37,34 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum End {
     /// The endpoint closed it and all data was read.
-    Read,
+    Closed,
     /// It was abandoned before its end was seen.
-    Left,
+    Abandoned,
 }
 
 impl ConnectionWatch {
     fn new() -> Arc<Self> {
         Arc::new(Self {
-            heard: AtomicBool::new(false),
-            awaited: AtomicBool::new(false),
+            received_data: AtomicBool::new(false),
+            awaiting_response: AtomicBool::new(false),
             ended: watch::Sender::new(None),
         })
     }
 
     /// Call before a request is sent.
-    pub fn sent(&self) {
-        self.heard.store(false, Ordering::Relaxed);
-        self.awaited.store(true, Ordering::Relaxed);
+    pub fn request_sent(&self) {
+        self.received_data.store(false, Ordering::Relaxed);
+        self.awaiting_response.store(true, Ordering::Relaxed);
     }
 
     /// Call when the response has begun.
-    pub fn answered(&self) {
-        self.awaited.store(false, Ordering::Relaxed);
+    pub fn response_started(&self) {
+        self.awaiting_response.store(false, Ordering::Relaxed);
     }
 
     /// Waits for the end of the connection. Returns whether it is certain that the endpoint had not
     /// begun to respond to the last request.
-    pub async fn ended_unheard(&self) -> bool {
+    pub async fn ended_without_data(&self) -> bool {
         let mut ended = self.ended.subscribe();
         let waiting = ended.wait_for(Option::is_some);
         let end = match timeout(2 * LINGER, waiting).await {
@@ -72,7 +72,7 @@
             // Timed out, or the sender was dropped.
             Err(_) | Ok(Err(_)) => None,
         };
-        end == Some(End::Read) && !self.heard.load(Ordering::Relaxed)
+        end == Some(End::Closed) && !self.received_data.load(Ordering::Relaxed)
     }
 
     fn end(&self, end: End) {
@@ -110,17 +110,17 @@
             return;
         };
         let watch = self.watch.clone();
-        let awaited = watch.awaited.load(Ordering::Relaxed);
+        let awaited = watch.awaiting_response.load(Ordering::Relaxed);
         let Ok(runtime) = tokio::runtime::Handle::try_current() else {
             return;
         };
-        if !awaited || watch.heard.load(Ordering::Relaxed) {
-            watch.end(End::Left);
+        if !awaited || watch.received_data.load(Ordering::Relaxed) {
+            watch.end(End::Abandoned);
             return;
         }
         runtime.spawn(async move {
             let reading = timeout(LINGER, read_to_end(socket, &watch));
-            let end = reading.await.unwrap_or(End::Left);
+            let end = reading.await.unwrap_or(End::Abandoned);
             watch.end(end);
         });
     }
@@ -131,13 +131,13 @@
     let _ = socket.shutdown().await;
     let mut buf = [0; 512];
     match socket.read(&mut buf).await {
-        Ok(0) => End::Read,
+        Ok(0) => End::Closed,
         Ok(_) => {
-            watch.heard.store(true, Ordering::Relaxed);
-            End::Left
+            watch.received_data.store(true, Ordering::Relaxed);
+            End::Abandoned
         }
         // Data received before a reset may be lost.
-        Err(_) => End::Left,
+        Err(_) => End::Abandoned,
     }
 }
 
@@ -150,7 +150,7 @@
         let before = buf.filled().len();
         let polled = self.socket().poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.watch.heard.store(true, Ordering::Relaxed);
+            self.watch.received_data.store(true, Ordering::Relaxed);
         }
         polled
     }
--- a/crates/anvil_gateway/src/crashes.rs
+++ b/crates/anvil_gateway/src/crashes.rs
@@ -12,22 +12,22 @@
 use anvilreel::event;
 use tokio::time::sleep;
 
-use crate::content;
 use crate::endpoint::Endpoint;
 use crate::gateway::Gateway;
 use crate::log_events as events;
 use crate::metrics;
 use crate::pool::ConnectError;
+use crate::request_digest;
 
 /// Pause before the probe, because a process that ends closes its sockets one after the other.
-const LOOK_AFTER: Duration = Duration::from_millis(20);
+const PROBE_DELAY: Duration = Duration::from_millis(20);
 /// Maximum number of request digests in one log line.
-const MOST_NAMED: usize = 16;
+const MAX_LOGGED_DIGESTS: usize = 16;
 
 impl Gateway {
     /// Records that an endpoint lost the response to a request. Ignored if it is leaving, since it
     /// may stop at any time.
-    pub fn lost_at(
+    pub fn record_lost_response(
         self: &Arc<Self>,
         endpoint: &Arc<Endpoint>,
         content: RequestDigest,
@@ -36,37 +36,37 @@
         if endpoint.is_leaving() {
             return;
         }
-        let now = self.life.now();
+        let now = self.lifecycle.now();
         let lost = self.crash_watch().lost(now, &endpoint.id, content, run);
         match lost {
             Lost::Wait => {}
             Lost::Look => {
-                tokio::spawn(look(self.clone(), endpoint.clone()));
+                tokio::spawn(probe(self.clone(), endpoint.clone()));
             }
             Lost::Crashed => {
-                self.crashed_under(&endpoint.id, BTreeMap::from([(content, run)]), None);
+                self.report_crash(&endpoint.id, BTreeMap::from([(content, run)]), None);
             }
         }
     }
 
     /// Records that an endpoint has begun to respond, so it is alive.
-    pub fn endpoint_lives(&self, endpoint: &Endpoint) {
+    pub fn record_endpoint_alive(&self, endpoint: &Endpoint) {
         self.crash_watch().lives(&endpoint.id);
     }
 
     /// Records that an endpoint has answered a request completely.
-    pub fn answered(&self, content: RequestDigest) {
-        self.crash_watch().answered(self.life.now(), content);
-        self.suspects.answered(content);
+    pub fn record_answered(&self, content: RequestDigest) {
+        self.crash_watch().answered(self.lifecycle.now(), content);
+        self.suspects.record_answered(content);
     }
 
     /// Records evidence that an endpoint's process has ended although it was not leaving.
-    pub fn endpoint_crashed(&self, endpoint: &InstanceId, evidence: Evidence) {
-        let contents = self.crash_watch().crashed(self.life.now(), endpoint);
-        self.crashed_under(endpoint, contents, Some(evidence));
+    pub fn record_crash_evidence(&self, endpoint: &InstanceId, evidence: Evidence) {
+        let contents = self.crash_watch().crashed(self.lifecycle.now(), endpoint);
+        self.report_crash(endpoint, contents, Some(evidence));
     }
 
-    fn crashed_under(
+    fn report_crash(
         &self,
         endpoint: &InstanceId,
         contents: BTreeMap<RequestDigest, CrashedRun>,
@@ -76,21 +76,23 @@
             return;
         }
         self.metrics.count(metrics::CRASHES);
-        let named = contents.keys().take(MOST_NAMED);
-        let named: Vec<_> = named.map(|content| content::text(*content)).collect();
+        let named = contents.keys().take(MAX_LOGGED_DIGESTS);
+        let named: Vec<_> = named
+            .map(|content| request_digest::to_hex(*content))
+            .collect();
         event!(
             self.log, events::GATEWAY_ENDPOINT_CRASHED, "endpoint" => &**endpoint,
             "evidence" => evidence.map(|evidence| format!("{evidence:?}")),
             "requests" => contents.len(), "contents" => named.join(" ")
         );
-        if self.suspects.crashed(endpoint, contents) {
-            self.metrics.count(metrics::CRASHES_UNTOLD);
+        if self.suspects.record_crash(endpoint, contents) {
+            self.metrics.count(metrics::CRASHES_UNREPORTED);
         }
     }
 
     /// Whether an endpoint answered a request shortly before.
-    pub fn was_answered(&self, content: RequestDigest) -> bool {
-        let now = self.life.now();
+    pub fn was_recently_answered(&self, content: RequestDigest) -> bool {
+        let now = self.lifecycle.now();
         self.crash_watch().was_answered(now, content)
     }
 
@@ -101,14 +103,14 @@
 }
 
 /// Probes whether an endpoint still listens. The new connection replaces the one that was lost.
-async fn look(gw: Arc<Gateway>, endpoint: Arc<Endpoint>) {
-    sleep(LOOK_AFTER).await;
+async fn probe(gw: Arc<Gateway>, endpoint: Arc<Endpoint>) {
+    sleep(PROBE_DELAY).await;
     match endpoint.pool.connect().await {
         Ok(connection) => endpoint.pool.put(connection.sender, connection.watch, None),
         Err(ConnectError::Refused { source, .. })
             if source.kind() == ErrorKind::ConnectionRefused =>
         {
-            gw.endpoint_crashed(&endpoint.id, Evidence::Refused);
+            gw.record_crash_evidence(&endpoint.id, Evidence::Refused);
         }
         // The endpoint may just be unreachable; the platform's list will show whether it is gone.
         Err(_) => {}
--- a/crates/anvil_gateway/src/directory.rs
+++ b/crates/anvil_gateway/src/directory.rs
@@ -11,18 +11,18 @@
 use crate::endpoint::Endpoint;
 
 /// Endpoints of one service.
-pub type Group = Vec<Arc<Endpoint>>;
+pub type EndpointGroup = Vec<Arc<Endpoint>>;
 
 /// For how long a leaving endpoint is remembered after the list has dropped it: a multiple of the
 /// list's lag. Later the same id may belong to a new incarnation.
-const REMEMBERED: Duration = Duration::from_secs(5);
+const LEAVING_RETENTION: Duration = Duration::from_secs(5);
 
 /// All endpoints by service; replaced as a whole.
 #[derive(Default)]
 pub struct Directory {
-    groups: ArcSwap<BTreeMap<ServiceId, Group>>,
+    groups: ArcSwap<BTreeMap<ServiceId, EndpointGroup>>,
     /// Leaving endpoints, with the time they were last listed so.
-    left: Mutex<BTreeMap<InstanceId, Instant>>,
+    recently_leaving: Mutex<BTreeMap<InstanceId, Instant>>,
     /// By service: number of consecutive endpoints whose address another incarnation has taken
     /// over.
     replaced: Mutex<BTreeMap<ServiceId, usize>>,
@@ -30,20 +30,20 @@
 
 /// Consecutive replaced endpoints from which on the list counts as stale. A single one may just
 /// have crashed.
-const FEWEST_REPLACED: usize = 2;
+const MIN_REPLACED: usize = 2;
 /// The list counts as stale if this part of a service's endpoints, given as a divisor, was found
 /// replaced. Each attempt at a replaced endpoint uses up the retry budget shared by all gateways.
-const REPLACED_PART: usize = 3;
+const REPLACED_DIVISOR: usize = 3;
 
 /// What a new list changed.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Changes {
     /// Endpoints that were added.
-    pub came: Vec<InstanceId>,
+    pub added: Vec<InstanceId>,
     /// Endpoints that accept no new requests from now on.
     pub leaving: Vec<InstanceId>,
     /// Endpoints that are no longer listed.
-    pub gone: Vec<InstanceId>,
+    pub removed: Vec<InstanceId>,
     /// Of these, the ones that had not been leaving.
     pub vanished: Vec<InstanceId>,
 }
@@ -51,13 +51,13 @@
 impl Changes {
     /// Whether the list changed nothing.
     pub fn is_empty(&self) -> bool {
-        self.came.is_empty() && self.leaving.is_empty() && self.gone.is_empty()
+        self.added.is_empty() && self.leaving.is_empty() && self.removed.is_empty()
     }
 }
 
 impl Directory {
     /// The endpoints of a service.
-    pub fn group(&self, service: &str) -> Group {
+    pub fn endpoints_of(&self, service: &str) -> EndpointGroup {
         let groups = self.groups.load();
         groups.get(service).cloned().unwrap_or_default()
     }
@@ -77,22 +77,22 @@
 
     /// The endpoints of a service that accept requests, without those in `tried`. Empty while the
     /// list is stale.
-    pub fn open(&self, service: &str, tried: &[InstanceId]) -> Group {
-        if self.is_old(service) {
-            return Group::new();
+    pub fn available(&self, service: &str, tried: &[InstanceId]) -> EndpointGroup {
+        if self.is_stale(service) {
+            return EndpointGroup::new();
         }
-        let mut group = self.group(service);
+        let mut group = self.endpoints_of(service);
         group.retain(|endpoint| !endpoint.is_leaving() && !tried.contains(&endpoint.id));
         group
     }
 
     /// Records that another incarnation answers at the address of a listed endpoint.
-    pub fn found_replaced(&self, service: &ServiceId) {
+    pub fn record_replaced(&self, service: &ServiceId) {
         *self.replaced().entry(service.clone()).or_default() += 1;
     }
 
     /// Records that a listed endpoint answered under its listed id.
-    pub fn found_right(&self, service: &str) {
+    pub fn record_match(&self, service: &str) {
         self.replaced().remove(service);
     }
 
@@ -101,10 +101,10 @@
     /// Failure: all endpoints lose power and return before the list names their new incarnations.
     /// Without this check each request finds one endpoint after the other replaced until its
     /// attempts are used up, and is refused although the list becomes correct a moment later.
-    pub fn is_old(&self, service: &str) -> bool {
+    pub fn is_stale(&self, service: &str) -> bool {
         let replaced = self.replaced().get(service).copied().unwrap_or_default();
         let listed = self.groups.load().get(service).map_or(0, Vec::len);
-        replaced >= FEWEST_REPLACED && replaced * REPLACED_PART >= listed
+        replaced >= MIN_REPLACED && replaced * REPLACED_DIVISOR >= listed
     }
 
     fn replaced(&self) -> MutexGuard<'_, BTreeMap<ServiceId, usize>> {
@@ -118,7 +118,7 @@
     }
 
     /// Number of endpoints that accept requests, and how many of these are on cooldown.
-    pub fn count(&self, now: Now) -> (u64, u64) {
+    pub fn count_available(&self, now: Now) -> (u64, u64) {
         let groups = self.groups.load();
         let all = groups.values().flatten();
         let open: Vec<_> = all.filter(|endpoint| !endpoint.is_leaving()).collect();
@@ -128,29 +128,32 @@
 
     /// Applies a complete list. An endpoint with the same id, address and service keeps its
     /// connections and statistics; endpoints that are not listed receive no new requests.
-    pub fn take(&self, list: &[Listed]) -> Changes {
+    pub fn apply_list(&self, list: &[Listed]) -> Changes {
         let old = self.groups.load();
         let mut known: BTreeMap<&InstanceId, &Arc<Endpoint>> = BTreeMap::new();
         for endpoint in old.values().flatten() {
             known.insert(&endpoint.id, endpoint);
         }
         // Sound after a panic elsewhere: each entry is valid by itself.
-        let mut left = self.left.lock().unwrap_or_else(PoisonError::into_inner);
-        left.retain(|_, at| at.elapsed() < REMEMBERED);
+        let mut left = self
+            .recently_leaving
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        left.retain(|_, at| at.elapsed() < LEAVING_RETENTION);
         let mut changes = Changes::default();
-        let mut groups: BTreeMap<ServiceId, Group> = BTreeMap::new();
+        let mut groups: BTreeMap<ServiceId, EndpointGroup> = BTreeMap::new();
         for listed in list {
             let same = known.remove(&listed.id).filter(|endpoint| {
                 endpoint.addr == listed.addr && endpoint.service == listed.service
             });
             let endpoint = same.cloned().unwrap_or_else(|| {
-                changes.came.push(listed.id.clone());
+                changes.added.push(listed.id.clone());
                 Arc::new(Endpoint::new(listed))
             });
             // Failure: a lagging list names an endpoint as ready that an earlier list had as
             // leaving or no longer had, so it would receive requests just before it stops.
             let leaves = listed.leaving || left.contains_key(&listed.id);
-            if leaves && endpoint.leave() {
+            if leaves && endpoint.mark_leaving() {
                 changes.leaving.push(listed.id.clone());
             }
             if listed.leaving {
@@ -162,11 +165,11 @@
                 .push(endpoint);
         }
         for (id, endpoint) in known {
-            if endpoint.leave() {
+            if endpoint.mark_leaving() {
                 changes.vanished.push(id.clone());
             }
             endpoint.pool.clear();
-            changes.gone.push(id.clone());
+            changes.removed.push(id.clone());
         }
         if !changes.is_empty() {
             self.groups.store(Arc::new(groups));
--- a/crates/anvil_gateway/src/discovery.rs
+++ b/crates/anvil_gateway/src/discovery.rs
@@ -15,29 +15,28 @@
 use tokio::time::{sleep, timeout};
 
 use crate::gateway::Gateway;
+use crate::list_cache::Moment;
 use crate::list_reader::ListReader;
-use crate::listing::Moment;
 use crate::log_events as events;
 use crate::metrics;
 
 /// Bounds of the pause before a list that proved wrong is read again; up to half as much is added
 /// at random. The list lags by less than a second, and a gateway with a wrong list can serve nobody
 /// in the meantime.
-const DOUBTED_AFTER: (Duration, Duration) =
-    (Duration::from_millis(250), Duration::from_millis(500));
+const REREAD_PAUSE: (Duration, Duration) = (Duration::from_millis(250), Duration::from_millis(500));
 /// Fraction of the platform's call rate that is used if all gateways read at once.
-const RATE_PART: f64 = 0.8;
+const LIST_RATE_FRACTION: f64 = 0.8;
 /// Pause after a failed reading.
-const AGAIN: Duration = Duration::from_millis(400);
+const FAILED_READ_PAUSE: Duration = Duration::from_millis(400);
 /// Time allowed for a sibling's reply to arrive.
-const ON_THE_WAY: Duration = Duration::from_millis(50);
+const TRANSIT_TIME: Duration = Duration::from_millis(50);
 
 /// State kept between two readings.
 #[derive(Default)]
 struct Discovery {
     reader: ListReader,
     /// Whether the last reading failed.
-    lost: bool,
+    last_read_failed: bool,
     /// The gateway that the last list came from; `None` before the first list.
     source: Option<InstanceId>,
 }
@@ -47,15 +46,15 @@
     let ages = ListAges::within(gw.cfg.list_within);
     let mut discovery = Discovery::default();
     loop {
-        let order = gw.siblings.order(gw.life.now());
-        let age = gw.listings.age();
+        let order = gw.siblings.reading_order(gw.lifecycle.now());
+        let age = gw.list_cache.age();
         match next_step(&gw.cfg.id, &order, &ages, age, rand::random()) {
             Step::Read(at) => {
-                until_due(gw, at.saturating_sub(age)).await;
-                discovery.read(gw).await;
+                wait_until_due(gw, at.saturating_sub(age)).await;
+                discovery.read_from_platform(gw).await;
             }
             Step::Ask(sibling, until) => {
-                discovery.ask(gw, sibling, until).await;
+                discovery.request_from_sibling(gw, sibling, until).await;
             }
         }
     }
@@ -66,12 +65,12 @@
 /// Failure: all endpoints lose power and return within a second as new incarnations. Without the
 /// early wake-up, a gateway that has just read the list has no usable endpoint until the list is
 /// due again.
-async fn until_due(gw: &Gateway, due: Duration) {
+async fn wait_until_due(gw: &Gateway, due: Duration) {
     let doubted = async {
-        pause_in_doubt(gw).await;
+        pause_before_reread(gw).await;
         tokio::select! {
-            () = gw.list_doubted.notified() => {}
-            () = gw.read_wanted.notified() => {}
+            () = gw.list_mismatch.notified() => {}
+            () = gw.list_read_requested.notified() => {}
         }
     };
     // The list is read next in either case.
@@ -80,72 +79,72 @@
 
 /// Pause before a wrong list is read again, long enough to keep all gateways together within the
 /// platform's call rate.
-async fn pause_in_doubt(gw: &Gateway) {
+async fn pause_before_reread(gw: &Gateway) {
     let gateways = f64::from(gw.gateways.load(Ordering::Relaxed));
-    let pause = gateways / (RATE_PART * gw.cfg.list.calls_per_second);
-    let pause = Duration::try_from_secs_f64(pause).unwrap_or(DOUBTED_AFTER.1);
-    let pause = pause.clamp(DOUBTED_AFTER.0, DOUBTED_AFTER.1);
+    let pause = gateways / (LIST_RATE_FRACTION * gw.cfg.list.calls_per_second);
+    let pause = Duration::try_from_secs_f64(pause).unwrap_or(REREAD_PAUSE.1);
+    let pause = pause.clamp(REREAD_PAUSE.0, REREAD_PAUSE.1);
     sleep(pause.mul_f64(rand::random_range(1.0..1.5))).await;
 }
 
 impl Discovery {
-    async fn read(&mut self, gw: &Gateway) {
+    async fn read_from_platform(&mut self, gw: &Gateway) {
         let begun = Moment::now();
         gw.metrics.count(metrics::LIST_READ);
-        match self.reader.list(&gw.cfg.list).await {
+        match self.reader.read_list(&gw.cfg.list).await {
             Ok((listed, unreadable)) => {
-                if self.lost {
+                if self.last_read_failed {
                     event!(gw.log, events::GATEWAY_LIST_BACK);
                 }
-                self.lost = false;
-                gw.listings.read(begun, listed);
-                self.came_from(gw, &gw.cfg.id);
-                take(gw, unreadable);
+                self.last_read_failed = false;
+                gw.list_cache.store_reading(begun, listed);
+                self.record_source(gw, &gw.cfg.id);
+                apply_newest(gw, unreadable);
             }
             Err(e) => {
-                if !self.lost {
+                if !self.last_read_failed {
                     event!(gw.log, events::GATEWAY_LIST_LOST, "error" => e.to_string());
                 }
-                self.lost = true;
+                self.last_read_failed = true;
                 // A sibling may still reach the platform.
-                gw.siblings.pass_over(&gw.cfg.id, gw.life.now());
-                sleep(AGAIN).await;
+                gw.siblings.skip(&gw.cfg.id, gw.lifecycle.now());
+                sleep(FAILED_READ_PAUSE).await;
             }
         }
     }
 
     /// Requests a newer list from a sibling. A sibling that has none by the time the cached list is
     /// due is skipped for a while.
-    async fn ask(&mut self, gw: &Gateway, sibling: &InstanceId, until: Duration) {
-        let waiting = ask_for(gw, sibling, gw.listings.age() / 2, until);
+    async fn request_from_sibling(&mut self, gw: &Gateway, sibling: &InstanceId, until: Duration) {
+        let waiting = request_list(gw, sibling, gw.list_cache.age() / 2, until);
         let doubted = async {
-            pause_in_doubt(gw).await;
+            pause_before_reread(gw).await;
             tokio::select! {
-                () = gw.list_doubted.notified() => false,
-                () = gw.read_wanted.notified() => true,
+                () = gw.list_mismatch.notified() => false,
+                () = gw.list_read_requested.notified() => true,
             }
         };
         let told = tokio::select! {
             told = waiting => told,
             is_wanted = doubted => {
                 if is_wanted {
-                    return self.read(gw).await;
+                    return self.read_from_platform(gw).await;
                 }
-                ask_for(gw, sibling, Duration::ZERO, until).await
+                request_list(gw, sibling, Duration::ZERO, until).await
             }
         };
         match told {
             Ok(true) => {
-                gw.metrics.count(metrics::LIST_TOLD);
-                self.came_from(gw, sibling);
-                take(gw, 0);
+                gw.metrics.count(metrics::LIST_FROM_SIBLING);
+                self.record_source(gw, sibling);
+                apply_newest(gw, 0);
             }
-            Ok(false) => pass_over(gw, sibling, "nothing newer"),
-            Err(e) => pass_over(gw, sibling, &e.to_string()),
+            Ok(false) => skip_sibling(gw, sibling, "nothing newer"),
+            Err(e) => skip_sibling(gw, sibling, &e.to_string()),
         }
     }
 
-    fn came_from(&mut self, gw: &Gateway, source: &InstanceId) {
+    fn record_source(&mut self, gw: &Gateway, source: &InstanceId) {
         if self.source.as_ref() != Some(source) {
             event!(gw.log, events::GATEWAY_LIST_SOURCE, "from" => source.to_string());
             self.source = Some(source.clone());
@@ -155,26 +154,26 @@
 
 /// Requests the list from a sibling until the cached list reaches the age `until`. Returns whether
 /// the reply is newer.
-async fn ask_for(
+async fn request_list(
     gw: &Gateway,
     sibling: &InstanceId,
     read_within: Duration,
     until: Duration,
 ) -> Result<bool, WireError> {
-    let within = until.saturating_sub(gw.listings.age());
+    let within = until.saturating_sub(gw.list_cache.age());
     let channel = gw.siblings.channel(sibling).ok_or(WireError::Ended)?;
     let asked = Moment::now();
     let ask = ListAsk {
-        have: gw.listings.version(),
+        have: gw.list_cache.version(),
         read_within,
-        wait: within.saturating_sub(ON_THE_WAY),
+        wait: within.saturating_sub(TRANSIT_TIME),
     };
     let reply: ListReply = channel.call::<ListCall>(&ask, within).await?;
-    Ok(gw.listings.told(asked, reply))
+    Ok(gw.list_cache.apply_reply(asked, reply))
 }
 
-fn pass_over(gw: &Gateway, sibling: &InstanceId, why: &str) {
-    gw.siblings.pass_over(sibling, gw.life.now());
+fn skip_sibling(gw: &Gateway, sibling: &InstanceId, why: &str) {
+    gw.siblings.skip(sibling, gw.lifecycle.now());
     event!(
         gw.log, events::GATEWAY_SIBLING_PASSED_OVER,
         "sibling" => sibling.to_string(), "why" => why
@@ -182,22 +181,22 @@
 }
 
 /// Applies the newest list to the directory.
-fn take(gw: &Gateway, unreadable: u32) {
-    let Some(listing) = gw.listings.newest() else {
+fn apply_newest(gw: &Gateway, unreadable: u32) {
+    let Some(listing) = gw.list_cache.newest() else {
         return;
     };
     let listed: Vec<Listed> = listing.endpoints().cloned().collect();
-    let changes = gw.directory.take(&listed);
+    let changes = gw.directory.apply_list(&listed);
     for endpoint in &changes.vanished {
-        gw.endpoint_crashed(endpoint, Evidence::Unlisted);
+        gw.record_crash_evidence(endpoint, Evidence::Unlisted);
     }
-    gw.limits_of_new(&changes.came);
+    gw.apply_limits_to_added(&changes.added);
     if !changes.is_empty() {
-        gw.news.notify_waiters();
+        gw.state_changed.notify_waiters();
         event!(
             gw.log, events::GATEWAY_ENDPOINTS_CHANGED, "listed" => listed.len(),
-            "unreadable" => unreadable, "came" => format!("{:?}", changes.came),
-            "leaving" => format!("{:?}", changes.leaving), "gone" => format!("{:?}", changes.gone)
+            "unreadable" => unreadable, "came" => format!("{:?}", changes.added),
+            "leaving" => format!("{:?}", changes.leaving), "gone" => format!("{:?}", changes.removed)
         );
     }
 }
--- a/crates/anvil_gateway/src/endpoint.rs
+++ b/crates/anvil_gateway/src/endpoint.rs
@@ -14,7 +14,7 @@
 
 use crate::dialect::Load;
 use crate::log_events as events;
-use crate::pool::Pool;
+use crate::pool::ConnectionPool;
 
 /// One incarnation of an endpoint.
 pub struct Endpoint {
@@ -29,7 +29,7 @@
     /// Requests that it runs concurrently, as listed.
     pub slots: u32,
     /// Connections to it.
-    pub pool: Pool,
+    pub pool: ConnectionPool,
     leaving: AtomicBool,
     load: Mutex<EndpointLoad>,
     rate_share: Mutex<RateShare>,
@@ -44,7 +44,7 @@
             addr: listed.addr,
             zone: listed.zone.clone(),
             slots: listed.slots,
-            pool: Pool::new(listed.addr),
+            pool: ConnectionPool::new(listed.addr),
             leaving: AtomicBool::new(listed.leaving),
             load: Mutex::default(),
             rate_share: Mutex::default(),
@@ -58,7 +58,7 @@
 
     /// Marks it as leaving. Returns whether that is new. An incarnation never becomes ready again,
     /// so a lagging list can't remove the mark.
-    pub fn leave(&self) -> bool {
+    pub fn mark_leaving(&self) -> bool {
         !self.leaving.swap(true, Ordering::Relaxed)
     }
 
@@ -74,14 +74,20 @@
     }
 
     /// Applies the limit announced in the response to a request sent at `sent`, or its absence.
-    pub fn limit_heard(&self, now: Now, sent: Now, word: Option<RateLimit>, log: &Logger) {
+    pub fn apply_announced_limit(
+        &self,
+        now: Now,
+        sent: Now,
+        word: Option<RateLimit>,
+        log: &Logger,
+    ) {
         if self.rate_share().heard(now, sent, word) {
             self.log_limit("heard", log);
         }
     }
 
     /// Applies the limit reported by the ledger, or its end.
-    pub fn limit_told(&self, now: Now, limit: Option<RateLimit>, log: &Logger) {
+    pub fn apply_reported_limit(&self, now: Now, limit: Option<RateLimit>, log: &Logger) {
         if self.rate_share().told(now, limit) {
             self.log_limit("told", log);
         }
@@ -101,12 +107,12 @@
     }
 
     /// Time until the limit allows another request; zero if it does now.
-    pub fn opens_in(&self, at: Clocks, turn: Turn) -> Duration {
+    pub fn rate_limit_wait(&self, at: Clocks, turn: Turn) -> Duration {
         self.rate_share().opens_in(at, turn)
     }
 
     /// Counts a request that is about to be sent. Returns false if the limit does not allow it.
-    pub fn takes_one(&self, at: Clocks, turn: Turn) -> bool {
+    pub fn try_count_request(&self, at: Clocks, turn: Turn) -> bool {
         self.rate_share().send(at, turn)
     }
 
@@ -118,7 +124,7 @@
     }
 
     /// Records a failed request and puts the endpoint on cooldown.
-    pub fn failed(&self, now: Now, log: &Logger, why: &str) {
+    pub fn record_failure(&self, now: Now, log: &Logger, why: &str) {
         let mut load = self.load();
         let was_shut = load.is_shut(now);
         load.failed(now);
@@ -131,20 +137,20 @@
     }
 
     /// Applies the load that the endpoint reports.
-    pub fn heard(&self, now: Now, load: &Load) {
+    pub fn apply_load(&self, now: Now, load: &Load) {
         self.load()
             .heard(now, load.running, load.waiting, load.slots);
     }
 }
 
 /// A slot at an endpoint, held by one request and released on drop.
-pub struct Place {
+pub struct EndpointSlot {
     /// The endpoint.
     pub endpoint: Arc<Endpoint>,
-    unread: Tokens,
+    unprocessed_tokens: Tokens,
 }
 
-impl Place {
+impl EndpointSlot {
     /// Takes a slot.
     pub fn take(
         endpoint: Arc<Endpoint>,
@@ -154,19 +160,22 @@
         unread: Tokens,
     ) -> Self {
         endpoint.load().start(now, rule, prompt, unread);
-        Self { endpoint, unread }
+        Self {
+            endpoint,
+            unprocessed_tokens: unread,
+        }
     }
 
     /// Records that the response has begun, so the prompt has been processed.
-    pub fn answered(&mut self) {
-        let unread = std::mem::take(&mut self.unread);
+    pub fn response_started(&mut self) {
+        let unread = std::mem::take(&mut self.unprocessed_tokens);
         self.endpoint.load().read(unread);
     }
 }
 
-impl Drop for Place {
+impl Drop for EndpointSlot {
     fn drop(&mut self) {
-        self.answered();
+        self.response_started();
         self.endpoint.load().end();
     }
 }
--- a/crates/anvil_gateway/src/endpoint_limits.rs
+++ b/crates/anvil_gateway/src/endpoint_limits.rs
@@ -21,39 +21,39 @@
 use crate::reports;
 
 /// Age from which on the ledger's record of a limit is refreshed, so that it does not expire.
-const TOLD_AGAIN: Duration = Duration::from_mins(2);
+const REPORT_REFRESH_AFTER: Duration = Duration::from_mins(2);
 
 /// Limits learned from the ledger, and those still to be reported.
 #[derive(Default)]
 pub struct EndpointLimits {
-    told: ArcSwap<BTreeMap<InstanceId, EndpointLimit>>,
+    from_ledger: ArcSwap<BTreeMap<InstanceId, EndpointLimit>>,
     /// Limits that the ledger has not accepted yet; the latest one of each endpoint.
-    untold: Mutex<BTreeMap<InstanceId, Option<RateLimit>>>,
-    wanted: Notify,
+    pending: Mutex<BTreeMap<InstanceId, Option<RateLimit>>>,
+    report_wanted: Notify,
 }
 
 impl EndpointLimits {
-    fn untold(&self) -> MutexGuard<'_, BTreeMap<InstanceId, Option<RateLimit>>> {
+    fn pending(&self) -> MutexGuard<'_, BTreeMap<InstanceId, Option<RateLimit>>> {
         // Sound after a panic elsewhere: each entry is valid by itself.
-        self.untold.lock().unwrap_or_else(PoisonError::into_inner)
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn tell(&self, endpoint: &InstanceId, limit: Option<RateLimit>) {
-        self.untold().insert(endpoint.clone(), limit);
-        self.wanted.notify_one();
+    fn queue_report(&self, endpoint: &InstanceId, limit: Option<RateLimit>) {
+        self.pending().insert(endpoint.clone(), limit);
+        self.report_wanted.notify_one();
     }
 
-    fn is_told(&self, endpoint: &InstanceId, limit: Option<RateLimit>) -> bool {
-        let told = self.told.load();
+    fn is_known_to_ledger(&self, endpoint: &InstanceId, limit: Option<RateLimit>) -> bool {
+        let told = self.from_ledger.load();
         let Some(told) = told.get(endpoint) else {
             return limit.is_none();
         };
         let age = SystemTime::now().duration_since(told.at);
-        limit == Some(told.limit) && age.unwrap_or_default() < TOLD_AGAIN
+        limit == Some(told.limit) && age.unwrap_or_default() < REPORT_REFRESH_AFTER
     }
 
     fn next_report(&self) -> Option<Command> {
-        let untold = self.untold();
+        let untold = self.pending();
         let (endpoint, limit) = untold.first_key_value()?;
         Some(Command::ReportLimit(ReportLimit {
             endpoint: endpoint.clone(),
@@ -63,11 +63,11 @@
         }))
     }
 
-    fn was_taken(&self, report: &Command) {
+    fn mark_accepted(&self, report: &Command) {
         let Command::ReportLimit(taken) = report else {
             return;
         };
-        let mut untold = self.untold();
+        let mut untold = self.pending();
         // The endpoint may have announced another limit in the meantime.
         if untold.get(&taken.endpoint) == Some(&taken.limit) {
             untold.remove(&taken.endpoint);
@@ -77,28 +77,30 @@
 
 impl Gateway {
     /// Applies the limit in a response to a request that was sent at `sent`.
-    pub fn limit_heard(&self, endpoint: &Endpoint, sent: Now, word: AnnouncedLimit) {
+    pub fn apply_announced_limit(&self, endpoint: &Endpoint, sent: Now, word: AnnouncedLimit) {
         let word = match word {
             AnnouncedLimit::None => None,
             AnnouncedLimit::Rate(limit) => Some(limit),
             // The previous limit stays in force.
             AnnouncedLimit::Unreadable => return self.metrics.count(metrics::LIMITS_UNREADABLE),
         };
-        endpoint.limit_heard(self.life.now(), sent, word, &self.log);
+        endpoint.apply_announced_limit(self.lifecycle.now(), sent, word, &self.log);
         let limit = endpoint.limit();
         let heard_so = limit == word;
-        if heard_so && !self.endpoint_limits.is_told(&endpoint.id, limit) {
-            self.endpoint_limits.tell(&endpoint.id, limit);
+        if heard_so && !self.endpoint_limits.is_known_to_ledger(&endpoint.id, limit) {
+            self.endpoint_limits.queue_report(&endpoint.id, limit);
         }
     }
 
     /// Applies the limits reported by the ledger.
-    pub fn take_limits(&self, told: &BTreeMap<InstanceId, EndpointLimit>) {
-        let before = self.endpoint_limits.told.load_full();
+    pub fn apply_ledger_limits(&self, told: &BTreeMap<InstanceId, EndpointLimit>) {
+        let before = self.endpoint_limits.from_ledger.load_full();
         if *before == *told {
             return;
         }
-        self.endpoint_limits.told.store(Arc::new(told.clone()));
+        self.endpoint_limits
+            .from_ledger
+            .store(Arc::new(told.clone()));
         let limit_of = |all: &BTreeMap<InstanceId, EndpointLimit>, endpoint: &InstanceId| {
             all.get(endpoint).map(|told| told.limit)
         };
@@ -106,24 +108,24 @@
         for endpoint in all {
             let limit = limit_of(told, endpoint);
             if limit != limit_of(&before, endpoint) {
-                self.limit_told(endpoint, limit);
+                self.apply_ledger_limit(endpoint, limit);
             }
         }
     }
 
     /// Applies the ledger's limits to endpoints that have just been listed.
-    pub fn limits_of_new(&self, came: &[InstanceId]) {
-        let told = self.endpoint_limits.told.load();
+    pub fn apply_limits_to_added(&self, came: &[InstanceId]) {
+        let told = self.endpoint_limits.from_ledger.load();
         for endpoint in came {
             if let Some(limit) = told.get(endpoint) {
-                self.limit_told(endpoint, Some(limit.limit));
+                self.apply_ledger_limit(endpoint, Some(limit.limit));
             }
         }
     }
 
-    fn limit_told(&self, endpoint: &InstanceId, limit: Option<RateLimit>) {
+    fn apply_ledger_limit(&self, endpoint: &InstanceId, limit: Option<RateLimit>) {
         if let Some(endpoint) = self.directory.find(endpoint) {
-            endpoint.limit_told(self.life.now(), limit, &self.log);
+            endpoint.apply_reported_limit(self.lifecycle.now(), limit, &self.log);
         }
     }
 }
@@ -132,6 +134,6 @@
 pub async fn run(gw: &Gateway) {
     let limits = &gw.endpoint_limits;
     let next = || limits.next_report();
-    let taken = |report: &Command| limits.was_taken(report);
-    reports::run(gw, &limits.wanted, next, taken).await;
+    let taken = |report: &Command| limits.mark_accepted(report);
+    reports::run(gw, &limits.report_wanted, next, taken).await;
 }
--- a/crates/anvil_gateway/src/exchange.rs
+++ b/crates/anvil_gateway/src/exchange.rs
@@ -1,6 +1,6 @@
 //! One admitted request: attempts at endpoints until one responds, then its response up to the end.
 
-mod learning;
+mod outcome;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,36 +14,37 @@
 use http_body_util::{BodyExt, Limited};
 use tokio::time::{Instant, timeout_at};
 
-use crate::arrival;
-use crate::attempt::{Answer, Doubt, NotRun, Outgoing, Tried, send};
+use crate::attempt::{AttemptOutcome, Doubt, EndpointResponse, NotRun, OutgoingRequest, send};
+use crate::attempt_counter::AttemptCounter;
+use crate::availability;
 use crate::choose::Unplaced;
 use crate::connection_watch::ConnectionWatch;
 use crate::dialect::{Ask, Onward};
 use crate::gateway::Gateway;
 use crate::log_events as events;
 use crate::metrics;
-use crate::money::Spend;
-use crate::relay::Relay;
-use crate::reply::{Cause, Reply, refusal, strip, whole};
+use crate::reply::{Cause, Reply, refusal, remove_connection_headers, whole};
+use crate::request_charge::RequestCharge;
+use crate::stream_relay::StreamRelay;
 use crate::table::{Organisation, Route};
 use crate::trace::Trace;
-use crate::tries::Tries;
 
 /// Longest non-streamed response body that is buffered, in bytes. Nothing reaches the client before
 /// the body is complete, so that a broken response can be requested again.
-const WHOLE_ANSWER: usize = 4 << 20;
+const MAX_BUFFERED_BODY_BYTES: usize = 4 << 20;
 /// The least urgent priority class that is sent to endpoints.
-const LOWEST_CLASS: u8 = 9;
+const LEAST_URGENT_CLASS: u8 = 9;
 /// A request is sent only if the first token is expected within this fraction of its remaining
 /// time.
-const SENT_WITHIN: f64 = 0.8;
+const FIRST_TOKEN_FRACTION: f64 = 0.8;
 /// Retry-after time while a process or service is unavailable.
-pub const SOON: Duration = Duration::from_millis(300);
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// Shortest and longest retry-after time when endpoints are overloaded.
-const OVERLOAD: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(2));
+const OVERLOAD_RETRY_AFTER: (Duration, Duration) =
+    (Duration::from_millis(250), Duration::from_secs(2));
 
 /// Why a request is refused, and the retry-after time where a retry helps.
-pub type Refused = (Cause, Duration);
+pub type Refusal = (Cause, Duration);
 
 /// One request with the state of its attempts.
 pub struct Exchange {
@@ -58,23 +59,23 @@
     /// The service that was selected for it.
     pub service: ServiceId,
     /// Maximum output tokens in one event.
-    pub per_event: Tokens,
+    pub tokens_per_event: Tokens,
     /// Attempts made so far.
-    pub tries: Tries,
+    pub attempts: AttemptCounter,
     /// The request fails if it has no response by then.
     pub deadline: Instant,
     /// Its reservation; `None` if the organisation does not prepay.
-    pub spend: Option<Spend>,
+    pub charge: Option<RequestCharge>,
     /// Collects what is logged about the request.
     pub trace: Trace,
     /// Whether an endpoint may have run it.
     pub in_doubt: bool,
     /// Whether it has waited for endpoints; it does so only once.
-    pub has_waited: bool,
+    pub has_waited_for_endpoints: bool,
     /// The connection whose response has not begun yet.
-    pub waits_on: Option<Arc<ConnectionWatch>>,
+    pub awaited_connection: Option<Arc<ConnectionWatch>>,
     /// Parts of the prompt with their token counts.
-    pub parts: Vec<(u64, Tokens)>,
+    pub prompt_parts: Vec<(u64, Tokens)>,
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -84,57 +85,60 @@
     /// The complete body.
     pub body: Bytes,
     /// Equal for requests that count as the same one.
-    pub content: RequestDigest,
+    pub digest: RequestDigest,
 }
 
 impl Exchange {
     /// Sends the request to endpoints until one responds.
     pub async fn run(mut self) -> Reply {
-        self.gw.first_try(&self.service);
-        match self.first_answer(None).await {
+        self.gw.count_first_attempt(&self.service);
+        match self.first_response(None).await {
             Ok(answer) if self.route.repeat.is_stream() && answer.parts.status.is_success() => {
-                Relay::begin(self, *answer).await
+                StreamRelay::start(self, *answer).await
             }
-            Ok(answer) => self.whole_answer(*answer).await,
+            Ok(answer) => self.buffered_response(*answer).await,
             Err(refused) => self.refuse(refused),
         }
     }
 
     /// Ends the request with a refusal.
-    pub fn refuse(mut self, (cause, again): Refused) -> Reply {
-        self.trace.ended(cause.text());
+    pub fn refuse(mut self, (cause, again): Refusal) -> Reply {
+        self.trace.record_outcome(cause.text());
         refusal(cause, Some(again))
     }
 
     /// Time left until the deadline.
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
     /// Runs attempts until a response begins. `after` is the id of the last event that was
     /// delivered.
-    pub async fn first_answer(&mut self, after: Option<u64>) -> Result<Box<Answer>, Refused> {
-        let mut failure: Option<Box<Answer>> = None;
+    pub async fn first_response(
+        &mut self,
+        after: Option<u64>,
+    ) -> Result<Box<EndpointResponse>, Refusal> {
+        let mut failure: Option<Box<EndpointResponse>> = None;
         loop {
-            let refused = match self.one_try(after).await {
-                Ok(Tried::Answer(answer)) if self.is_wanted(&answer) => return Ok(answer),
-                Ok(Tried::Answer(answer)) => {
+            let refused = match self.one_attempt(after).await {
+                Ok(AttemptOutcome::Answer(answer)) if self.is_final(&answer) => return Ok(answer),
+                Ok(AttemptOutcome::Answer(answer)) => {
                     self.trace
                         .step(format_args!("status {}", answer.parts.status));
                     failure = Some(answer);
                     continue;
                 }
-                Ok(Tried::NotRun(why)) => {
-                    let cause = self.not_run(&why);
-                    self.may_go_on(cause).err()
+                Ok(AttemptOutcome::NotRun(why)) => {
+                    let cause = self.record_not_run(&why);
+                    self.may_retry(cause).err()
                 }
-                Ok(Tried::Doubt(doubt)) => {
-                    let cause = self.doubt(doubt);
-                    self.may_go_on(cause).err()
+                Ok(AttemptOutcome::Doubt(doubt)) => {
+                    let cause = self.record_doubt(doubt);
+                    self.may_retry(cause).err()
                 }
                 Err(refused) => Some(refused),
             };
-            if self.finds_endpoints(refused).await && self.may_arrive_again() {
+            if self.wait_for_endpoints(refused).await && self.retry_budget_allows() {
                 continue;
             }
             if let Some(refused) = refused {
@@ -147,53 +151,57 @@
     /// Waits once for endpoints when none of those tried still exists.
     ///
     /// No attempt has run, so the request may wait and go to any of the new endpoints.
-    async fn finds_endpoints(&mut self, refused: Option<Refused>) -> bool {
+    async fn wait_for_endpoints(&mut self, refused: Option<Refusal>) -> bool {
         let nobody = matches!(refused, Some((Cause::NoEndpoint | Cause::Refused, _)));
-        if !nobody || self.has_waited || self.in_doubt || !self.tries.found_nobody() {
+        if !nobody
+            || self.has_waited_for_endpoints
+            || self.in_doubt
+            || !self.attempts.reached_none()
+        {
             return false;
         }
-        self.has_waited = true;
-        self.gw.list_doubted.notify_one();
-        let most = arrival::for_endpoints(self.gw.cfg.list.lag, self.left());
-        let found = arrival::wait(&self.gw, most, || {
+        self.has_waited_for_endpoints = true;
+        self.gw.list_mismatch.notify_one();
+        let most = availability::endpoints_wait(self.gw.cfg.list.lag, self.time_left());
+        let found = availability::wait_until_available(&self.gw, most, || {
             let open = self
                 .gw
                 .directory
-                .open(&self.service, self.tries.endpoints());
+                .available(&self.service, self.attempts.endpoints());
             (!open.is_empty()).then_some(())
         });
         let found = found.await.is_some();
         self.trace
             .step(format_args!("waited for endpoints: {found}"));
         if found {
-            self.tries.forget_gone();
+            self.attempts.reset_missing();
         }
         found
     }
 
     /// Whether the response is passed on. A server error is retried first if the route and the
     /// retry budget allow it.
-    fn is_wanted(&mut self, answer: &Answer) -> bool {
+    fn is_final(&mut self, answer: &EndpointResponse) -> bool {
         self.in_doubt = true;
         let failed = answer.parts.status.is_server_error();
-        let again = failed && self.route.repeat.may_run_again() && self.has_tries();
-        !(again && self.gw.may_try_again(&self.service))
+        let again = failed && self.route.repeat.may_run_again() && self.has_attempts_left();
+        !(again && self.gw.try_count_retry(&self.service))
     }
 
     /// Whether the attempt limit and the deadline allow another attempt.
-    pub fn has_tries(&self) -> bool {
-        self.tries.may_go_on(self.route.attempts) && !self.left().is_zero()
+    pub fn has_attempts_left(&self) -> bool {
+        self.attempts.may_continue(self.route.attempts) && !self.time_left().is_zero()
     }
 
-    fn not_run(&mut self, why: &NotRun) -> Cause {
+    fn record_not_run(&mut self, why: &NotRun) -> Cause {
         self.trace.step(format_args!("not run: {why:?}"));
-        self.gw.metrics.count(metrics::TRIES_NOT_RUN);
+        self.gw.metrics.count(metrics::ATTEMPTS_NOT_RUN);
         Cause::Refused
     }
 
-    fn doubt(&mut self, doubt: Doubt) -> Cause {
+    fn record_doubt(&mut self, doubt: Doubt) -> Cause {
         self.trace.step(format_args!("in doubt: {doubt:?}"));
-        self.gw.metrics.count(metrics::TRIES_IN_DOUBT);
+        self.gw.metrics.count(metrics::ATTEMPTS_IN_DOUBT);
         self.in_doubt = true;
         match doubt {
             Doubt::Silent => Cause::Late,
@@ -202,155 +210,165 @@
     }
 
     /// Whether the request may be sent to another endpoint after this failure.
-    pub fn may_go_on(&mut self, failed: Cause) -> Result<(), Refused> {
+    pub fn may_retry(&mut self, failed: Cause) -> Result<(), Refusal> {
         let cause = if self.in_doubt && failed == Cause::Refused {
             Cause::Lost
         } else {
             failed
         };
         let allowed = !self.in_doubt || self.route.repeat.may_run_again();
-        if !allowed || !self.has_tries() || !self.may_arrive_again() {
-            return Err((cause, SOON));
+        if !allowed || !self.has_attempts_left() || !self.retry_budget_allows() {
+            return Err((cause, DEFAULT_RETRY_AFTER));
         }
         Ok(())
     }
 
     /// Whether the shared retry budget allows another attempt. A request that has not reached any
     /// endpoint does not use the budget.
-    fn may_arrive_again(&self) -> bool {
-        !self.tries.arrived() || self.gw.may_try_again(&self.service)
+    fn retry_budget_allows(&self) -> bool {
+        !self.attempts.was_received() || self.gw.try_count_retry(&self.service)
     }
 
-    async fn one_try(&mut self, after: Option<u64>) -> Result<Tried, Refused> {
-        if let Some(quarantine) = self.gw.suspects.quarantine(self.content) {
+    async fn one_attempt(&mut self, after: Option<u64>) -> Result<AttemptOutcome, Refusal> {
+        if let Some(quarantine) = self.gw.suspects.quarantine(self.digest) {
             self.trace.step(format_args!("in quarantine: {quarantine}"));
             let cause = if self.in_doubt {
                 Cause::Lost
             } else {
                 Cause::CrashesEndpoints
             };
-            return Err((cause, quarantine.left));
+            return Err((cause, quarantine.time_left));
         }
-        let prompt = Prompt { parts: &self.parts };
-        let within = self.left().mul_f64(SENT_WITHIN);
-        let chosen = self
-            .gw
-            .choose(&self.service, &prompt, self.tries.endpoints(), within);
-        let chosen = chosen.map_err(|unplaced| self.unplaced(unplaced))?;
-        let endpoint = chosen.place.endpoint.clone();
+        let prompt = Prompt {
+            parts: &self.prompt_parts,
+        };
+        let within = self.time_left().mul_f64(FIRST_TOKEN_FRACTION);
+        let chosen =
+            self.gw
+                .select_endpoint(&self.service, &prompt, self.attempts.endpoints(), within);
+        let chosen = chosen.map_err(|unplaced| self.refuse_unplaced(unplaced))?;
+        let endpoint = chosen.slot.endpoint.clone();
         self.trace.step(format_args!(
             "to {} expecting {:?}, {} tokens to read, {}",
-            endpoint.id, chosen.expected, chosen.missing, chosen.grounds
+            endpoint.id, chosen.expected, chosen.missing_tokens, chosen.load_summary
         ));
         if let Some(addr) = chosen.copy_from {
             self.trace.step(format_args!("copies from {addr}"));
-            self.gw.metrics.count(metrics::TRIES_COPIED);
+            self.gw.metrics.count(metrics::ATTEMPTS_WITH_COPY);
         }
-        self.gw.metrics.count(metrics::TRIES);
-        if !self.tries.endpoints().is_empty() {
-            self.gw.metrics.count(metrics::TRIES_AGAIN);
+        self.gw.metrics.count(metrics::ATTEMPTS);
+        if !self.attempts.endpoints().is_empty() {
+            self.gw.metrics.count(metrics::ATTEMPTS_AFTER_FIRST);
         }
-        let left = self.left();
+        let left = self.time_left();
         let onward = Onward {
             endpoint: &endpoint.id,
             organisation: self.organisation.as_ref().map(|o| &*o.id),
             left,
-            class: self.class(),
+            class: self.priority_class(),
             after: after.or(self.ask.after),
             copy_from: chosen.copy_from,
         };
-        let until = self.answer_until();
-        let out = Outgoing {
+        let until = self.response_deadline();
+        let out = OutgoingRequest {
             method: &self.method,
             uri: &self.uri,
             headers: (self.gw.cfg.dialect.onward)(&self.headers, &onward),
             body: self.body.clone(),
             id: &self.ask.id,
-            until,
-            watch: &mut self.waits_on,
+            deadline: until,
+            watch: &mut self.awaited_connection,
         };
         // Counted before it is sent: if the client disconnects, this function is dropped during the
         // wait, when the endpoint may have begun.
         let counted_before = self.in_doubt;
-        if let Some(spend) = &mut self.spend {
-            spend.begun();
+        if let Some(spend) = &mut self.charge {
+            spend.record_begun();
         }
         let sent_at = Instant::now();
-        let tried = send(&self.gw, chosen.place, out).await;
-        self.waits_on = None;
-        self.tries.note(endpoint.id.clone(), &tried);
-        if let (Tried::NotRun(_), Some(spend), false) = (&tried, &mut self.spend, counted_before) {
-            spend.not_run();
+        let tried = send(&self.gw, chosen.slot, out).await;
+        self.awaited_connection = None;
+        self.attempts.record(endpoint.id.clone(), &tried);
+        if let (AttemptOutcome::NotRun(_), Some(spend), false) =
+            (&tried, &mut self.charge, counted_before)
+        {
+            spend.record_not_run();
         }
-        self.learn(&endpoint, &tried, sent_at.elapsed());
+        self.record_outcome(&endpoint, &tried, sent_at.elapsed());
         Ok(tried)
     }
 
     /// Until when the response head is awaited: up to the deadline, or less if another endpoint may
     /// run the request instead.
-    fn answer_until(&self) -> Instant {
+    fn response_deadline(&self) -> Instant {
         let repeatable = self.route.repeat.may_run_again();
-        if !repeatable || self.tries.is_last(self.route.attempts) {
+        if !repeatable || self.attempts.is_last(self.route.attempts) {
             return self.deadline;
         }
-        let patient = Instant::now() + self.route.target.mul_f64(SILENT_TARGETS);
+        let patient = Instant::now() + self.route.target.mul_f64(UNRESPONSIVE_TARGETS);
         patient.min(self.deadline)
     }
 
-    fn class(&self) -> u8 {
+    fn priority_class(&self) -> u8 {
         let own = self.organisation.as_ref().and_then(|o| o.class);
-        own.unwrap_or(self.route.class).min(LOWEST_CLASS)
+        own.unwrap_or(self.route.class).min(LEAST_URGENT_CLASS)
     }
 
-    fn unplaced(&mut self, unplaced: Unplaced) -> Refused {
+    fn refuse_unplaced(&mut self, unplaced: Unplaced) -> Refusal {
         self.trace.step(format_args!("no place: {unplaced:?}"));
         if self.in_doubt {
-            return (Cause::Lost, SOON);
+            return (Cause::Lost, DEFAULT_RETRY_AFTER);
         }
         match unplaced {
-            Unplaced::Nobody => (Cause::NoEndpoint, SOON),
+            Unplaced::Nobody => (Cause::NoEndpoint, DEFAULT_RETRY_AFTER),
             Unplaced::TooLate(expected) => {
-                let over = expected.saturating_sub(self.left().mul_f64(SENT_WITHIN));
-                (Cause::Overloaded, over.clamp(OVERLOAD.0, OVERLOAD.1))
+                let over = expected.saturating_sub(self.time_left().mul_f64(FIRST_TOKEN_FRACTION));
+                (
+                    Cause::Overloaded,
+                    over.clamp(OVERLOAD_RETRY_AFTER.0, OVERLOAD_RETRY_AFTER.1),
+                )
             }
-            Unplaced::AtLimit(wait) => (Cause::Overloaded, wait.clamp(OVERLOAD.0, OVERLOAD.1)),
+            Unplaced::AtLimit(wait) => (
+                Cause::Overloaded,
+                wait.clamp(OVERLOAD_RETRY_AFTER.0, OVERLOAD_RETRY_AFTER.1),
+            ),
         }
     }
 
     /// Passes on a non-streamed response once it is complete.
-    async fn whole_answer(mut self, answer: Answer) -> Reply {
+    async fn buffered_response(mut self, answer: EndpointResponse) -> Reply {
         let mut answer = answer;
         loop {
-            let Answer {
+            let EndpointResponse {
                 mut parts,
                 head,
                 body,
                 sender,
                 watch,
-                mut place,
+                slot: mut place,
             } = answer;
-            let reading = Limited::new(body, WHOLE_ANSWER).collect();
+            let reading = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect();
             let read = timeout_at(self.deadline, reading).await;
-            place.answered();
+            place.response_started();
             if let Ok(Ok(body)) = read {
-                Answer::put_back(sender, watch, &place.endpoint, &head);
-                strip(&mut parts.headers);
-                self.gw.answered(self.content);
-                self.trace.first_piece();
+                EndpointResponse::release_connection(sender, watch, &place.endpoint, &head);
+                remove_connection_headers(&mut parts.headers);
+                self.gw.record_answered(self.digest);
+                self.trace.record_first_piece();
                 let fine = parts.status.is_success();
                 self.trace
-                    .ended(if fine { "completed" } else { "endpoint_failed" });
+                    .record_outcome(if fine { "completed" } else { "endpoint_failed" });
                 return Reply::from_parts(parts, whole(body.to_bytes()));
             }
-            self.answer_lost(&place.endpoint, CrashedRun::AfterOutput, "no whole answer");
+            self.record_lost_response(&place.endpoint, CrashedRun::AfterOutput, "no whole answer");
             let doubt = if read.is_err() {
                 Doubt::Silent
             } else {
                 Doubt::Spoiled
             };
-            let cause = self.doubt(doubt);
-            let again = match self.may_go_on(cause) {
-                Ok(()) => self.first_answer(None).await,
+            let cause = self.record_doubt(doubt);
+            let again = match self.may_retry(cause) {
+                Ok(()) => self.first_response(None).await,
                 Err(refused) => Err(refused),
             };
             match again {
@@ -363,19 +381,19 @@
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        let Some(mut spend) = self.spend.take() else {
+        let Some(mut spend) = self.charge.take() else {
             return;
         };
-        self.trace.billed(spend.cost());
+        self.trace.record_cost(spend.cost());
         // The client has disconnected before the response began.
-        let Some(watch) = self.waits_on.take().filter(|_| !self.in_doubt) else {
+        let Some(watch) = self.awaited_connection.take().filter(|_| !self.in_doubt) else {
             return;
         };
         let log = self.gw.log.clone();
         let id = self.ask.id.clone();
         tokio::spawn(async move {
-            if watch.ended_unheard().await {
-                spend.not_run();
+            if watch.ended_without_data().await {
+                spend.record_not_run();
                 event!(log, events::GATEWAY_BILL_DROPPED, "request" => &*id);
             }
         });
@@ -384,4 +402,4 @@
 
 /// If another endpoint may run the request, the response head is awaited for this multiple of the
 /// route's target: an endpoint that takes longer is more likely lost than slow.
-const SILENT_TARGETS: f64 = 2.0;
+const UNRESPONSIVE_TARGETS: f64 = 2.0;
--- /dev/null
+++ b/crates/anvil_gateway/src/exchange/outcome.rs
@@ -0,0 +1,73 @@
+//! Updates the view of endpoints, and of the request itself, after each attempt.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use anvil_policy::crash::Evidence;
+use anvil_world::suspect::CrashedRun;
+
+use super::Exchange;
+use crate::attempt::{AttemptOutcome, Doubt, MISDIRECTED_STATUS, NotRun};
+use crate::endpoint::Endpoint;
+
+/// Pause after an endpoint reported that it is full: about the duration of one of its requests.
+const FULL_ENDPOINT_PAUSE: Duration = Duration::from_millis(25);
+
+impl Exchange {
+    /// Records the outcome of an attempt.
+    pub(super) fn record_outcome(
+        &mut self,
+        endpoint: &Arc<Endpoint>,
+        tried: &AttemptOutcome,
+        waited: Duration,
+    ) {
+        let now = self.gw.lifecycle.now();
+        match tried {
+            AttemptOutcome::Answer(answer) => {
+                self.gw.directory.record_match(&self.service);
+                self.gw.record_endpoint_alive(endpoint);
+                if let Some(load) = &answer.head.load {
+                    endpoint.apply_load(now, load);
+                }
+                endpoint
+                    .load()
+                    .answered(answer.parts.status.is_server_error());
+            }
+            AttemptOutcome::NotRun(NotRun::Refused(MISDIRECTED_STATUS)) => {
+                self.gw
+                    .record_crash_evidence(&endpoint.id, Evidence::Replaced);
+                endpoint.mark_leaving();
+                self.gw.directory.record_replaced(&self.service);
+                self.gw.list_mismatch.notify_one();
+            }
+            AttemptOutcome::NotRun(NotRun::Refused(_)) => {
+                endpoint.load().was_full(now, FULL_ENDPOINT_PAUSE)
+            }
+            AttemptOutcome::NotRun(NotRun::Unreachable(why)) => {
+                self.record_endpoint_failure(endpoint, why)
+            }
+            // Not a sign of failure if the client's timeout is shorter than a normal response
+            // takes.
+            AttemptOutcome::Doubt(Doubt::Silent) if waited < self.route.target => {}
+            AttemptOutcome::Doubt(doubt) => {
+                self.record_lost_response(
+                    endpoint,
+                    CrashedRun::BeforeOutput,
+                    &format!("{doubt:?}"),
+                );
+            }
+        }
+    }
+
+    /// Records that an endpoint lost the response to this request.
+    pub fn record_lost_response(&mut self, endpoint: &Arc<Endpoint>, run: CrashedRun, why: &str) {
+        self.trace.record_digest(self.digest);
+        self.record_endpoint_failure(endpoint, why);
+        self.gw.record_lost_response(endpoint, self.digest, run);
+    }
+
+    /// Records that an endpoint failed this request.
+    pub fn record_endpoint_failure(&self, endpoint: &Endpoint, why: &str) {
+        endpoint.record_failure(self.gw.lifecycle.now(), &self.gw.log, why);
+    }
+}
--- a/crates/anvil_gateway/src/gateway.rs
+++ b/crates/anvil_gateway/src/gateway.rs
@@ -24,9 +24,9 @@
 use crate::dialect::{Dialect, ListSource};
 use crate::directory::Directory;
 use crate::endpoint_limits::EndpointLimits;
-use crate::listing::Listings;
+use crate::list_cache::ListCache;
 use crate::log_events;
-use crate::metrics::TRIES_DENIED;
+use crate::metrics::RETRIES_DENIED;
 use crate::siblings::Siblings;
 use crate::suspects::Suspects;
 use crate::table::RouteTable;
@@ -74,11 +74,11 @@
     /// The endpoints.
     pub directory: Directory,
     /// Grants, and what is reserved and settled on them.
-    pub purse: Arc<Purse>,
+    pub grant_account: Arc<Purse>,
     /// Wakes the task that requests grants from the ledger.
-    pub money_wanted: Notify,
+    pub grants_wanted: Notify,
     /// The process's clock and incarnation, and whether it is stopping.
-    pub life: Life,
+    pub lifecycle: Life,
     /// Client of the ledger.
     pub ledger: LedgerClient,
     /// Ledger replicas that the settings name.
@@ -86,29 +86,29 @@
     /// The log.
     pub log: Logger,
     /// Counts dropped log lines.
-    pub dropped: Dropped,
+    pub dropped_log_lines: Dropped,
     /// Metrics.
     pub metrics: Metrics,
     /// Constants for estimates of engines.
-    pub rule: EngineRule,
+    pub engine_rule: EngineRule,
     /// Number of live gateways according to the ledger, this one included.
     pub gateways: AtomicU32,
     /// Rank of this gateway among them.
     pub rank: AtomicU32,
     /// When the ledger last confirmed that the cached state is current, in milliseconds since the
     /// start.
-    pub confirmed: AtomicU64,
+    pub ledger_confirmed_ms: AtomicU64,
     /// Copies of the platform's list.
-    pub listings: Listings,
+    pub list_cache: ListCache,
     /// The other gateways of the availability zone.
     pub siblings: Siblings,
     /// Wakes the task that reads the platform's list: a sibling has found the list wrong.
-    pub read_wanted: Notify,
+    pub list_read_requested: Notify,
     /// Wakes the task that reads the platform's list: another incarnation answered for a listed
     /// endpoint.
-    pub list_doubted: Notify,
+    pub list_mismatch: Notify,
     /// Wakes requests that wait for a routing table or for endpoints.
-    pub news: Notify,
+    pub state_changed: Notify,
     /// Endpoints that recently lost responses or crashed.
     pub crashes: Mutex<CrashWatch>,
     /// Requests under which endpoints crashed.
@@ -116,21 +116,21 @@
     /// Limits that endpoints announced.
     pub endpoint_limits: EndpointLimits,
     /// Requests in progress.
-    pub open: AtomicU32,
+    pub open_requests: AtomicU32,
     /// End of the time in which this gateway reports that it can't obtain grants, in milliseconds
     /// since the start.
-    starved_until: AtomicU64,
-    retries: Mutex<BTreeMap<ServiceId, OwnRetries>>,
+    starved_until_ms: AtomicU64,
+    retry_budgets: Mutex<BTreeMap<ServiceId, GatewayRetryBudget>>,
 }
 
 /// Timeout for one replica or relay; a commit takes about 10 ms.
-const ONE_REPLICA: Duration = Duration::from_millis(300);
+const REPLICA_TIMEOUT: Duration = Duration::from_millis(300);
 /// A second address of the ledger is tried after this time: five commits, and a quarter of the time
 /// that a request waits for tokens.
-const SECOND_WAY: Duration = Duration::from_millis(50);
+const HEDGE_DELAY: Duration = Duration::from_millis(50);
 /// Fraction of the shared retry budget that is used. The platform may count requests in a window
 /// other than this process's; the rest is a reserve for that.
-const RETRY_MARGIN: f64 = 0.8;
+const RETRY_BUDGET_FRACTION: f64 = 0.8;
 /// Fraction of this gateway's slack that may be used at once. Together with [`RETRY_REFILL`] it
 /// stays below the whole slack in any window.
 const RETRY_RESERVE: f64 = 0.5;
@@ -138,9 +138,9 @@
 const RETRY_REFILL: f64 = 0.3;
 /// For how long a gateway that could not pay for a request reports that it is not ready, in
 /// milliseconds: the load balancer checks once per second and acts on the second failed check.
-const STARVED_MS: u64 = 2_500;
+const STARVED_TIME_MS: u64 = 2_500;
 /// Number of gateways assumed to share the budget until the ledger reports it.
-const GATEWAYS_UNTIL_TOLD: u32 = 16;
+const ASSUMED_GATEWAYS: u32 = 16;
 
 /// Sizes of grants. Without sidecars nothing shows what a lost gateway has spent, so everything
 /// left in its grants counts as spent.
@@ -180,31 +180,31 @@
         Self {
             table: ArcSwapOption::empty(),
             directory: Directory::default(),
-            purse: Arc::new(purse),
-            money_wanted: Notify::new(),
+            grant_account: Arc::new(purse),
+            grants_wanted: Notify::new(),
             ledger: LedgerClient::new(&cfg.ledger)
-                .with_patience(ONE_REPLICA)
-                .with_hedge(SECOND_WAY),
+                .with_patience(REPLICA_TIMEOUT)
+                .with_hedge(HEDGE_DELAY),
             seeds: ArcSwap::from_pointee(cfg.ledger.clone()),
-            life,
+            lifecycle: life,
             log,
-            dropped: Dropped::default(),
+            dropped_log_lines: Dropped::default(),
             metrics,
-            rule: EngineRule::default(),
-            gateways: AtomicU32::new(GATEWAYS_UNTIL_TOLD),
-            rank: AtomicU32::new(rand::random_range(0..GATEWAYS_UNTIL_TOLD)),
-            confirmed: AtomicU64::new(0),
-            listings: Listings::default(),
-            siblings: Siblings::of(cfg.id.clone(), cfg.siblings),
-            read_wanted: Notify::new(),
-            list_doubted: Notify::new(),
-            news: Notify::new(),
+            engine_rule: EngineRule::default(),
+            gateways: AtomicU32::new(ASSUMED_GATEWAYS),
+            rank: AtomicU32::new(rand::random_range(0..ASSUMED_GATEWAYS)),
+            ledger_confirmed_ms: AtomicU64::new(0),
+            list_cache: ListCache::default(),
+            siblings: Siblings::new(cfg.id.clone(), cfg.siblings),
+            list_read_requested: Notify::new(),
+            list_mismatch: Notify::new(),
+            state_changed: Notify::new(),
             crashes: Mutex::default(),
             suspects: Suspects::default(),
             endpoint_limits: EndpointLimits::default(),
-            open: AtomicU32::new(0),
-            starved_until: AtomicU64::new(0),
-            retries: Mutex::default(),
+            open_requests: AtomicU32::new(0),
+            starved_until_ms: AtomicU64::new(0),
+            retry_budgets: Mutex::default(),
             cfg,
         }
     }
@@ -212,7 +212,7 @@
     /// Whether the load balancer may send new connections.
     pub fn is_ready(&self) -> bool {
         let knows = self.table.load().is_some() && !self.directory.is_empty();
-        knows && !self.life.is_leaving() && !self.is_starved()
+        knows && !self.lifecycle.is_leaving() && !self.is_starved()
     }
 
     /// Whether requests were refused recently because the ledger is unreachable and the grants are
@@ -222,35 +222,35 @@
     /// connected, retry and are refused again, although another gateway could serve them. So this
     /// gateway reports that it is not ready and closes its clients' connections.
     pub fn is_starved(&self) -> bool {
-        self.now_ms() < self.starved_until.load(Ordering::Relaxed)
+        self.now_ms() < self.starved_until_ms.load(Ordering::Relaxed)
     }
 
     /// Records that a request could not be paid for because the ledger is unreachable.
-    pub fn starve(&self) {
-        let until = self.now_ms() + STARVED_MS;
+    pub fn mark_starved(&self) {
+        let until = self.now_ms() + STARVED_TIME_MS;
         if !self.is_starved() {
             event!(self.log, log_events::GATEWAY_STARVED);
         }
-        self.starved_until.store(until, Ordering::Relaxed);
+        self.starved_until_ms.store(until, Ordering::Relaxed);
     }
 
     /// Records that the ledger has answered.
-    pub fn fed(&self) {
-        self.starved_until.store(0, Ordering::Relaxed);
+    pub fn clear_starved(&self) {
+        self.starved_until_ms.store(0, Ordering::Relaxed);
     }
 
     /// Sets the counter of dropped log lines.
     pub fn with_dropped(mut self, dropped: Dropped) -> Self {
-        self.dropped = dropped;
+        self.dropped_log_lines = dropped;
         self
     }
 
     pub(crate) fn now_ms(&self) -> u64 {
-        u64::try_from(self.life.now().as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(self.lifecycle.now().as_millis()).unwrap_or(u64::MAX)
     }
 
     /// The position of this gateway among those that share endpoints' rate limits.
-    pub(crate) fn turn(&self) -> Turn {
+    pub(crate) fn share_position(&self) -> Turn {
         Turn {
             rank: self.rank.load(Ordering::Relaxed),
             routers: self.gateways.load(Ordering::Relaxed),
@@ -267,7 +267,7 @@
     pub fn instance(&self) -> Instance {
         Instance {
             id: self.cfg.id.clone(),
-            incarnation: self.life.incarnation,
+            incarnation: self.lifecycle.incarnation,
             role: Role::Router,
             zone: self.cfg.zone.clone(),
             addr: self.cfg.listen,
@@ -276,38 +276,45 @@
     }
 
     /// Counts the first attempt of a request to a service.
-    pub fn first_try(&self, service: &ServiceId) {
-        let now = self.life.now();
-        self.with_retries(service, |budget| budget.first_try(now));
+    pub fn count_first_attempt(&self, service: &ServiceId) {
+        let now = self.lifecycle.now();
+        self.with_retry_budget(service, |budget| budget.first_try(now));
     }
 
     /// Whether the budget allows a retry at a service; if so, it is counted.
-    pub fn may_try_again(&self, service: &ServiceId) -> bool {
-        let now = self.life.now();
+    pub fn try_count_retry(&self, service: &ServiceId) -> bool {
+        let now = self.lifecycle.now();
         let mut rng = rand::rng();
         let again = |budget: &mut RetryBudget| budget.again(now, 1, Repeat::Safe, &mut rng);
-        let allowed = self.with_retries(service, again).is_some();
+        let allowed = self.with_retry_budget(service, again).is_some();
         if !allowed {
-            self.metrics.count(TRIES_DENIED);
+            self.metrics.count(RETRIES_DENIED);
         }
         allowed
     }
 
     /// The service's retry budget, adjusted to the current number of gateways.
-    fn with_retries<T>(&self, service: &ServiceId, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
+    fn with_retry_budget<T>(
+        &self,
+        service: &ServiceId,
+        f: impl FnOnce(&mut RetryBudget) -> T,
+    ) -> T {
         let gateways = self.gateways.load(Ordering::Relaxed).max(1);
         // Sound after a panic elsewhere: the budget stays between zero and the reserve.
-        let mut retries = self.retries.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut retries = self
+            .retry_budgets
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let own = retries
             .entry(service.clone())
-            .or_insert_with(|| OwnRetries {
+            .or_insert_with(|| GatewayRetryBudget {
                 gateways,
                 budget: RetryBudget::new(self.retry_rule(gateways)),
             });
         if own.gateways != gateways {
             own.gateways = gateways;
             let rule = self.retry_rule(gateways);
-            own.budget.set_rule(self.life.now(), rule);
+            own.budget.set_rule(self.lifecycle.now(), rule);
         }
         f(&mut own.budget)
     }
@@ -316,7 +323,7 @@
     fn retry_rule(&self, gateways: u32) -> RetryRule {
         let slack = self.cfg.retry_slack / f64::from(gateways);
         RetryRule {
-            part: RETRY_MARGIN * self.cfg.retry_part,
+            part: RETRY_BUDGET_FRACTION * self.cfg.retry_part,
             reserve: RETRY_RESERVE * slack,
             each_second: RETRY_REFILL * slack / self.cfg.retry_window.as_secs_f64(),
             most_tries: u32::MAX,
@@ -326,7 +333,7 @@
 }
 
 /// The retry budget of this gateway for one service.
-struct OwnRetries {
+struct GatewayRetryBudget {
     /// Number of gateways for which the budget was computed.
     gateways: u32,
     budget: RetryBudget,
--- a/crates/anvil_gateway/src/follow.rs
+++ b/crates/anvil_gateway/src/ledger_updates.rs
@@ -17,13 +17,13 @@
 use crate::log_events as events;
 
 /// Timeout for opening a stream to a replica.
-const OPENING: Duration = Duration::from_millis(300);
+const OPEN_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest wait for a replica's first update. An up-to-date replica sends it at once; one that is
 /// joining or has no leader sends none, and a gateway that has just started can't serve until it
 /// has one.
-const FIRST_WORD: Duration = Duration::from_millis(350);
+const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_millis(350);
 /// Pause before another replica is followed.
-const AGAIN: Duration = Duration::from_millis(50);
+const NEXT_REPLICA_PAUSE: Duration = Duration::from_millis(50);
 
 /// Follows the replicas in turn for as long as the process runs.
 pub async fn run(gw: &Gateway) {
@@ -40,7 +40,7 @@
             in_touch = false;
         }
         replica += 1;
-        sleep(AGAIN).await;
+        sleep(NEXT_REPLICA_PAUSE).await;
     }
 }
 
@@ -54,11 +54,11 @@
     let opening = gw
         .ledger
         .follow(replica, gw.cfg.id.clone(), Interest::Router, held.version);
-    let Ok(Ok(mut replies)) = timeout(OPENING, opening).await else {
+    let Ok(Ok(mut replies)) = timeout(OPEN_TIMEOUT, opening).await else {
         return false;
     };
     let mut heard = false;
-    let mut patience = FIRST_WORD;
+    let mut patience = FIRST_UPDATE_TIMEOUT;
     while let Ok(Ok(Some(LedgerReply::Follow(told)))) = timeout(patience, replies.next()).await {
         heard = true;
         patience = SILENCE;
@@ -66,21 +66,21 @@
             event!(gw.log, events::GATEWAY_IN_TOUCH, "replica" => replica);
             *in_touch = true;
         }
-        gw.confirmed.store(gw.now_ms(), Ordering::Relaxed);
+        gw.ledger_confirmed_ms.store(gw.now_ms(), Ordering::Relaxed);
         if held.apply(told) {
-            take(gw, held, revision);
+            apply_update(gw, held, revision);
         }
     }
     heard
 }
 
-fn take(gw: &Gateway, held: &Held, revision: &mut Revision) {
-    count_gateways(gw, held);
+fn apply_update(gw: &Gateway, held: &Held, revision: &mut Revision) {
+    update_gateway_count(gw, held);
     let routers = members::alive(held, Role::Router);
     gw.siblings
-        .set(routers.filter(|router| router.zone.id == gw.cfg.zone.id));
-    gw.take_suspects(&held.suspects);
-    gw.take_limits(&held.limits);
+        .update(routers.filter(|router| router.zone.id == gw.cfg.zone.id));
+    gw.apply_ledger_suspects(&held.suspects);
+    gw.apply_ledger_limits(&held.limits);
     let replicas = members::replicas(held, &gw.seeds.load());
     let relays = members::relays(held, &gw.cfg.id);
     if gw.ledger.set_ways(&replicas, &relays) {
@@ -100,7 +100,7 @@
         Ok(table) => {
             let version = table.version;
             gw.table.store(Some(Arc::new(table)));
-            gw.news.notify_waiters();
+            gw.state_changed.notify_waiters();
             event!(
                 gw.log, events::GATEWAY_TABLE_IN_FORCE,
                 "table" => version, "version" => held.version
@@ -112,7 +112,7 @@
     }
 }
 
-fn count_gateways(gw: &Gateway, held: &Held) {
+fn update_gateway_count(gw: &Gateway, held: &Held) {
     let alive = members::alive(held, Role::Router);
     let mut ids: BTreeSet<_> = alive.map(|router| &router.id).collect();
     // This gateway may not be in the ledger's membership yet.
--- a/crates/anvil_gateway/src/lib.rs
+++ b/crates/anvil_gateway/src/lib.rs
@@ -25,38 +25,38 @@
 //! ([`siblings`]), endpoint load from response headers ([`endpoint`]).
 
 pub mod admit;
-pub mod arrival;
 pub mod attempt;
+pub mod attempt_counter;
+pub mod availability;
 pub mod choose;
 pub mod connection_watch;
-pub mod content;
 pub mod crashes;
 pub mod dialect;
 pub mod directory;
 pub mod discovery;
 pub mod endpoint;
 pub mod endpoint_limits;
-pub mod events;
 pub mod exchange;
-pub mod follow;
 pub mod gateway;
+pub mod grant_loop;
+pub mod ledger_updates;
+pub mod list_cache;
 pub mod list_reader;
-pub mod listing;
 pub mod log_events;
 pub mod metrics;
-pub mod money;
-pub mod money_loop;
 pub mod pool;
-pub mod relay;
 pub mod reply;
 pub mod reports;
+pub mod request_charge;
+pub mod request_digest;
 pub mod run;
 pub mod serve;
 pub mod siblings;
+pub mod stream_events;
+pub mod stream_relay;
 pub mod suspects;
 pub mod table;
 pub mod trace;
-pub mod tries;
 
 pub use gateway::{Gateway, GatewaySettings};
 pub use run::{GatewayError, run};
--- a/crates/anvil_gateway/src/listing.rs
+++ b/crates/anvil_gateway/src/list_cache.rs
@@ -14,7 +14,7 @@
 
 /// Earlier lists that are kept to send only the changes to siblings. A sibling with an older list
 /// receives the complete one.
-const EARLIER: usize = 4;
+const MAX_EARLIER_LISTS: usize = 4;
 
 /// A moment on both the monotonic clock and the wall clock.
 ///
@@ -24,7 +24,7 @@
 /// one.
 #[derive(Debug, Clone, Copy)]
 pub struct Moment {
-    steady: Instant,
+    monotonic: Instant,
     wall: SystemTime,
 }
 
@@ -32,7 +32,7 @@
     /// The current moment.
     pub fn now() -> Self {
         Self {
-            steady: Instant::now(),
+            monotonic: Instant::now(),
             wall: SystemTime::now(),
         }
     }
@@ -41,28 +41,31 @@
     pub fn age(&self) -> Duration {
         // A wall clock that was set back yields no age.
         let wall = self.wall.elapsed().unwrap_or_default();
-        self.steady.elapsed().max(wall)
+        self.monotonic.elapsed().max(wall)
     }
 
     /// The moment shifted forward by `after` and back by `before`; `None` if a clock can't
     /// represent it.
-    fn moved(&self, after: Duration, before: Duration) -> Option<Self> {
-        let steady = self.steady.checked_add(after)?.checked_sub(before)?;
+    fn shifted(&self, after: Duration, before: Duration) -> Option<Self> {
+        let steady = self.monotonic.checked_add(after)?.checked_sub(before)?;
         let wall = self.wall.checked_add(after)?.checked_sub(before)?;
-        Some(Self { steady, wall })
+        Some(Self {
+            monotonic: steady,
+            wall,
+        })
     }
 }
 
 /// One version of the list.
 #[derive(Debug, Clone)]
-pub struct Listing {
+pub struct ListSnapshot {
     version: ListVersion,
     entries: Arc<Entries>,
     /// When its reading began, or earlier.
     as_of: Moment,
 }
 
-impl Listing {
+impl ListSnapshot {
     fn new(entries: Entries, as_of: Moment) -> Self {
         Self {
             version: digest(&entries),
@@ -83,12 +86,12 @@
 }
 
 /// The newest list and a few earlier ones.
-pub struct Listings {
-    newest: watch::Sender<Option<Listing>>,
-    earlier: Mutex<VecDeque<Listing>>,
+pub struct ListCache {
+    newest: watch::Sender<Option<ListSnapshot>>,
+    earlier: Mutex<VecDeque<ListSnapshot>>,
 }
 
-impl Default for Listings {
+impl Default for ListCache {
     fn default() -> Self {
         Self {
             newest: watch::Sender::new(None),
@@ -97,16 +100,16 @@
     }
 }
 
-impl Listings {
+impl ListCache {
     /// The newest list.
-    pub fn newest(&self) -> Option<Listing> {
+    pub fn newest(&self) -> Option<ListSnapshot> {
         self.newest.borrow().clone()
     }
 
     /// Maximum time since the newest list was read; `Duration::MAX` if there is none.
     pub fn age(&self) -> Duration {
         let newest = self.newest.borrow();
-        newest.as_ref().map_or(Duration::MAX, Listing::age)
+        newest.as_ref().map_or(Duration::MAX, ListSnapshot::age)
     }
 
     /// Version of the newest list; 0 if there is none.
@@ -116,7 +119,7 @@
     }
 
     /// Stores a list whose reading from the platform began at `begun`.
-    pub fn read(&self, begun: Moment, listed: Vec<Listed>) {
+    pub fn store_reading(&self, begun: Moment, listed: Vec<Listed>) {
         let mut entries = Entries::new();
         for listed in listed {
             let leaves = listed.leaving;
@@ -125,54 +128,54 @@
             // says so.
             entries.entry(id).or_insert(listed).leaving |= leaves;
         }
-        self.put(Listing::new(entries, begun));
+        self.store(ListSnapshot::new(entries, begun));
     }
 
     /// Applies a sibling's reply to a request sent at `asked`. Returns whether it is newer than the
     /// cached list.
-    pub fn told(&self, asked: Moment, reply: ListReply) -> bool {
-        let Some(as_of) = asked.moved(reply.held_for, reply.age) else {
+    pub fn apply_reply(&self, asked: Moment, reply: ListReply) -> bool {
+        let Some(as_of) = asked.shifted(reply.held_for, reply.age) else {
             return false;
         };
         let held = self.newest();
         let is_newer = held
             .as_ref()
-            .is_none_or(|held| as_of.steady > held.as_of.steady);
-        let Some(listing) = listing_of(reply.news, held, as_of).filter(|_| is_newer) else {
+            .is_none_or(|held| as_of.monotonic > held.as_of.monotonic);
+        let Some(listing) = apply_news(reply.news, held, as_of).filter(|_| is_newer) else {
             return false;
         };
-        self.put(listing);
+        self.store(listing);
         true
     }
 
-    fn put(&self, listing: Listing) {
+    fn store(&self, listing: ListSnapshot) {
         let before = self.newest.send_replace(Some(listing));
         let Some(before) = before.filter(|before| before.version != self.version()) else {
             return;
         };
         let mut earlier = self.earlier();
         earlier.push_front(before);
-        earlier.truncate(EARLIER);
+        earlier.truncate(MAX_EARLIER_LISTS);
     }
 
     /// Waits until the cached list satisfies the request or its time is over, then replies.
     pub async fn answer(&self, ask: &ListAsk, most: Duration) -> ListReply {
         let asked = Moment::now();
-        let is_fresh = |listing: &Listing| {
-            listing.as_of.steady + ask.read_within >= asked.steady && listing.age() < most
+        let is_fresh = |listing: &ListSnapshot| {
+            listing.as_of.monotonic + ask.read_within >= asked.monotonic && listing.age() < most
         };
         let mut newest = self.newest.subscribe();
         let waiting = newest.wait_for(|newest| newest.as_ref().is_some_and(is_fresh));
         // The reply carries the list's age, so it is valid even if the wait timed out.
         let _ = tokio::time::timeout(ask.wait.min(most), waiting).await;
         ListReply {
-            held_for: asked.steady.elapsed(),
+            held_for: asked.monotonic.elapsed(),
             age: self.age(),
-            news: self.news_since(ask.have),
+            news: self.changes_since(ask.have),
         }
     }
 
-    fn news_since(&self, have: ListVersion) -> ListNews {
+    fn changes_since(&self, have: ListVersion) -> ListNews {
         let Some(newest) = self.newest() else {
             return ListNews::Nothing;
         };
@@ -196,17 +199,17 @@
         }
     }
 
-    fn earlier(&self) -> MutexGuard<'_, VecDeque<Listing>> {
+    fn earlier(&self) -> MutexGuard<'_, VecDeque<ListSnapshot>> {
         // Sound after a panic elsewhere: lists are stored whole.
         self.earlier.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// The list that results from a reply; `None` if it does not match the version the reply names.
-fn listing_of(news: ListNews, held: Option<Listing>, as_of: Moment) -> Option<Listing> {
+fn apply_news(news: ListNews, held: Option<ListSnapshot>, as_of: Moment) -> Option<ListSnapshot> {
     let (version, entries) = match news {
         ListNews::Nothing => return None,
-        ListNews::Same => return Some(Listing { as_of, ..held? }),
+        ListNews::Same => return Some(ListSnapshot { as_of, ..held? }),
         ListNews::Whole { version, listed } => {
             let named = listed.into_iter().map(|listed| (listed.id.clone(), listed));
             (version, named.collect())
@@ -222,7 +225,7 @@
             (version, entries)
         }
     };
-    Some(Listing::new(entries, as_of)).filter(|listing| listing.version == version)
+    Some(ListSnapshot::new(entries, as_of)).filter(|listing| listing.version == version)
 }
 
 /// Equal for equal lists on all gateways; never 0.
--- a/crates/anvil_gateway/src/list_reader.rs
+++ b/crates/anvil_gateway/src/list_reader.rs
@@ -15,21 +15,21 @@
 use crate::dialect::{ListPage, ListSource};
 
 /// Longest wait for one page.
-const PAGE_WITHIN: Duration = Duration::from_millis(700);
+const PAGE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Maximum number of pages of one list.
-const MOST_PAGES: usize = 200;
+const MAX_PAGES: usize = 200;
 /// Longest page, in bytes.
-const PAGE_BYTES: usize = 4 << 20;
+const MAX_PAGE_BYTES: usize = 4 << 20;
 
 /// A failed reading of the list.
 #[derive(Debug, Snafu)]
 pub enum ListError {
     /// A page did not arrive in time.
-    #[snafu(display("no answer within {PAGE_WITHIN:?}"))]
-    Slow,
+    #[snafu(display("no answer within {PAGE_TIMEOUT:?}"))]
+    Timeout,
     /// The connection failed, or a page can't be parsed.
     #[snafu(display("{why}"))]
-    Lost {
+    Failed {
         /// Details.
         why: String,
     },
@@ -40,8 +40,8 @@
         status: u16,
     },
     /// The list has too many pages.
-    #[snafu(display("more than {MOST_PAGES} pages"))]
-    Endless,
+    #[snafu(display("more than {MAX_PAGES} pages"))]
+    TooManyPages,
 }
 
 /// One connection to the platform's list, kept between readings.
@@ -52,21 +52,24 @@
 
 impl ListReader {
     /// All entries, and how many entries can't be parsed.
-    pub async fn list(&mut self, source: &ListSource) -> Result<(Vec<Listed>, u32), ListError> {
-        let listed = self.pages(source).await;
+    pub async fn read_list(
+        &mut self,
+        source: &ListSource,
+    ) -> Result<(Vec<Listed>, u32), ListError> {
+        let listed = self.read_pages(source).await;
         if listed.is_err() {
             self.sender = None;
         }
         listed
     }
 
-    async fn pages(&mut self, source: &ListSource) -> Result<(Vec<Listed>, u32), ListError> {
+    async fn read_pages(&mut self, source: &ListSource) -> Result<(Vec<Listed>, u32), ListError> {
         let mut listed = Vec::new();
         let mut unreadable = 0;
         let mut path = source.path.clone();
-        for _ in 0..MOST_PAGES {
-            let reading = timeout(PAGE_WITHIN, self.page(source, &path)).await;
-            let page = reading.unwrap_or(Err(ListError::Slow))?;
+        for _ in 0..MAX_PAGES {
+            let reading = timeout(PAGE_TIMEOUT, self.read_page(source, &path)).await;
+            let page = reading.unwrap_or(Err(ListError::Timeout))?;
             listed.extend(page.listed);
             unreadable += page.unreadable;
             match page.next {
@@ -74,11 +77,11 @@
                 None => return Ok((listed, unreadable)),
             }
         }
-        EndlessSnafu.fail()
+        TooManyPagesSnafu.fail()
     }
 
-    async fn page(&mut self, source: &ListSource, path: &str) -> Result<ListPage, ListError> {
-        let lost = |why: String| ListError::Lost { why };
+    async fn read_page(&mut self, source: &ListSource, path: &str) -> Result<ListPage, ListError> {
+        let lost = |why: String| ListError::Failed { why };
         let mut sender = match self.sender.take().filter(SendRequest::is_ready) {
             Some(sender) => sender,
             None => connect(source).await?,
@@ -90,7 +93,9 @@
         let answer = sender.send_request(req).await;
         let answer = answer.map_err(|e| lost(e.to_string()))?;
         let status = answer.status();
-        let body = Limited::new(answer.into_body(), PAGE_BYTES).collect().await;
+        let body = Limited::new(answer.into_body(), MAX_PAGE_BYTES)
+            .collect()
+            .await;
         let body = body.map_err(|e| lost(e.to_string()))?.to_bytes();
         self.sender = Some(sender);
         if !status.is_success() {
@@ -102,7 +107,7 @@
 }
 
 async fn connect(source: &ListSource) -> Result<SendRequest<Full<Bytes>>, ListError> {
-    let lost = |why: String| ListError::Lost { why };
+    let lost = |why: String| ListError::Failed { why };
     let socket = TcpStream::connect(source.addr).await;
     let socket = socket.map_err(|e| lost(e.to_string()))?;
     let handshake = Builder::new().handshake(TokioIo::new(socket)).await;
--- a/crates/anvil_gateway/src/metrics.rs
+++ b/crates/anvil_gateway/src/metrics.rs
@@ -15,56 +15,56 @@
 /// Time from a request's arrival to the start of its response. Milliseconds.
 pub const FIRST_PIECE: &str = "request.first_piece";
 /// Time from a request's arrival to its end. Milliseconds.
-pub const TOOK: &str = "request.took";
+pub const REQUEST_TIME: &str = "request.took";
 /// Time that requests waited for grants. Milliseconds.
-pub const MONEY_WAIT: &str = "request.money_wait";
+pub const GRANT_WAIT: &str = "request.money_wait";
 /// Time that requests waited for the first routing table, or for new incarnations of endpoints.
 /// Milliseconds.
-pub const ARRIVAL_WAIT: &str = "request.arrival_wait";
+pub const AVAILABILITY_WAIT: &str = "request.arrival_wait";
 /// Time between two events of a stream. Milliseconds.
-pub const GAP: &str = "stream.gap";
+pub const STREAM_GAP: &str = "stream.gap";
 /// Requests sent to endpoints. Count.
-pub const TRIES: &str = "tries.sent";
+pub const ATTEMPTS: &str = "tries.sent";
 /// Of these, the ones after a request's first attempt. Count.
-pub const TRIES_AGAIN: &str = "tries.again";
+pub const ATTEMPTS_AFTER_FIRST: &str = "tries.again";
 /// Attempts that certainly did not run. Count.
-pub const TRIES_NOT_RUN: &str = "tries.not_run";
+pub const ATTEMPTS_NOT_RUN: &str = "tries.not_run";
 /// Attempts that may have run and whose response was lost. Count.
-pub const TRIES_IN_DOUBT: &str = "tries.in_doubt";
+pub const ATTEMPTS_IN_DOUBT: &str = "tries.in_doubt";
 /// Retries that the shared budget did not allow. Count.
-pub const TRIES_DENIED: &str = "tries.denied";
+pub const RETRIES_DENIED: &str = "tries.denied";
 /// Attempts that told the endpoint to copy a cached prompt prefix from another one. Count.
-pub const TRIES_COPIED: &str = "tries.copied";
+pub const ATTEMPTS_WITH_COPY: &str = "tries.copied";
 /// Endpoints that crashed under requests. Count.
 pub const CRASHES: &str = "endpoints.crashed";
 /// Of these, the ones whose report was dropped because too many were pending. Count.
-pub const CRASHES_UNTOLD: &str = "endpoints.crashed_untold";
+pub const CRASHES_UNREPORTED: &str = "endpoints.crashed_untold";
 /// Requests in quarantine because endpoints crash under them. Gauge.
 pub const QUARANTINED: &str = "requests.quarantined";
 /// Responses whose rate limit can't be parsed. Count.
 pub const LIMITS_UNREADABLE: &str = "endpoints.limit_unreadable";
 /// Endpoints that announced a rate limit to all gateways together. Gauge.
-pub const LIMITED: &str = "endpoints.limited";
+pub const ENDPOINTS_LIMITED: &str = "endpoints.limited";
 /// Requests sent to these, relative to what this gateway could have sent. Gauge, percent.
 pub const LIMIT_USED: &str = "endpoints.limit_used";
 /// Streams resumed by another endpoint. Count.
-pub const RESUMED: &str = "streams.resumed";
+pub const STREAMS_RESUMED: &str = "streams.resumed";
 /// Readings of the platform's list by this gateway. Count.
 pub const LIST_READ: &str = "list.read";
 /// Lists received from a sibling. Count.
-pub const LIST_TOLD: &str = "list.told";
+pub const LIST_FROM_SIBLING: &str = "list.told";
 /// Requests in progress. Gauge.
-pub const OPEN: &str = "requests.open";
+pub const OPEN_REQUESTS: &str = "requests.open";
 /// Version of the routing table in force. Gauge.
-pub const TABLE: &str = "table.version";
+pub const TABLE_VERSION: &str = "table.version";
 /// Gateways that share the retry budget. Gauge.
 pub const GATEWAYS: &str = "gateways";
 /// Endpoints that accept requests. Gauge.
-pub const ENDPOINTS: &str = "endpoints.open";
+pub const ENDPOINTS_AVAILABLE: &str = "endpoints.open";
 /// Endpoints on cooldown. Gauge.
-pub const ENDPOINTS_SHUT: &str = "endpoints.shut";
+pub const ENDPOINTS_ON_COOLDOWN: &str = "endpoints.shut";
 /// Time since the ledger last confirmed the cached state. Gauge, milliseconds.
-pub const CONFIRMED_AGE: &str = "age.ledger";
+pub const LEDGER_AGE: &str = "age.ledger";
 /// Time since the platform's list was last read. Gauge, milliseconds.
 pub const LIST_AGE: &str = "age.list";
 
@@ -74,31 +74,31 @@
     (ENDPOINT_FAILED, "count"),
     (CLIENT_LEFT, "count"),
     (FIRST_PIECE, "milliseconds"),
-    (TOOK, "milliseconds"),
-    (MONEY_WAIT, "milliseconds"),
-    (ARRIVAL_WAIT, "milliseconds"),
-    (GAP, "milliseconds"),
-    (TRIES, "count"),
-    (TRIES_AGAIN, "count"),
-    (TRIES_NOT_RUN, "count"),
-    (TRIES_IN_DOUBT, "count"),
-    (TRIES_DENIED, "count"),
-    (TRIES_COPIED, "count"),
+    (REQUEST_TIME, "milliseconds"),
+    (GRANT_WAIT, "milliseconds"),
+    (AVAILABILITY_WAIT, "milliseconds"),
+    (STREAM_GAP, "milliseconds"),
+    (ATTEMPTS, "count"),
+    (ATTEMPTS_AFTER_FIRST, "count"),
+    (ATTEMPTS_NOT_RUN, "count"),
+    (ATTEMPTS_IN_DOUBT, "count"),
+    (RETRIES_DENIED, "count"),
+    (ATTEMPTS_WITH_COPY, "count"),
     (CRASHES, "count"),
-    (CRASHES_UNTOLD, "count"),
+    (CRASHES_UNREPORTED, "count"),
     (QUARANTINED, "gauge"),
     (LIMITS_UNREADABLE, "count"),
-    (LIMITED, "gauge"),
+    (ENDPOINTS_LIMITED, "gauge"),
     (LIMIT_USED, "gauge"),
-    (RESUMED, "count"),
+    (STREAMS_RESUMED, "count"),
     (LIST_READ, "count"),
-    (LIST_TOLD, "count"),
-    (OPEN, "gauge"),
-    (TABLE, "gauge"),
+    (LIST_FROM_SIBLING, "count"),
+    (OPEN_REQUESTS, "gauge"),
+    (TABLE_VERSION, "gauge"),
     (GATEWAYS, "gauge"),
-    (ENDPOINTS, "gauge"),
-    (ENDPOINTS_SHUT, "gauge"),
-    (CONFIRMED_AGE, "gauge"),
+    (ENDPOINTS_AVAILABLE, "gauge"),
+    (ENDPOINTS_ON_COOLDOWN, "gauge"),
+    (LEDGER_AGE, "gauge"),
     (LIST_AGE, "gauge"),
 ];
 
@@ -106,25 +106,31 @@
     /// Updates the gauges.
     pub fn measure(&self) {
         let now = self.now_ms();
-        let (open, shut) = self.directory.count(self.life.now());
+        let (open, shut) = self.directory.count_available(self.lifecycle.now());
         let (limited, limit_used) = self.measure_limits();
         let table = self.table.load();
         let table = table.as_ref().map_or(0, |table| table.version);
-        let list_age = self.listings.age().min(self.life.now()).as_millis();
+        let list_age = self.list_cache.age().min(self.lifecycle.now()).as_millis();
         let list_age = u64::try_from(list_age).unwrap_or(u64::MAX);
         let age = |at: u64| now.saturating_sub(at);
         for (name, value) in [
-            (OPEN, u64::from(self.open.load(Ordering::Relaxed))),
-            (TABLE, table),
+            (
+                OPEN_REQUESTS,
+                u64::from(self.open_requests.load(Ordering::Relaxed)),
+            ),
+            (TABLE_VERSION, table),
             (GATEWAYS, u64::from(self.gateways.load(Ordering::Relaxed))),
-            (ENDPOINTS, open),
-            (ENDPOINTS_SHUT, shut),
+            (ENDPOINTS_AVAILABLE, open),
+            (ENDPOINTS_ON_COOLDOWN, shut),
             (QUARANTINED, self.suspects.count_quarantined()),
-            (LIMITED, limited),
+            (ENDPOINTS_LIMITED, limited),
             (LIMIT_USED, limit_used),
-            (CONFIRMED_AGE, age(self.confirmed.load(Ordering::Relaxed))),
+            (
+                LEDGER_AGE,
+                age(self.ledger_confirmed_ms.load(Ordering::Relaxed)),
+            ),
             (LIST_AGE, list_age),
-            (LOG_DROPPED, self.dropped.count()),
+            (LOG_DROPPED, self.dropped_log_lines.count()),
         ] {
             self.metrics.gauge(name, value);
         }
@@ -134,7 +140,8 @@
     fn measure_limits(&self) -> (u64, u64) {
         let all = self.directory.all();
         let limited = all.iter().filter(|endpoint| endpoint.limit().is_some());
-        let used = limited.map(|endpoint| endpoint.limit_used(self.life.now(), self.turn()));
+        let used = limited
+            .map(|endpoint| endpoint.limit_used(self.lifecycle.now(), self.share_position()));
         let (mut count, mut sent, mut might) = (0, 0, 0_u64);
         for (one_sent, one_might) in used {
             count += 1;
--- a/crates/anvil_gateway/src/pool.rs
+++ b/crates/anvil_gateway/src/pool.rs
@@ -19,21 +19,21 @@
 
 /// Connect timeout. The next endpoint is tried instead, since a lost SYN is retransmitted only
 /// after a second.
-const CONNECT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// For how long an idle connection is reused if the endpoint does not announce its idle timeout.
-const KEEP: Duration = Duration::from_secs(4);
+const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(4);
 /// Fraction of the endpoint's idle timeout in which a connection is reused. If the endpoint closes
 /// the connection while a request is on its way, it is unknown whether the request ran.
-const KEEP_PART: f64 = 0.6;
+const IDLE_TIME_FRACTION: f64 = 0.6;
 /// Maximum number of idle connections to one endpoint.
-const MOST_IDLE: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 /// A connection could not be made, so nothing was sent.
 #[derive(Debug, Snafu)]
 pub enum ConnectError {
     /// Connecting timed out.
-    #[snafu(display("no connection to {addr} within {CONNECT:?}"))]
-    Slow {
+    #[snafu(display("no connection to {addr} within {CONNECT_TIMEOUT:?}"))]
+    Timeout {
         /// Address.
         addr: SocketAddr,
     },
@@ -62,22 +62,22 @@
     /// What was observed on it.
     pub watch: Arc<ConnectionWatch>,
     /// Whether it has carried a request before.
-    pub used: bool,
+    pub reused: bool,
 }
 
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     watch: Arc<ConnectionWatch>,
-    until: Instant,
+    expires_at: Instant,
 }
 
 /// The connections to one endpoint.
-pub struct Pool {
+pub struct ConnectionPool {
     addr: SocketAddr,
-    idle: Mutex<Vec<Idle>>,
+    idle: Mutex<Vec<IdleConnection>>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Creates an empty pool.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
@@ -88,11 +88,11 @@
 
     /// The most recently used idle connection, or a new one.
     pub async fn take(&self) -> Result<Connection, ConnectError> {
-        if let Some(Idle { sender, watch, .. }) = self.take_idle() {
+        if let Some(IdleConnection { sender, watch, .. }) = self.take_idle() {
             return Ok(Connection {
                 sender,
                 watch,
-                used: true,
+                reused: true,
             });
         }
         self.connect().await
@@ -101,9 +101,9 @@
     /// A new connection.
     pub async fn connect(&self) -> Result<Connection, ConnectError> {
         let addr = self.addr;
-        let connecting = timeout(CONNECT, TcpStream::connect(addr)).await;
+        let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
         let Ok(socket) = connecting else {
-            return SlowSnafu { addr }.fail();
+            return TimeoutSnafu { addr }.fail();
         };
         let socket = socket.context(RefusedSnafu { addr })?;
         // Without TCP_NODELAY the end of a request may wait for an acknowledgement. If setting it
@@ -119,7 +119,7 @@
         Ok(Connection {
             sender,
             watch,
-            used: false,
+            reused: false,
         })
     }
 
@@ -133,14 +133,16 @@
         if sender.is_closed() {
             return;
         }
-        let keeps = keeps.unwrap_or(KEEP).mul_f64(KEEP_PART);
+        let keeps = keeps
+            .unwrap_or(DEFAULT_IDLE_TIME)
+            .mul_f64(IDLE_TIME_FRACTION);
         let until = Instant::now() + keeps;
         let mut idle = self.lock();
-        if idle.len() < MOST_IDLE {
-            idle.push(Idle {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(IdleConnection {
                 sender,
                 watch,
-                until,
+                expires_at: until,
             });
         }
     }
@@ -150,15 +152,15 @@
         self.lock().clear();
     }
 
-    fn take_idle(&self) -> Option<Idle> {
+    fn take_idle(&self) -> Option<IdleConnection> {
         let now = Instant::now();
         let mut idle = self.lock();
-        idle.retain(|idle| now < idle.until && !idle.sender.is_closed());
+        idle.retain(|idle| now < idle.expires_at && !idle.sender.is_closed());
         let newest = idle.iter().rposition(|idle| idle.sender.is_ready())?;
         Some(idle.remove(newest))
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Idle>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<IdleConnection>> {
         // Sound after a panic elsewhere: each connection is checked before use.
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/anvil_gateway/src/reply.rs
+++ b/crates/anvil_gateway/src/reply.rs
@@ -124,7 +124,7 @@
     }
 
     /// Whether the request has not run and the client may retry it.
-    pub fn may_come_again(self) -> bool {
+    pub fn may_retry(self) -> bool {
         let status = self.status();
         status == StatusCode::SERVICE_UNAVAILABLE || status == StatusCode::TOO_MANY_REQUESTS
     }
@@ -138,7 +138,7 @@
     *reply.status_mut() = cause.status();
     let headers = reply.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    if let Some(after) = come_again.filter(|_| cause.may_come_again()) {
+    if let Some(after) = come_again.filter(|_| cause.may_retry()) {
         let seconds = format!("{:.3}", after.as_secs_f64());
         if let Ok(value) = HeaderValue::try_from(seconds) {
             headers.insert(RETRY_AFTER, value);
@@ -175,7 +175,7 @@
 ];
 
 /// Removes headers that apply only to the connection to the endpoint.
-pub fn strip(headers: &mut HeaderMap) {
+pub fn remove_connection_headers(headers: &mut HeaderMap) {
     for name in ONE_CONNECTION {
         headers.remove(name);
     }
--- a/crates/anvil_gateway/src/reports.rs
+++ b/crates/anvil_gateway/src/reports.rs
@@ -9,9 +9,9 @@
 use crate::gateway::Gateway;
 
 /// Longest wait for the ledger to accept a report.
-const TAKEN_WITHIN: Duration = Duration::from_secs(2);
+const ACCEPT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause before a report is sent again.
-const AGAIN: Duration = Duration::from_millis(100);
+const RESEND_PAUSE: Duration = Duration::from_millis(100);
 
 /// Sends the reports that `next` returns, whenever `wanted` is notified, for as long as the process
 /// runs. `next` returns the same report until `taken` was called with it, so the ledger may receive
@@ -27,10 +27,10 @@
             wanted.notified().await;
             continue;
         };
-        match gw.ledger.propose(report.clone(), TAKEN_WITHIN).await {
+        match gw.ledger.propose(report.clone(), ACCEPT_TIMEOUT).await {
             Ok(_) => taken(&report),
             // The report is applied locally in the meantime.
-            Err(_) => sleep(AGAIN).await,
+            Err(_) => sleep(RESEND_PAUSE).await,
         }
     }
 }
--- a/crates/anvil_gateway/src/money.rs
+++ b/crates/anvil_gateway/src/request_charge.rs
@@ -7,61 +7,65 @@
 
 /// Tokens reserved for one request. Dropping it settles what was used, however the request ended:
 /// answered, failed, or abandoned by its client.
-pub struct Spend {
-    purse: Arc<Purse>,
+pub struct RequestCharge {
+    grant_account: Arc<Purse>,
     reservation: Option<Reservation>,
     prompt: Tokens,
     output: Tokens,
-    ran: bool,
+    may_have_run: bool,
 }
 
-impl Spend {
+impl RequestCharge {
     /// Starts with a reservation that covers the prompt and the maximum output.
     pub fn new(purse: Arc<Purse>, reservation: Reservation, prompt: Tokens) -> Self {
         Self {
-            purse,
+            grant_account: purse,
             reservation: Some(reservation),
             prompt,
             output: 0,
-            ran: false,
+            may_have_run: false,
         }
     }
 
     /// Records that an endpoint may have begun: from now on the prompt is charged, once.
-    pub fn begun(&mut self) {
-        self.ran = true;
+    pub fn record_begun(&mut self) {
+        self.may_have_run = true;
     }
 
     /// Records that the request did not run.
-    pub fn not_run(&mut self) {
-        self.ran = false;
+    pub fn record_not_run(&mut self) {
+        self.may_have_run = false;
     }
 
     /// The cost so far in tokens; at most the reserved amount.
     pub fn cost(&self) -> Tokens {
         let bound = self.reservation.as_ref().map_or(0, Reservation::bound);
         let cost = self.prompt.saturating_add(self.output);
-        if self.ran { cost.min(bound) } else { 0 }
+        if self.may_have_run {
+            cost.min(bound)
+        } else {
+            0
+        }
     }
 
     /// Records output that was handed to the client.
-    pub fn delivered(&mut self, tokens: Tokens) {
+    pub fn record_output(&mut self, tokens: Tokens) {
         self.output = self.output.saturating_add(tokens);
     }
 }
 
-impl Drop for Spend {
+impl Drop for RequestCharge {
     fn drop(&mut self) {
         let cost = self.cost();
         let Some(reservation) = self.reservation.take() else {
             return;
         };
-        if !self.ran {
-            self.purse.release(reservation);
+        if !self.may_have_run {
+            self.grant_account.release(reservation);
             return;
         }
         // On a broken invariant the grant account refuses everything that follows, and the grant
         // loop logs it.
-        let _ = self.purse.settle(reservation, cost);
+        let _ = self.grant_account.settle(reservation, cost);
     }
 }
--- a/crates/anvil_gateway/src/content.rs
+++ b/crates/anvil_gateway/src/request_digest.rs
@@ -8,7 +8,7 @@
 use crate::table::{Organisation, Route};
 
 /// Bytes of the hash that are kept.
-const KEPT: usize = 16;
+const DIGEST_BYTES: usize = 16;
 
 /// Equal only for requests of the same organisation, host, method, path, query and body.
 pub fn digest(
@@ -27,11 +27,11 @@
         hash.update([0]);
     }
     hash.update(body);
-    let kept = hash.finalize().into_iter().take(KEPT);
+    let kept = hash.finalize().into_iter().take(DIGEST_BYTES);
     kept.fold(0, |number, byte| number << 8 | RequestDigest::from(byte))
 }
 
 /// The digest as hexadecimal text, for the log.
-pub fn text(digest: RequestDigest) -> String {
+pub fn to_hex(digest: RequestDigest) -> String {
     format!("{digest:032x}")
 }
--- a/crates/anvil_gateway/src/run.rs
+++ b/crates/anvil_gateway/src/run.rs
@@ -9,10 +9,10 @@
 
 use crate::gateway::Gateway;
 use crate::log_events as events;
-use crate::{discovery, endpoint_limits, follow, money_loop, serve, siblings, suspects};
+use crate::{discovery, endpoint_limits, grant_loop, ledger_updates, serve, siblings, suspects};
 
 /// Time to return grants to the ledger at a planned stop.
-const GIVE_BACK: Duration = Duration::from_millis(250);
+const RETURN_GRANTS_TIME: Duration = Duration::from_millis(250);
 
 /// Why a gateway could not start.
 #[derive(Debug, Snafu)]
@@ -50,26 +50,26 @@
     let own = gw.clone();
     let background = tokio::spawn(async move {
         let instance = own.instance();
-        let ready = serve::ready(ready, own.log.clone(), || own.is_ready());
+        let ready = serve::serve_readiness(ready, own.log.clone(), || own.is_ready());
         tokio::join!(
             ready,
-            follow::run(&own),
-            announce::run(&own.ledger, &own.life, &instance),
+            ledger_updates::run(&own),
+            announce::run(&own.ledger, &own.lifecycle, &instance),
             discovery::run(&own),
-            siblings::answer(own.clone(), siblings),
-            money_loop::run(&own),
+            siblings::serve(own.clone(), siblings),
+            grant_loop::run(&own),
             suspects::run(&own),
             endpoint_limits::run(&own),
         );
     });
-    let serving = serve::clients(gw.clone(), clients);
+    let serving = serve::serve_clients(gw.clone(), clients);
     let stopping = async {
         stop.await;
         event!(gw.log, events::GATEWAY_LEAVING);
-        gw.life.leave();
+        gw.lifecycle.leave();
     };
     tokio::join!(serving, stopping);
-    money_loop::give_back(&gw, GIVE_BACK).await;
+    grant_loop::return_grants(&gw, RETURN_GRANTS_TIME).await;
     background.abort();
     event!(gw.log, events::GATEWAY_STOPPED);
     Ok(())
--- a/crates/anvil_gateway/src/serve.rs
+++ b/crates/anvil_gateway/src/serve.rs
@@ -15,30 +15,30 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-use crate::admit::answer;
+use crate::admit::handle_request;
 use crate::gateway::Gateway;
 use crate::log_events as events;
 use crate::reply::{Reply, close_after, whole};
 use anvilreel::event;
 
 /// Idle timeout of a client's connection until a routing table sets one.
-const IDLE: Duration = Duration::from_secs(15);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// For how long a stopping process keeps accepting connections and requests: the load balancer
 /// checks once per second and acts on the second failed check.
-const STILL_TAKING: Duration = Duration::from_millis(2_600);
+const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2_600);
 /// All connections are closed this long before the end of the grace period.
-const SPARE: Duration = Duration::from_millis(350);
+const STOP_MARGIN: Duration = Duration::from_millis(350);
 /// Pause after an accept failed for lack of file descriptors or memory.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 /// Serves clients until a planned stop is complete.
-pub async fn clients(gw: Arc<Gateway>, listener: TcpListener) {
+pub async fn serve_clients(gw: Arc<Gateway>, listener: TcpListener) {
     let (tell, told) = watch::channel(false);
     let mut connections = JoinSet::new();
     let stopping = async {
-        gw.life.left().await;
+        gw.lifecycle.left().await;
         let left_at = Instant::now();
-        sleep_until(left_at + STILL_TAKING).await;
+        sleep_until(left_at + ACCEPT_AFTER_STOP).await;
         left_at
     };
     tokio::pin!(stopping);
@@ -48,11 +48,11 @@
             Some(_) = connections.join_next() => {}
             accepted = listener.accept() => match accepted {
                 Ok((socket, _)) => {
-                    connections.spawn(client(gw.clone(), socket, told.clone()));
+                    connections.spawn(serve_connection(gw.clone(), socket, told.clone()));
                 }
                 Err(e) => {
                     event!(gw.log, events::GATEWAY_CLIENT_CONNECTION, "error" => e.to_string());
-                    tokio::time::sleep(ACCEPT_AGAIN).await;
+                    tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 }
             },
         }
@@ -60,22 +60,24 @@
     drop(listener);
     // Fails only if no connection is left.
     let _ = tell.send(true);
-    let end = left_at + gw.cfg.grace.saturating_sub(SPARE);
+    let end = left_at + gw.cfg.grace.saturating_sub(STOP_MARGIN);
     while let Ok(Some(_)) = timeout_at(end, connections.join_next()).await {}
 }
 
-async fn client(gw: Arc<Gateway>, socket: TcpStream, mut told: watch::Receiver<bool>) {
+async fn serve_connection(gw: Arc<Gateway>, socket: TcpStream, mut told: watch::Receiver<bool>) {
     // Without TCP_NODELAY small chunks wait for an acknowledgement. If setting it fails, they are
     // only slower.
     let _ = socket.set_nodelay(true);
     let table = gw.table.load();
-    let idle = table.as_ref().map_or(IDLE, |table| table.limits.idle_time);
+    let idle = table
+        .as_ref()
+        .map_or(DEFAULT_IDLE_TIMEOUT, |table| table.limits.idle_time);
     drop(table);
     let service = service_fn(|req: Request<Incoming>| {
         let gw = gw.clone();
         async move {
-            let mut reply = answer(&gw, req).await;
-            if gw.life.is_leaving() || gw.is_starved() {
+            let mut reply = handle_request(&gw, req).await;
+            if gw.lifecycle.is_leaving() || gw.is_starved() {
                 close_after(&mut reply);
             }
             Ok::<Reply, Infallible>(reply)
@@ -88,7 +90,7 @@
     tokio::pin!(connection);
     let served = tokio::select! {
         served = &mut connection => served,
-        () = stopped(&mut told) => {
+        () = wait_for_stop(&mut told) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
@@ -98,13 +100,13 @@
     }
 }
 
-async fn stopped(told: &mut watch::Receiver<bool>) {
+async fn wait_for_stop(told: &mut watch::Receiver<bool>) {
     // An error means that the accept loop has ended, which happens after the stop.
     let _ = told.wait_for(|stop| *stop).await;
 }
 
 /// Answers readiness checks on any path for as long as the process runs.
-pub async fn ready(listener: TcpListener, log: Logger, is_ready: impl Fn() -> bool) {
+pub async fn serve_readiness(listener: TcpListener, log: Logger, is_ready: impl Fn() -> bool) {
     let is_ready = &is_ready;
     let mut connections = futures::stream::FuturesUnordered::new();
     loop {
@@ -112,17 +114,17 @@
         tokio::select! {
             Some(()) = connections.next() => {}
             accepted = listener.accept() => match accepted {
-                Ok((socket, _)) => connections.push(tell(socket, is_ready)),
+                Ok((socket, _)) => connections.push(answer_readiness_check(socket, is_ready)),
                 Err(e) => {
                     event!(log, events::GATEWAY_CLIENT_CONNECTION, "error" => e.to_string());
-                    tokio::time::sleep(ACCEPT_AGAIN).await;
+                    tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 }
             },
         }
     }
 }
 
-async fn tell(socket: TcpStream, is_ready: impl Fn() -> bool) {
+async fn answer_readiness_check(socket: TcpStream, is_ready: impl Fn() -> bool) {
     let service = service_fn(|_: Request<Incoming>| {
         let status = if is_ready() {
             StatusCode::OK
@@ -137,7 +139,7 @@
     });
     let connection = Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(IDLE)
+        .header_read_timeout(DEFAULT_IDLE_TIMEOUT)
         .serve_connection(TokioIo::new(socket), service);
     // On failure the load balancer receives no answer and counts the check as failed.
     let _ = connection.await;
--- a/crates/anvil_gateway/src/siblings.rs
+++ b/crates/anvil_gateway/src/siblings.rs
@@ -17,37 +17,37 @@
 
 /// For how long a sibling that did not answer is skipped: about as long as the ledger takes to
 /// regard a process as unresponsive.
-const PASSED_OVER_FOR: Duration = Duration::from_secs(5);
+const SKIP_TIME: Duration = Duration::from_secs(5);
 
 /// The gateways of one availability zone, according to the ledger's membership.
 pub struct Siblings {
-    own: InstanceId,
+    own_id: InstanceId,
     /// Addresses at which they serve siblings, including this gateway's own.
     addrs: ArcSwap<BTreeMap<InstanceId, SocketAddr>>,
     peers: Peers,
-    passed_over: Mutex<BTreeMap<InstanceId, Now>>,
+    skipped: Mutex<BTreeMap<InstanceId, Now>>,
 }
 
 impl Siblings {
     /// Contains only this gateway until the ledger reports others.
-    pub fn of(own: InstanceId, addr: SocketAddr) -> Self {
+    pub fn new(own: InstanceId, addr: SocketAddr) -> Self {
         let addrs = BTreeMap::from([(own.clone(), addr)]);
         Self {
-            own,
+            own_id: own,
             addrs: ArcSwap::from_pointee(addrs),
             peers: Peers::default(),
-            passed_over: Mutex::default(),
+            skipped: Mutex::default(),
         }
     }
 
     /// Updates the live gateways. All of them serve siblings at the same port.
-    pub fn set<'a>(&self, alive: impl Iterator<Item = &'a Instance>) {
-        let Some(own) = self.addrs.load().get(&self.own).copied() else {
+    pub fn update<'a>(&self, alive: impl Iterator<Item = &'a Instance>) {
+        let Some(own) = self.addrs.load().get(&self.own_id).copied() else {
             return;
         };
         let at = |instance: &Instance| SocketAddr::new(instance.addr.ip(), own.port());
         let mut addrs: BTreeMap<_, _> = alive.map(|i| (i.id.clone(), at(i))).collect();
-        addrs.insert(self.own.clone(), own);
+        addrs.insert(self.own_id.clone(), own);
         if addrs == **self.addrs.load() {
             return;
         }
@@ -57,8 +57,8 @@
     }
 
     /// The gateways that may read the list, in order of preference.
-    pub fn order(&self, now: Now) -> Vec<InstanceId> {
-        let mut passed_over = self.passed_over();
+    pub fn reading_order(&self, now: Now) -> Vec<InstanceId> {
+        let mut passed_over = self.skipped();
         passed_over.retain(|_, until| now < *until);
         let addrs = self.addrs.load();
         in_order(addrs.keys().cloned(), |id| passed_over.contains_key(id))
@@ -71,15 +71,13 @@
     }
 
     /// Skips a sibling that has not answered in time.
-    pub fn pass_over(&self, id: &InstanceId, now: Now) {
-        self.passed_over().insert(id.clone(), now + PASSED_OVER_FOR);
+    pub fn skip(&self, id: &InstanceId, now: Now) {
+        self.skipped().insert(id.clone(), now + SKIP_TIME);
     }
 
-    fn passed_over(&self) -> MutexGuard<'_, BTreeMap<InstanceId, Now>> {
+    fn skipped(&self) -> MutexGuard<'_, BTreeMap<InstanceId, Now>> {
         // Sound after a panic elsewhere: each entry is valid by itself.
-        self.passed_over
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
+        self.skipped.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -89,11 +87,11 @@
 }
 
 /// Serves siblings for as long as the process runs.
-pub async fn answer(gw: Arc<Gateway>, server: Server) {
+pub async fn serve(gw: Arc<Gateway>, server: Server) {
     let handlers = Handlers::default().with::<ListCall, _, _>(move |ask: ListAsk, tx| {
         let gw = gw.clone();
         async move {
-            let reply = tell(&gw, &ask).await;
+            let reply = reply_to(&gw, &ask).await;
             // Fails only if the sibling has disconnected.
             let _ = tx.finish(&reply).await;
         }
@@ -101,9 +99,9 @@
     server.serve(handlers, std::future::pending()).await;
 }
 
-async fn tell(gw: &Gateway, ask: &ListAsk) -> ListReply {
+async fn reply_to(gw: &Gateway, ask: &ListAsk) -> ListReply {
     if ask.read_within.is_zero() {
-        gw.read_wanted.notify_one();
+        gw.list_read_requested.notify_one();
     }
-    gw.listings.answer(ask, gw.cfg.list_within).await
+    gw.list_cache.answer(ask, gw.cfg.list_within).await
 }
--- a/crates/anvil_gateway/src/events.rs
+++ b/crates/anvil_gateway/src/stream_events.rs
@@ -7,7 +7,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// Longest event, in bytes. Anything longer is treated as a broken stream.
-const LONGEST: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// One complete event, including the empty line that ends it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -20,27 +20,27 @@
 
 /// Accumulates bytes and returns complete events.
 #[derive(Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     buf: BytesMut,
     /// Length of the prefix in which no event ends.
-    searched: usize,
+    searched_bytes: usize,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// Appends bytes. Returns false if the buffer is too long to be an event.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buf.extend_from_slice(bytes);
-        self.buf.len() <= LONGEST
+        self.buf.len() <= MAX_EVENT_BYTES
     }
 
     /// The next complete event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
-        let from = self.searched.saturating_sub(3);
+        let from = self.searched_bytes.saturating_sub(3);
         let Some(end) = end_of_event(&self.buf[from..]) else {
-            self.searched = self.buf.len();
+            self.searched_bytes = self.buf.len();
             return None;
         };
-        self.searched = 0;
+        self.searched_bytes = 0;
         let bytes = self.buf.split_to(from + end).freeze();
         let id = id_of(&bytes);
         Some(StreamEvent { bytes, id })
--- a/crates/anvil_gateway/src/relay.rs
+++ b/crates/anvil_gateway/src/stream_relay.rs
@@ -16,40 +16,40 @@
 use hyper::client::conn::http1::SendRequest;
 use tokio::time::{Instant, timeout_at};
 
-use crate::attempt::Answer;
+use crate::attempt::EndpointResponse;
 use crate::connection_watch::ConnectionWatch;
 use crate::dialect::AnswerHead;
-use crate::endpoint::Place;
-use crate::events::{Splitter, StreamEvent};
+use crate::endpoint::EndpointSlot;
 use crate::exchange::Exchange;
 use crate::metrics;
-use crate::reply::{BrokenOff, Cause, Reply, strip};
+use crate::reply::{BrokenOff, Cause, Reply, remove_connection_headers};
+use crate::stream_events::{EventSplitter, StreamEvent};
 
 /// A resumable stream counts as stalled after this multiple of the route's maximum gap. The client
 /// gives up after eight such gaps.
-const SILENT_GAPS: f64 = 4.0;
+const STALL_GAPS: f64 = 4.0;
 /// Time after which a stream counts as stalled if its route sets no maximum gap.
-const SILENT: Duration = Duration::from_secs(2);
+const DEFAULT_STALL_TIME: Duration = Duration::from_secs(2);
 
-struct Source {
+struct StreamSource {
     body: Incoming,
-    splitter: Splitter,
+    splitter: EventSplitter,
     sender: SendRequest<http_body_util::Full<Bytes>>,
     watch: Arc<ConnectionWatch>,
     head: AnswerHead,
-    place: Place,
+    place: EndpointSlot,
     /// What is reported should the endpoint crash now.
-    run: CrashedRun,
+    progress: CrashedRun,
 }
 
 /// A stream in progress.
-pub struct Relay {
+pub struct StreamRelay {
     exchange: Exchange,
-    source: Option<Source>,
+    source: Option<StreamSource>,
     /// Id of the last event handed to the client.
-    last: Option<u64>,
+    last_delivered: Option<u64>,
     /// The first event, read before the response head is sent.
-    ahead: Option<StreamEvent>,
+    prefetched: Option<StreamEvent>,
     /// When the last event was handed to the client.
     delivered_at: Option<Instant>,
 }
@@ -60,35 +60,35 @@
     Broken,
 }
 
-impl Relay {
+impl StreamRelay {
     /// Starts the client's response once the first event has arrived. A stream that breaks before
     /// that can still be retried elsewhere, or refused with a status.
-    pub async fn begin(exchange: Exchange, answer: Answer) -> Reply {
+    pub async fn start(exchange: Exchange, answer: EndpointResponse) -> Reply {
         let mut parts = answer.parts.clone();
-        strip(&mut parts.headers);
+        remove_connection_headers(&mut parts.headers);
         let last = exchange.ask.after;
         let mut relay = Self {
             exchange,
-            source: Some(Source::from(answer)),
-            last,
-            ahead: None,
+            source: Some(StreamSource::from(answer)),
+            last_delivered: last,
+            prefetched: None,
             delivered_at: None,
         };
-        match relay.next_anywhere(Some(&mut parts)).await {
-            Ok(event) => relay.ahead = event,
+        match relay.next_event_or_resume(Some(&mut parts)).await {
+            Ok(event) => relay.prefetched = event,
             Err(cause) => return relay.exchange.refuse((cause, Duration::ZERO)),
         }
-        relay.exchange.trace.first_piece();
+        relay.exchange.trace.record_first_piece();
         let stream = unfold(Some(relay), |relay| async move {
             let mut relay = relay?;
             match relay.next_frame().await {
                 Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(relay))),
                 Ok(None) => {
-                    relay.exchange.trace.ended("completed");
+                    relay.exchange.trace.record_outcome("completed");
                     None
                 }
                 Err(cause) => {
-                    relay.exchange.trace.ended(cause.text());
+                    relay.exchange.trace.record_outcome(cause.text());
                     Some((Err(BrokenOff), None))
                 }
             }
@@ -97,63 +97,66 @@
     }
 
     async fn next_frame(&mut self) -> Result<Option<Bytes>, Cause> {
-        let event = match self.ahead.take() {
+        let event = match self.prefetched.take() {
             Some(event) => Some(event),
-            None => self.next_anywhere(None).await?,
+            None => self.next_event_or_resume(None).await?,
         };
         let Some(event) = event else {
             return Ok(None);
         };
-        self.last = event.id.or(self.last);
+        self.last_delivered = event.id.or(self.last_delivered);
         let now = Instant::now();
         if let Some(before) = self.delivered_at.replace(now) {
-            self.exchange.trace.paused(now - before);
-            self.exchange.gw.metrics.time(metrics::GAP, now - before);
+            self.exchange.trace.record_gap(now - before);
+            self.exchange
+                .gw
+                .metrics
+                .time(metrics::STREAM_GAP, now - before);
         }
-        let tokens = self.exchange.per_event;
-        if let Some(spend) = &mut self.exchange.spend {
-            spend.delivered(tokens);
+        let tokens = self.exchange.tokens_per_event;
+        if let Some(spend) = &mut self.exchange.charge {
+            spend.record_output(tokens);
         }
         Ok(Some(event.bytes))
     }
 
     /// The next event, from the current endpoint or from one that resumes the stream. `None` at the
     /// end of the stream. `head` is replaced as long as the client has not received one.
-    async fn next_anywhere(
+    async fn next_event_or_resume(
         &mut self,
         mut head: Option<&mut http::response::Parts>,
     ) -> Result<Option<StreamEvent>, Cause> {
         loop {
-            match self.next_here().await {
+            match self.next_from_source().await {
                 Next::Event(event) => return Ok(Some(event)),
                 Next::End => {
                     self.finish();
                     return Ok(None);
                 }
                 Next::Broken => {
-                    let answer = self.go_on_elsewhere().await?;
+                    let answer = self.resume_elsewhere().await?;
                     if let Some(head) = head.as_deref_mut() {
                         *head = answer.parts.clone();
-                        strip(&mut head.headers);
+                        remove_connection_headers(&mut head.headers);
                     }
-                    self.source = Some(Source::from(answer));
+                    self.source = Some(StreamSource::from(answer));
                 }
             }
         }
     }
 
-    async fn next_here(&mut self) -> Next {
-        let until = self.silent_until();
+    async fn next_from_source(&mut self) -> Next {
+        let until = self.stall_deadline();
         let Some(source) = &mut self.source else {
             return Next::Broken;
         };
         loop {
             if let Some(event) = source.splitter.next_event() {
-                source.place.answered();
-                source.run = CrashedRun::AfterOutput;
+                source.place.response_started();
+                source.progress = CrashedRun::AfterOutput;
                 // Failure: an endpoint repeats an event, or sends one of an earlier run. Ids
                 // increase by one; an event that does not follow is not delivered.
-                if follows(self.last, event.id) {
+                if is_next_event(self.last_delivered, event.id) {
                     return Next::Event(event);
                 }
                 return Next::Broken;
@@ -179,38 +182,42 @@
 
     /// Until when the current endpoint may send nothing. Earlier than the deadline only if another
     /// endpoint may resume the stream.
-    fn silent_until(&self) -> Instant {
+    fn stall_deadline(&self) -> Instant {
         let deadline = self.exchange.deadline;
-        if !self.exchange.route.repeat.may_go_on_elsewhere() || !self.exchange.has_tries() {
+        if !self.exchange.route.repeat.may_resume_elsewhere() || !self.exchange.has_attempts_left()
+        {
             return deadline;
         }
         let gap = self.exchange.route.gap;
-        let silent = gap.map_or(SILENT, |gap| gap.mul_f64(SILENT_GAPS));
+        let silent = gap.map_or(DEFAULT_STALL_TIME, |gap| gap.mul_f64(STALL_GAPS));
         deadline.min(Instant::now() + silent)
     }
 
-    async fn go_on_elsewhere(&mut self) -> Result<Answer, Cause> {
+    async fn resume_elsewhere(&mut self) -> Result<EndpointResponse, Cause> {
         if let Some(source) = self.source.take() {
-            self.exchange
-                .answer_lost(&source.place.endpoint, source.run, "its stream broke off");
-            let last = self.last;
+            self.exchange.record_lost_response(
+                &source.place.endpoint,
+                source.progress,
+                "its stream broke off",
+            );
+            let last = self.last_delivered;
             let id = &source.place.endpoint.id;
             self.exchange
                 .trace
                 .step(format_args!("{id} broke off after {last:?}"));
             // Dropping the source closes its connection, which stops the endpoint's run.
         }
-        let late = self.exchange.left().is_zero();
+        let late = self.exchange.time_left().is_zero();
         let cause = if late { Cause::Late } else { Cause::Lost };
-        if !self.exchange.route.repeat.may_go_on_elsewhere() {
+        if !self.exchange.route.repeat.may_resume_elsewhere() {
             return Err(cause);
         }
-        self.exchange.may_go_on(cause).map_err(|(cause, _)| cause)?;
-        let last = self.last;
-        let answer = self.exchange.first_answer(last).await;
+        self.exchange.may_retry(cause).map_err(|(cause, _)| cause)?;
+        let last = self.last_delivered;
+        let answer = self.exchange.first_response(last).await;
         let answer = answer.map_err(|(cause, _)| cause)?;
         if answer.parts.status.is_success() {
-            self.exchange.gw.metrics.count(metrics::RESUMED);
+            self.exchange.gw.metrics.count(metrics::STREAMS_RESUMED);
             Ok(*answer)
         } else {
             Err(Cause::Lost)
@@ -221,29 +228,29 @@
         let Some(source) = self.source.take() else {
             return;
         };
-        self.exchange.gw.answered(self.exchange.content);
+        self.exchange.gw.record_answered(self.exchange.digest);
         let endpoint = source.place.endpoint.clone();
-        Answer::put_back(source.sender, source.watch, &endpoint, &source.head);
+        EndpointResponse::release_connection(source.sender, source.watch, &endpoint, &source.head);
     }
 }
 
-fn follows(last: Option<u64>, next: Option<u64>) -> bool {
+fn is_next_event(last: Option<u64>, next: Option<u64>) -> bool {
     match (last, next) {
         (Some(last), Some(next)) => next == last + 1,
         _ => true,
     }
 }
 
-impl From<Answer> for Source {
-    fn from(answer: Answer) -> Self {
+impl From<EndpointResponse> for StreamSource {
+    fn from(answer: EndpointResponse) -> Self {
         Self {
             body: answer.body,
-            splitter: Splitter::default(),
+            splitter: EventSplitter::default(),
             sender: answer.sender,
             watch: answer.watch,
             head: answer.head,
-            place: answer.place,
-            run: CrashedRun::BeforeOutput,
+            place: answer.slot,
+            progress: CrashedRun::BeforeOutput,
         }
     }
 }
--- a/crates/anvil_gateway/src/suspects.rs
+++ b/crates/anvil_gateway/src/suspects.rs
@@ -16,46 +16,46 @@
 use arc_swap::ArcSwap;
 use tokio::sync::Notify;
 
-use crate::content;
 use crate::gateway::Gateway;
 use crate::log_events as events;
 use crate::reports;
+use crate::request_digest;
 
 /// Unreported crashes that are kept: one for each endpoint of a large fleet. The oldest are
 /// dropped.
-const MOST_WAITING: usize = 8_192;
+const MAX_PENDING_CRASHES: usize = 8_192;
 
 /// Requests under which endpoints crashed.
 #[derive(Default)]
 pub struct Suspects {
-    told: ArcSwap<BTreeMap<RequestDigest, Told>>,
-    own: Mutex<Own>,
-    wanted: Notify,
+    from_ledger: ArcSwap<BTreeMap<RequestDigest, LedgerSuspect>>,
+    pending: Mutex<PendingReports>,
+    report_wanted: Notify,
 }
 
 /// A suspect request as the ledger reports it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Told {
+struct LedgerSuspect {
     suspect: Suspect,
     /// When the ledger first reported it to this gateway.
-    since: Now,
+    learned_at: Now,
 }
 
 /// Why a request is not sent to endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Quarantine {
     /// Time until the quarantine ends.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Endpoints that crashed under the request, as many as its quarantine required.
     pub endpoints: Vec<InstanceId>,
     /// When the ledger first reported it; `None` if only this gateway's own observations count.
-    pub told: Option<Now>,
+    pub reported_at: Option<Now>,
 }
 
 impl fmt::Display for Quarantine {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:?} crashed under it, ", self.endpoints)?;
-        match self.told {
+        match self.reported_at {
             Some(since) => write!(
                 f,
                 "told by the ledger {:.1} s after the start",
@@ -68,47 +68,48 @@
 
 /// Observations that the ledger has not accepted yet.
 #[derive(Default)]
-struct Own {
+struct PendingReports {
     crashes: VecDeque<ReportCrash>,
     /// The same crashes, by request.
-    endpoints: BTreeMap<RequestDigest, BTreeMap<InstanceId, CrashedRun>>,
+    endpoints_by_request: BTreeMap<RequestDigest, BTreeMap<InstanceId, CrashedRun>>,
     answered: BTreeSet<RequestDigest>,
 }
 
-impl Own {
+impl PendingReports {
     fn add(&mut self, crash: ReportCrash) {
         for (request, run) in &crash.requests {
-            let endpoints = self.endpoints.entry(*request).or_default();
+            let endpoints = self.endpoints_by_request.entry(*request).or_default();
             endpoints.insert(crash.endpoint.clone(), *run);
         }
         self.crashes.push_back(crash);
     }
 
-    fn remove_first(&mut self) {
+    fn remove_oldest(&mut self) {
         let Some(crash) = self.crashes.pop_front() else {
             return;
         };
         for (request, _) in &crash.requests {
-            if let Some(endpoints) = self.endpoints.get_mut(request) {
+            if let Some(endpoints) = self.endpoints_by_request.get_mut(request) {
                 endpoints.remove(&crash.endpoint);
             }
         }
-        self.endpoints.retain(|_, endpoints| !endpoints.is_empty());
+        self.endpoints_by_request
+            .retain(|_, endpoints| !endpoints.is_empty());
     }
 }
 
 impl Suspects {
     /// Records that an endpoint crashed under these requests. Returns whether an older report was
     /// dropped to make room.
-    pub fn crashed(
+    pub fn record_crash(
         &self,
         endpoint: &InstanceId,
         requests: BTreeMap<RequestDigest, CrashedRun>,
     ) -> bool {
-        let mut own = self.own();
-        let is_full = own.crashes.len() >= MOST_WAITING;
+        let mut own = self.pending();
+        let is_full = own.crashes.len() >= MAX_PENDING_CRASHES;
         if is_full {
-            own.remove_first();
+            own.remove_oldest();
         }
         own.add(ReportCrash {
             endpoint: endpoint.clone(),
@@ -116,21 +117,21 @@
             // The ledger's leader sets the time.
             at: UNIX_EPOCH,
         });
-        self.wanted.notify_one();
+        self.report_wanted.notify_one();
         is_full
     }
 
     /// Why a request is not sent to endpoints; `None` if it may be sent.
     pub fn quarantine(&self, request: RequestDigest) -> Option<Quarantine> {
-        let told = self.told.load();
+        let told = self.from_ledger.load();
         let told = told.get(&request);
         let own = {
-            let own = self.own();
+            let own = self.pending();
             // A report that it was answered is on its way to the ledger.
             if own.answered.contains(&request) {
                 return None;
             }
-            own.endpoints.get(&request).cloned()
+            own.endpoints_by_request.get(&request).cloned()
         };
         if told.is_none() && own.is_none() {
             return None;
@@ -144,39 +145,39 @@
         let left = suspect.quarantined_for(now);
         let told = told.filter(|told| told.suspect.weight() >= QUARANTINED_FROM);
         (!left.is_zero()).then(|| Quarantine {
-            left,
+            time_left: left,
             endpoints: endpoints_of(&suspect),
-            told: told.map(|told| told.since),
+            reported_at: told.map(|told| told.learned_at),
         })
     }
 
     /// Records that an endpoint answered a request, so the earlier crashes had another cause.
-    pub fn answered(&self, request: RequestDigest) {
-        let mut own = self.own();
-        let is_suspect =
-            self.told.load().contains_key(&request) || own.endpoints.contains_key(&request);
+    pub fn record_answered(&self, request: RequestDigest) {
+        let mut own = self.pending();
+        let is_suspect = self.from_ledger.load().contains_key(&request)
+            || own.endpoints_by_request.contains_key(&request);
         if is_suspect && own.answered.insert(request) {
-            self.wanted.notify_one();
+            self.report_wanted.notify_one();
         }
     }
 
     /// Number of requests in quarantine according to the ledger.
     pub fn count_quarantined(&self) -> u64 {
         let now = SystemTime::now();
-        let told = self.told.load();
+        let told = self.from_ledger.load();
         let quarantined = told
             .values()
             .filter(|told| is_quarantined(&told.suspect, now));
         quarantined.count() as u64
     }
 
-    fn own(&self) -> MutexGuard<'_, Own> {
+    fn pending(&self) -> MutexGuard<'_, PendingReports> {
         // Sound after a panic elsewhere: reports are added and removed whole.
-        self.own.lock().unwrap_or_else(PoisonError::into_inner)
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn next_report(&self) -> Option<Command> {
-        let own = self.own();
+        let own = self.pending();
         if let Some(crash) = own.crashes.front() {
             return Some(Command::ReportCrash(crash.clone()));
         }
@@ -187,11 +188,13 @@
         Some(Command::ClearSuspects(ClearSuspects { requests }))
     }
 
-    fn was_taken(&self, report: &Command) {
-        let mut own = self.own();
+    fn mark_accepted(&self, report: &Command) {
+        let mut own = self.pending();
         match report {
             // The first report is a different one if this one was dropped in the meantime.
-            Command::ReportCrash(taken) if own.crashes.front() == Some(taken) => own.remove_first(),
+            Command::ReportCrash(taken) if own.crashes.front() == Some(taken) => {
+                own.remove_oldest()
+            }
             Command::ClearSuspects(taken) => {
                 own.answered
                     .retain(|request| !taken.requests.contains(request));
@@ -214,23 +217,23 @@
     /// Applies the suspects reported by the ledger. A request that an endpoint answered here
     /// shortly before is cleared: when a zone loses power, equal requests from many clients were in
     /// flight at several endpoints.
-    pub fn take_suspects(&self, told: &BTreeMap<RequestDigest, Suspect>) {
-        let before = self.suspects.told.load_full();
+    pub fn apply_ledger_suspects(&self, told: &BTreeMap<RequestDigest, Suspect>) {
+        let before = self.suspects.from_ledger.load_full();
         let known = before
             .iter()
             .map(|(request, told)| (request, &told.suspect));
         if known.eq(told) {
             return;
         }
-        let since = self.life.now();
+        let since = self.lifecycle.now();
         let mut all = BTreeMap::new();
         for (request, suspect) in told {
             let known = before.get(request);
-            let told = Told {
+            let told = LedgerSuspect {
                 suspect: suspect.clone(),
-                since: known.map_or(since, |known| known.since),
+                learned_at: known.map_or(since, |known| known.learned_at),
             };
-            self.log_news(*request, known, &told);
+            self.log_new_quarantine(*request, known, &told);
             all.insert(*request, told);
         }
         for (request, _) in before
@@ -238,23 +241,28 @@
             .filter(|(request, _)| !told.contains_key(request))
         {
             event!(
-                self.log, events::GATEWAY_REQUEST_CLEARED, "content" => content::text(*request)
+                self.log, events::GATEWAY_REQUEST_CLEARED, "content" => request_digest::to_hex(*request)
             );
         }
-        self.suspects.told.store(Arc::new(all));
+        self.suspects.from_ledger.store(Arc::new(all));
         for request in told.keys() {
-            if self.was_answered(*request) {
-                self.suspects.answered(*request);
+            if self.was_recently_answered(*request) {
+                self.suspects.record_answered(*request);
             }
         }
     }
 
-    fn log_news(&self, request: RequestDigest, known: Option<&Told>, told: &Told) {
+    fn log_new_quarantine(
+        &self,
+        request: RequestDigest,
+        known: Option<&LedgerSuspect>,
+        told: &LedgerSuspect,
+    ) {
         let now = SystemTime::now();
         let was_quarantined = known.is_some_and(|known| is_quarantined(&known.suspect, now));
         if is_quarantined(&told.suspect, now) && !was_quarantined {
             event!(
-                self.log, events::GATEWAY_REQUEST_QUARANTINED, "content" => content::text(request),
+                self.log, events::GATEWAY_REQUEST_QUARANTINED, "content" => request_digest::to_hex(request),
                 "endpoints" => format!("{:?}", endpoints_of(&told.suspect))
             );
         }
@@ -265,6 +273,6 @@
 pub async fn run(gw: &Gateway) {
     let suspects = &gw.suspects;
     let next = || suspects.next_report();
-    let taken = |report: &Command| suspects.was_taken(report);
-    reports::run(gw, &suspects.wanted, next, taken).await;
+    let taken = |report: &Command| suspects.mark_accepted(report);
+    reports::run(gw, &suspects.report_wanted, next, taken).await;
 }
--- a/crates/anvil_gateway/src/table.rs
+++ b/crates/anvil_gateway/src/table.rs
@@ -27,7 +27,7 @@
     }
 
     /// Whether another endpoint may resume the stream after the last delivered event.
-    pub fn may_go_on_elsewhere(self) -> bool {
+    pub fn may_resume_elsewhere(self) -> bool {
         self == Self::StreamResumed
     }
 
@@ -123,9 +123,9 @@
     pub services: BTreeMap<ServiceId, Service>,
     /// Limits for clients.
     pub limits: Limits,
-    hosts: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Arc<Route>>>,
-    keys: BTreeMap<Arc<str>, Arc<Organisation>>,
-    asks_for_keys: bool,
+    routes_by_host: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Arc<Route>>>,
+    organisations_by_key: BTreeMap<Arc<str>, Arc<Organisation>>,
+    requires_keys: bool,
 }
 
 /// The contents of a table, before they are indexed.
@@ -163,9 +163,9 @@
             version: parts.version,
             services: services.map(|s| (s.id.clone(), s)).collect(),
             limits: parts.limits,
-            hosts,
-            keys,
-            asks_for_keys,
+            routes_by_host: hosts,
+            organisations_by_key: keys,
+            requires_keys: asks_for_keys,
         }
     }
 }
@@ -176,18 +176,18 @@
     /// Prefixes end with a slash, so only the slashes of the path are tried: the cost grows with
     /// the depth of the path, not with the number of routes.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let prefixes = self.hosts.get(host)?;
+        let prefixes = self.routes_by_host.get(host)?;
         let ends = path.rmatch_indices('/').map(|(at, _)| at + 1);
         ends.into_iter().find_map(|end| prefixes.get(&path[..end]))
     }
 
     /// The organisation that holds this key.
     pub fn organisation(&self, key: &str) -> Option<&Arc<Organisation>> {
-        self.keys.get(key)
+        self.organisations_by_key.get(key)
     }
 
     /// Whether requests must carry a key on routes that aren't public.
-    pub fn asks_for_keys(&self) -> bool {
-        self.asks_for_keys
+    pub fn requires_keys(&self) -> bool {
+        self.requires_keys
     }
 }
--- a/crates/anvil_gateway/tests/content.rs
+++ b/crates/anvil_gateway/tests/content.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use anvil_gateway::content::digest;
+use anvil_gateway::request_digest::digest;
 use anvil_gateway::table::{Organisation, Repeat, Route};
 use anvil_world::prelude::*;
 use bytes::Bytes;
--- a/crates/anvil_gateway/tests/direct/crashing.rs
+++ b/crates/anvil_gateway/tests/direct/crashing.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime};
 
-use anvil_gateway::content::digest;
+use anvil_gateway::request_digest::digest;
 use anvil_world::prelude::*;
 use anvil_world::suspect::CrashedRun;
 use tokio::time::{Instant, sleep};
@@ -143,7 +143,7 @@
 
 /// Asks once while only this endpoint is listed, and waits until its crash would be known.
 async fn ask_only(fleet: &Fleet, id: &str, endpoint: &Endpoint, path: &str) -> Got {
-    fleet.gw.directory.take(&[listed(id, endpoint.addr)]);
+    fleet.gw.directory.apply_list(&[listed(id, endpoint.addr)]);
     let mut client = Client::connect(fleet.addr).await;
     let got = client.ask(path, "id", "").await;
     sleep(Duration::from_millis(50)).await;
@@ -265,7 +265,7 @@
     let fleet = Fleet::start(&[("well", &well)]).await;
     fleet
         .gw
-        .take_suspects(&told(&fleet, "/stream/x", Some("key")));
+        .apply_ledger_suspects(&told(&fleet, "/stream/x", Some("key")));
     let begun = Instant::now();
     let mut client = Client::connect(fleet.addr).await;
     let headers = "x-key: key\r\nx-tokens: 100,30\r\n";
@@ -294,7 +294,7 @@
     let asking = client.ask("/idempotent/x", "id", "");
     let telling = async {
         sleep(Duration::from_millis(100)).await;
-        fleet.gw.take_suspects(&told);
+        fleet.gw.apply_ledger_suspects(&told);
     };
     let (got, ()) = tokio::join!(asking, telling);
     assert_eq!((got.status, &*got.body), (500, "why."));
@@ -308,12 +308,12 @@
     let fleet = Fleet::start(&[("well", &well)]).await;
     let told = told(&fleet, "/once/x", None);
     for (answered, status) in [(false, 503), (true, 200)] {
-        fleet.gw.take_suspects(&BTreeMap::new());
+        fleet.gw.apply_ledger_suspects(&BTreeMap::new());
         let mut client = Client::connect(fleet.addr).await;
         if answered {
             assert_eq!(client.ask("/once/x", "id", "").await.status, 200);
         }
-        fleet.gw.take_suspects(&told);
+        fleet.gw.apply_ledger_suspects(&told);
         assert_eq!(client.ask("/once/x", "id", "").await.status, status);
     }
 }
@@ -327,13 +327,13 @@
     for number in 0..CRASHES {
         let leaving = Endpoint::start(ends).await;
         let mut listed = listed(&format!("leaving-{number}"), leaving.addr);
-        fleet.gw.directory.take(std::slice::from_ref(&listed));
+        fleet.gw.directory.apply_list(std::slice::from_ref(&listed));
         let mut client = Client::connect(fleet.addr).await;
         let asking = client.ask("/once/x", "id", "");
         let leaves = async {
             sleep(Duration::from_millis(50)).await;
             listed.leaving = true;
-            fleet.gw.directory.take(std::slice::from_ref(&listed));
+            fleet.gw.directory.apply_list(std::slice::from_ref(&listed));
         };
         let (got, ()) = tokio::join!(asking, leaves);
         assert_eq!(got.status, 502);
--- a/crates/anvil_gateway/tests/direct/fleet.rs
+++ b/crates/anvil_gateway/tests/direct/fleet.rs
@@ -146,7 +146,7 @@
         for other in list.iter_mut().skip(1) {
             other.zone = "local-b".into();
         }
-        fleet.gw.directory.take(&list);
+        fleet.gw.directory.apply_list(&list);
         fleet.gw.table.store(Some(Arc::new(table(1, routes()))));
         fleet
     }
@@ -176,7 +176,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
         let gw = Arc::new(Gateway::new(cfg, log, metrics));
-        let serving = tokio::spawn(serve::clients(gw.clone(), listener));
+        let serving = tokio::spawn(serve::serve_clients(gw.clone(), listener));
         Self { gw, addr, serving }
     }
 }
--- a/crates/anvil_gateway/tests/direct/gone.rs
+++ b/crates/anvil_gateway/tests/direct/gone.rs
@@ -26,7 +26,7 @@
     let mut far = listed("well", well.addr);
     far.zone = "local-b".into();
     list.push(far);
-    fleet.gw.directory.take(&list);
+    fleet.gw.directory.apply_list(&list);
     let mut routes = routes();
     for route in &mut routes {
         route.attempts = 1;
--- a/crates/anvil_gateway/tests/direct/leaving.rs
+++ b/crates/anvil_gateway/tests/direct/leaving.rs
@@ -25,7 +25,7 @@
         (&ready[1..], false),
         (&ready[..], false),
     ] {
-        fleet.gw.directory.take(list);
+        fleet.gw.directory.apply_list(list);
         let before = leaving.received().len();
         for number in 0..10 {
             let mut client = Client::connect(fleet.addr).await;
@@ -54,7 +54,7 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     assert!(fleet.gw.is_ready());
-    fleet.gw.life.leave();
+    fleet.gw.lifecycle.leave();
     assert!(!fleet.gw.is_ready());
     let got = client.answer().await;
     assert_eq!((got.status, &*got.body), (200, "ran"));
@@ -83,7 +83,7 @@
         .send("/stream/x", "id", "content-length: 0\r\nx-wait: 20000\r\n")
         .await;
     while !client.some().await.contains("piece 1") {}
-    fleet.gw.life.leave();
+    fleet.gw.lifecycle.leave();
     let got = client.answer().await;
     assert!(!got.whole, "{got:?}");
 }
--- a/crates/anvil_gateway/tests/direct/limits.rs
+++ b/crates/anvil_gateway/tests/direct/limits.rs
@@ -175,11 +175,11 @@
         }
         served
     };
-    fleet.gw.take_limits(&told);
+    fleet.gw.apply_ledger_limits(&told);
     let served = ask(10).await;
     assert!(served <= 1, "{served} at the limit");
     endpoint.limit.store(0, Ordering::Relaxed);
-    fleet.gw.take_limits(&BTreeMap::new());
+    fleet.gw.apply_ledger_limits(&BTreeMap::new());
     assert_eq!(ask(10).await, 10, "after its end");
 }
 
@@ -213,7 +213,7 @@
     };
     fleet
         .gw
-        .take_limits(&BTreeMap::from([("later".into(), limit)]));
+        .apply_ledger_limits(&BTreeMap::from([("later".into(), limit)]));
     *text.lock().expect("a text") = line;
     let id = "later".into();
     while fleet.gw.directory.find(&id).is_none() {
--- a/crates/anvil_gateway/tests/direct/money.rs
+++ b/crates/anvil_gateway/tests/direct/money.rs
@@ -13,8 +13,8 @@
 
 /// Grants the co-op so much, as the ledger would.
 fn grant(fleet: &Fleet, id: GrantId, amount: Tokens) {
-    let purse = &fleet.gw.purse;
-    let batch = purse.batch(fleet.gw.life.now()).expect("an ask");
+    let purse = &fleet.gw.grant_account;
+    let batch = purse.batch(fleet.gw.lifecycle.now()).expect("an ask");
     let grant = Grant {
         id,
         budget: "co-op".into(),
@@ -31,7 +31,7 @@
         ..GrantBatchAnswer::default()
     };
     purse
-        .answered(fleet.gw.life.now(), &answer)
+        .answered(fleet.gw.lifecycle.now(), &answer)
         .expect("a grant");
 }
 
@@ -76,7 +76,7 @@
         (1..=4).contains(&served),
         "{served} served out of 500 tokens"
     );
-    let view = fleet.gw.purse.view("co-op");
+    let view = fleet.gw.grant_account.view("co-op");
     assert_eq!(view.free + view.reserved, 500 - served * 109);
 }
 
@@ -94,7 +94,7 @@
     }
     drop(client);
     tokio::time::sleep(Duration::from_millis(400)).await;
-    let view = fleet.gw.purse.view("co-op");
+    let view = fleet.gw.grant_account.view("co-op");
     assert_eq!((view.free, view.reserved), (500, 0));
 }
 
@@ -117,7 +117,7 @@
     while !client.some().await.contains("piece 1") {}
     drop(client);
     tokio::time::sleep(Duration::from_millis(400)).await;
-    let view = fleet.gw.purse.view("co-op");
+    let view = fleet.gw.grant_account.view("co-op");
     assert_eq!((view.free, view.reserved), (500 - 103, 0));
 }
 
@@ -130,7 +130,7 @@
     let mut client = Client::connect(fleet.addr).await;
     let headers = format!("{KEY}x-tokens: 100,30\r\n");
     assert_eq!(client.ask("/stream/x", "id", &headers).await.status, 503);
-    let view = fleet.gw.purse.view("co-op");
+    let view = fleet.gw.grant_account.view("co-op");
     assert_eq!((view.free, view.reserved), (500, 0));
 }
 
@@ -140,12 +140,12 @@
 async fn a_gateway_that_cannot_pay_sends_its_clients_elsewhere() {
     let endpoint = three_events().await;
     let fleet = Fleet::start(&[("a", &endpoint)]).await;
-    fleet.gw.starve();
+    fleet.gw.mark_starved();
     assert!(!fleet.gw.is_ready());
     let mut client = Client::connect(fleet.addr).await;
     let got = client.ask("/idempotent/x", "id", "").await;
     assert!(got.head.contains("connection: close"));
-    fleet.gw.fed();
+    fleet.gw.clear_starved();
     assert!(fleet.gw.is_ready());
 }
 
@@ -170,12 +170,12 @@
     };
     fleet
         .gw
-        .purse
-        .batch(fleet.gw.life.now() + Duration::from_secs(1));
-    let asked = fleet.gw.life.now();
+        .grant_account
+        .batch(fleet.gw.lifecycle.now() + Duration::from_secs(1));
+    let asked = fleet.gw.lifecycle.now();
     tokio::time::sleep(Duration::from_millis(600)).await;
     let first = again("early").await;
-    if fleet.gw.life.now() < asked + Duration::from_secs(1) {
+    if fleet.gw.lifecycle.now() < asked + Duration::from_secs(1) {
         assert!(first >= 0.2, "{first}");
         assert!(!fleet.gw.is_starved());
     }
--- a/crates/anvil_gateway/tests/direct/siblings.rs
+++ b/crates/anvil_gateway/tests/direct/siblings.rs
@@ -91,7 +91,7 @@
     }
 
     fn knows_it_leaves(&self) -> bool {
-        let group = self.gw.directory.group(crate::fleet::SERVICE);
+        let group = self.gw.directory.endpoints_of(crate::fleet::SERVICE);
         group.iter().all(|endpoint| endpoint.is_leaving())
     }
 }
@@ -118,13 +118,13 @@
         let log = Logger::root(Discard, o!());
         let gw = Arc::new(Gateway::new(cfg, log, Metrics::silent("gateway")));
         let server = siblings::listen(&gw).await.expect("an address");
-        let answering = tokio::spawn(siblings::answer(gw.clone(), server));
+        let answering = tokio::spawn(siblings::serve(gw.clone(), server));
         let tasks = vec![answering];
         running.push(Running { gw, tasks });
     }
     let instances: Vec<Instance> = running.iter().map(|r| r.gw.instance()).collect();
     for one in &mut running {
-        one.gw.siblings.set(instances.iter());
+        one.gw.siblings.update(instances.iter());
         let gw = one.gw.clone();
         one.tasks
             .push(tokio::spawn(async move { discovery::run(&gw).await }));
@@ -181,7 +181,7 @@
     }
     list.leave();
     sleep(within * 3 / 4).await;
-    zone[1].gw.list_doubted.notify_one();
+    zone[1].gw.list_mismatch.notify_one();
     let left = within.saturating_sub(begun.elapsed());
     assert!(all_know(&zone[1..], left + SLACK).await);
 }
@@ -232,6 +232,6 @@
     let zone = zone_within(20 * WITHIN, &list, 5, 3).await;
     sleep(2 * WITHIN).await;
     list.leave();
-    zone[2].gw.list_doubted.notify_one();
+    zone[2].gw.list_mismatch.notify_one();
     assert!(all_know(&zone, 3 * WITHIN + SLACK).await);
 }
--- a/crates/anvil_gateway/tests/direct/starting.rs
+++ b/crates/anvil_gateway/tests/direct/starting.rs
@@ -15,12 +15,12 @@
 async fn a_request_waits_for_the_first_routing_table() {
     let well = Endpoint::start(|_, req| vec![Step::Send(answer(req, "ran"))]).await;
     let fleet = Fleet::empty().await;
-    fleet.gw.directory.take(&[listed("well", well.addr)]);
+    fleet.gw.directory.apply_list(&[listed("well", well.addr)]);
     let gw = fleet.gw.clone();
     tokio::spawn(async move {
         sleep(Duration::from_millis(100)).await;
         gw.table.store(Some(Arc::new(table(1, routes()))));
-        gw.news.notify_waiters();
+        gw.state_changed.notify_waiters();
     });
     let mut client = Client::connect(fleet.addr).await;
     let got = client.ask("/once/x", "id-1", "").await;
@@ -53,8 +53,8 @@
     let addr = well.addr;
     tokio::spawn(async move {
         sleep(Duration::from_millis(200)).await;
-        gw.directory.take(&[listed("after", addr)]);
-        gw.news.notify_waiters();
+        gw.directory.apply_list(&[listed("after", addr)]);
+        gw.state_changed.notify_waiters();
     });
     let mut client = Client::connect(fleet.addr).await;
     let got = client.ask("/once/x", "id-1", "").await;
@@ -90,8 +90,8 @@
     let addr = well.addr;
     tokio::spawn(async move {
         sleep(Duration::from_millis(300)).await;
-        gw.directory.take(&[listed("after", addr)]);
-        gw.news.notify_waiters();
+        gw.directory.apply_list(&[listed("after", addr)]);
+        gw.state_changed.notify_waiters();
     });
     for number in 0..4 {
         let mut client = Client::connect(fleet.addr).await;
