--- a/crates/anvil_gateway/tests/listing.rs
+++ b/crates/anvil_gateway/tests/listing.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use anvil_gateway::listing::{Listings, Moment};
+use anvil_gateway::list_cache::{ListCache, Moment};
 use anvil_wire::msg::{ListAsk, ListNews, ListReply, Listed};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -27,33 +27,33 @@
 }
 
 /// A gateway that has read this list now.
-fn having(listed: Vec<Listed>) -> Listings {
-    let listings = Listings::default();
-    listings.read(Moment::now(), listed);
+fn having(listed: Vec<Listed>) -> ListCache {
+    let listings = ListCache::default();
+    listings.store_reading(Moment::now(), listed);
     listings
 }
 
-fn endpoints(listings: &Listings) -> Vec<(String, bool)> {
+fn endpoints(listings: &ListCache) -> Vec<(String, bool)> {
     let newest = listings.newest().expect("a list");
     let told = newest.endpoints();
     told.map(|l| (l.id.to_string(), l.leaving)).collect()
 }
 
-async fn reply(from: &Listings, have: u64) -> ListReply {
+async fn reply(from: &ListCache, have: u64) -> ListReply {
     from.answer(&ask(have, SECOND), SECOND).await
 }
 
 #[tokio::test]
 async fn changes_lead_to_the_same_list() {
     let reader = having(vec![listed("a", false), listed("b", false)]);
-    let other = Listings::default();
-    assert!(other.told(Moment::now(), reply(&reader, 0).await));
-    reader.read(Moment::now(), vec![listed("b", true), listed("c", false)]);
+    let other = ListCache::default();
+    assert!(other.apply_reply(Moment::now(), reply(&reader, 0).await));
+    reader.store_reading(Moment::now(), vec![listed("b", true), listed("c", false)]);
     let told = reply(&reader, other.version()).await;
     assert!(
         matches!(&told.news, ListNews::Changes { listed, gone, .. } if listed.len() == 2 && gone.len() == 1)
     );
-    assert!(other.told(Moment::now(), told));
+    assert!(other.apply_reply(Moment::now(), told));
     assert_eq!(endpoints(&other), endpoints(&reader));
     assert_eq!(other.version(), reader.version());
     let same = reply(&reader, other.version()).await;
@@ -68,7 +68,7 @@
     let other = having(vec![listed("a", true)]);
     let told = reply(&reader, other.version()).await;
     assert!(told.age >= Duration::from_millis(30));
-    assert!(!other.told(Moment::now(), told));
+    assert!(!other.apply_reply(Moment::now(), told));
     assert_eq!(endpoints(&other), [("a".to_owned(), true)]);
 }
 
@@ -77,7 +77,7 @@
 async fn changes_of_another_list_are_refused() {
     let reader = having(vec![listed("a", false), listed("b", false)]);
     let before = reader.version();
-    reader.read(Moment::now(), vec![listed("b", false)]);
+    reader.store_reading(Moment::now(), vec![listed("b", false)]);
     let told = reply(&reader, before).await;
     let other = having(vec![listed("c", false)]);
     tokio::time::sleep(Duration::from_millis(5)).await;
@@ -87,7 +87,7 @@
         held_for: Duration::ZERO,
         ..told
     };
-    assert!(!other.told(asked, told));
+    assert!(!other.apply_reply(asked, told));
     assert_eq!(endpoints(&other), [("c".to_owned(), false)]);
 }
 
@@ -95,14 +95,14 @@
 #[tokio::test]
 async fn an_asker_that_is_far_behind_is_sent_the_whole_list() {
     let reader = having(vec![listed("first", false)]);
-    let other = Listings::default();
-    assert!(other.told(Moment::now(), reply(&reader, 0).await));
+    let other = ListCache::default();
+    assert!(other.apply_reply(Moment::now(), reply(&reader, 0).await));
     for number in 0..10 {
-        reader.read(Moment::now(), vec![listed(&format!("e-{number}"), false)]);
+        reader.store_reading(Moment::now(), vec![listed(&format!("e-{number}"), false)]);
     }
     let told = reply(&reader, other.version()).await;
     assert!(matches!(told.news, ListNews::Whole { .. }));
-    assert!(other.told(Moment::now(), told));
+    assert!(other.apply_reply(Moment::now(), told));
     assert_eq!(endpoints(&other), endpoints(&reader));
 }
 
@@ -113,7 +113,7 @@
     let doubt = ask(reader.version(), Duration::ZERO);
     let (told, ()) = tokio::join!(reader.answer(&doubt, SECOND), async {
         tokio::time::sleep(Duration::from_millis(20)).await;
-        reader.read(Moment::now(), vec![listed("after", false)]);
+        reader.store_reading(Moment::now(), vec![listed("after", false)]);
     });
     assert!(matches!(told.news, ListNews::Changes { .. }));
 }
