--- a/crates/anvil_gateway/src/admit.rs
+++ b/crates/anvil_gateway/src/admit.rs
@@ -32,29 +32,29 @@
 
 /// Answers one request.
 pub async fn handle_request(gw: &Arc<Gateway>, req: Request<Incoming>) -> Reply {
-    let begun = Instant::now();
-    let (parts, body) = req.into_parts();
-    let ask = match (gw.cfg.dialect.ask)(&parts) {
-        Ok(ask) => ask,
+    let received_at = Instant::now();
+    let (head, body) = req.into_parts();
+    let request = match (gw.cfg.dialect.ask)(&head) {
+        Ok(request) => request,
         Err(e) => {
-            let mut trace = Trace::new(gw.clone(), "unknown".into(), begun);
+            let mut trace = Trace::new(gw.clone(), "unknown".into(), received_at);
             trace.step(format_args!("{e}"));
             trace.record_outcome(Cause::BadHead.text());
             return refusal(Cause::BadHead, None);
         }
     };
-    let mut trace = Trace::new(gw.clone(), ask.id.clone(), begun);
-    match admit(gw, parts, body, ask, begun, &mut trace).await {
+    let mut trace = Trace::new(gw.clone(), request.id.clone(), received_at);
+    match admit(gw, head, body, request, received_at, &mut trace).await {
         Ok(admitted) => admitted.into_exchange(gw.clone(), trace).run().await,
-        Err((cause, again)) => {
+        Err((cause, retry_after)) => {
             trace.record_outcome(cause.text());
-            refusal(cause, Some(again))
+            refusal(cause, Some(retry_after))
         }
     }
 }
 
 struct Admitted {
-    ask: Ask,
+    request: Ask,
     route: Arc<Route>,
     organisation: Option<Arc<Organisation>>,
     service: ServiceId,
@@ -63,22 +63,23 @@
     charge: Option<RequestCharge>,
     head: request::Parts,
     body: Bytes,
-    digest: RequestDigest,
+    request_digest: RequestDigest,
 }
 
 impl Admitted {
     fn into_exchange(self, gw: Arc<Gateway>, trace: Trace) -> Exchange {
-        let parts = self.ask.work.as_ref();
-        let parts = parts.map(|work| work.parts.iter().map(|p| (p.id, p.tokens)).collect());
+        let prompt_parts = self.request.work.as_ref();
+        let prompt_parts =
+            prompt_parts.map(|work| work.parts.iter().map(|p| (p.id, p.tokens)).collect());
         Exchange {
             gw,
-            prompt_parts: parts.unwrap_or_default(),
-            ask: self.ask,
+            prompt_parts: prompt_parts.unwrap_or_default(),
+            request: self.request,
             route: self.route,
             organisation: self.organisation,
             service: self.service,
             tokens_per_event: self.tokens_per_event,
-            attempts: AttemptCounter::default(),
+            attempt_counter: AttemptCounter::default(),
             deadline: self.deadline,
             charge: self.charge,
             trace,
@@ -89,7 +90,7 @@
             uri: self.head.uri,
             headers: self.head.headers,
             body: self.body,
-            digest: self.digest,
+            request_digest: self.request_digest,
         }
     }
 }
@@ -98,22 +99,22 @@
     gw: &Arc<Gateway>,
     head: request::Parts,
     body: Incoming,
-    ask: Ask,
-    begun: Instant,
+    request: Ask,
+    received_at: Instant,
     trace: &mut Trace,
 ) -> Result<Admitted, Refusal> {
-    let table = wait_for_table(gw, &ask, trace).await?;
+    let table = wait_for_table(gw, &request, trace).await?;
     let route = find_route(&table, &head).ok_or((Cause::NoRoute, DEFAULT_RETRY_AFTER))?;
     trace.record_route(&route.name, table.version);
-    let organisation = identify_sender(&table, &route, &ask)?;
+    let organisation = identify_sender(&table, &route, &request)?;
     if let Some(organisation) = &organisation {
         trace.record_organisation(&organisation.id);
     }
-    let deadline = begun + ask.patience.min(route.timeout);
+    let deadline = received_at + request.patience.min(route.timeout);
     let body = read_body(body, table.limits.body_bytes, deadline).await?;
     let payer = organisation.as_deref();
-    let content = request_digest::digest(payer, &route, &head.method, &head.uri, &body);
-    if let Some(quarantine) = gw.suspects.quarantine(content) {
+    let request_digest = request_digest::digest(payer, &route, &head.method, &head.uri, &body);
+    if let Some(quarantine) = gw.suspects.quarantine(request_digest) {
         trace.step(format_args!("in quarantine: {quarantine}"));
         return Err((Cause::CrashesEndpoints, quarantine.time_left));
     }
@@ -121,30 +122,30 @@
         .pick_service(&route)
         .ok_or((Cause::NoEndpoint, DEFAULT_RETRY_AFTER))?;
     let engine = table.services.get(&service).and_then(|s| s.engine);
-    let per_event = engine.map_or(1, |engine| engine.tokens_per_event.max(1));
-    let spend = reserve(gw, organisation.as_deref(), &ask, deadline, trace).await?;
+    let tokens_per_event = engine.map_or(1, |engine| engine.tokens_per_event.max(1));
+    let charge = reserve(gw, organisation.as_deref(), &request, deadline, trace).await?;
     Ok(Admitted {
-        ask,
+        request,
         route,
         organisation,
         service,
-        tokens_per_event: per_event,
+        tokens_per_event,
         deadline,
-        charge: spend,
+        charge,
         head,
         body,
-        digest: content,
+        request_digest,
     })
 }
 
 /// The routing table. A process that has just started waits for its first one.
 async fn wait_for_table(
     gw: &Gateway,
-    ask: &Ask,
+    request: &Ask,
     trace: &mut Trace,
 ) -> Result<Arc<RouteTable>, Refusal> {
-    let most = availability::startup_wait(gw.lifecycle.now(), ask.patience);
-    let table = availability::wait_until_available(gw, most, || gw.table.load_full()).await;
+    let max_wait = availability::startup_wait(gw.lifecycle.now(), request.patience);
+    let table = availability::wait_until_available(gw, max_wait, || gw.table.load_full()).await;
     if table.is_none() {
         trace.step(format_args!("no routing table"));
     }
@@ -153,30 +154,35 @@
 
 fn find_route(table: &RouteTable, head: &request::Parts) -> Option<Arc<Route>> {
     let host = head.headers.get(http::header::HOST)?.to_str().ok()?;
-    let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
-    table.route(name, head.uri.path()).cloned()
+    let host_name = host
+        .rsplit_once(':')
+        .map_or(host, |(host_name, _)| host_name);
+    table.route(host_name, head.uri.path()).cloned()
 }
 
 fn identify_sender(
     table: &RouteTable,
     route: &Route,
-    ask: &Ask,
+    request: &Ask,
 ) -> Result<Option<Arc<Organisation>>, Refusal> {
-    let known = ask.key.as_deref().and_then(|key| table.organisation(key));
-    if known.is_none() && table.requires_keys() && !route.public {
+    let organisation = request
+        .key
+        .as_deref()
+        .and_then(|key| table.organisation(key));
+    if organisation.is_none() && table.requires_keys() && !route.public {
         return Err((Cause::UnknownKey, DEFAULT_RETRY_AFTER));
     }
-    Ok(known.cloned())
+    Ok(organisation.cloned())
 }
 
-async fn read_body(body: Incoming, most: usize, until: Instant) -> Result<Bytes, Refusal> {
+async fn read_body(body: Incoming, max_bytes: usize, deadline: Instant) -> Result<Bytes, Refusal> {
     // A declared length over the limit is refused without reading the body.
-    if body.size_hint().lower() > most as u64 {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err((Cause::BodyTooLong, DEFAULT_RETRY_AFTER));
     }
-    let reading = Limited::new(body, most).collect();
-    match timeout_at(until, reading).await {
-        Err(_) => Err((Cause::BodyLate, DEFAULT_RETRY_AFTER)),
+    let reading = Limited::new(body, max_bytes).collect();
+    match timeout_at(deadline, reading).await {
+        Err(_) => Err((Cause::BodyTimeout, DEFAULT_RETRY_AFTER)),
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => Err((Cause::BodyTooLong, DEFAULT_RETRY_AFTER)),
         Ok(Err(_)) => Err((Cause::BadHead, DEFAULT_RETRY_AFTER)),
@@ -187,29 +193,32 @@
 async fn reserve(
     gw: &Arc<Gateway>,
     organisation: Option<&Organisation>,
-    ask: &Ask,
+    request: &Ask,
     deadline: Instant,
     trace: &mut Trace,
 ) -> Result<Option<RequestCharge>, Refusal> {
     let Some(organisation) = organisation.filter(|organisation| organisation.prepaid) else {
         return Ok(None);
     };
-    let Some(work) = &ask.work else {
+    let Some(work) = &request.work else {
         return Ok(None);
     };
     let split = Split::whole(organisation.id.clone());
-    let bound = work.prompt.saturating_add(work.most_output);
-    let mut give_up: Option<Now> = None;
-    let asked = Instant::now();
+    let max_cost = work.prompt.saturating_add(work.most_output);
+    let mut give_up_at: Option<Now> = None;
+    let wait_started = Instant::now();
     loop {
         let changed = gw.grant_account.changed();
-        let shortage = match gw.grant_account.reserve(gw.lifecycle.now(), &split, bound) {
+        let shortage = match gw
+            .grant_account
+            .reserve(gw.lifecycle.now(), &split, max_cost)
+        {
             Ok(reservation) => {
-                if give_up.is_some() {
-                    gw.metrics.time(metrics::GRANT_WAIT, asked.elapsed());
+                if give_up_at.is_some() {
+                    gw.metrics.time(metrics::GRANT_WAIT, wait_started.elapsed());
                 }
-                let spend = RequestCharge::new(gw.grant_account.clone(), reservation, work.prompt);
-                return Ok(Some(spend));
+                let charge = RequestCharge::new(gw.grant_account.clone(), reservation, work.prompt);
+                return Ok(Some(charge));
             }
             Err(shortage) => shortage,
         };
@@ -220,11 +229,11 @@
             }
             Shortage::WaitFor { until, otherwise } => (until, otherwise),
         };
-        let until = *give_up.get_or_insert(until);
-        let left = until.saturating_sub(gw.lifecycle.now());
+        let until = *give_up_at.get_or_insert(until);
+        let time_left = until.saturating_sub(gw.lifecycle.now());
         gw.grants_wanted.notify_one();
-        let ends = (Instant::now() + left).min(deadline);
-        if left.is_zero() || timeout_at(ends, changed).await.is_err() {
+        let wait_until = (Instant::now() + time_left).min(deadline);
+        if time_left.is_zero() || timeout_at(wait_until, changed).await.is_err() {
             trace.step(format_args!("money did not come: {:?}", otherwise.reason));
             return Err(match otherwise.reason {
                 Reason::BudgetExhausted(_) => (Cause::BudgetBusy, DEFAULT_RETRY_AFTER),
--- a/crates/anvil_gateway/src/attempt.rs
+++ b/crates/anvil_gateway/src/attempt.rs
@@ -77,7 +77,7 @@
     /// The request may have run.
     Doubt(Doubt),
     /// A response has begun.
-    Answer(Box<EndpointResponse>),
+    Response(Box<EndpointResponse>),
 }
 
 /// What is sent to an endpoint.
@@ -93,42 +93,46 @@
     /// Id that the response must carry.
     pub id: &'a str,
     /// The response head is awaited until then.
-    pub deadline: Instant,
+    pub response_deadline: Instant,
     /// Set to the connection on which the request is sent.
     pub watch: &'a mut Option<Arc<ConnectionWatch>>,
 }
 
-/// Sends one request to the endpoint of `place` and waits for the response head.
-pub async fn send(gw: &Gateway, place: EndpointSlot, out: OutgoingRequest<'_>) -> AttemptOutcome {
-    let endpoint = place.endpoint.clone();
-    let mut fresh = false;
+/// Sends one request to the endpoint of `slot` and waits for the response head.
+pub async fn send(
+    gw: &Gateway,
+    slot: EndpointSlot,
+    outgoing: OutgoingRequest<'_>,
+) -> AttemptOutcome {
+    let endpoint = slot.endpoint.clone();
+    let mut force_new = false;
     loop {
-        let taking = async {
-            if fresh {
+        let connecting = async {
+            if force_new {
                 endpoint.pool.connect().await
             } else {
                 endpoint.pool.take().await
             }
         };
-        let Ok(taken) = timeout_at(out.deadline, taking).await else {
+        let Ok(connected) = timeout_at(outgoing.response_deadline, connecting).await else {
             return AttemptOutcome::NotRun(NotRun::Unreachable("no time left to connect".into()));
         };
-        let mut connection = match taken {
+        let mut connection = match connected {
             Ok(connection) => connection,
             Err(e) => return AttemptOutcome::NotRun(NotRun::Unreachable(e.to_string())),
         };
         connection.watch.request_sent();
-        let sent = gw.lifecycle.now();
-        *out.watch = Some(connection.watch.clone());
-        let sending = connection.sender.try_send_request(build_request(&out));
-        let answer = match timeout_at(out.deadline, sending).await {
+        let sent_at = gw.lifecycle.now();
+        *outgoing.watch = Some(connection.watch.clone());
+        let sending = connection.sender.try_send_request(build_request(&outgoing));
+        let response = match timeout_at(outgoing.response_deadline, sending).await {
             Err(_) => return AttemptOutcome::Doubt(Doubt::Silent),
-            Ok(Ok(answer)) => answer,
+            Ok(Ok(response)) => response,
             Ok(Err(mut e)) => {
                 // The request came back unsent, so it may be sent on a new connection.
                 let unsent = e.take_message().is_some();
-                if unsent && connection.reused && !fresh {
-                    fresh = true;
+                if unsent && connection.reused && !force_new {
+                    force_new = true;
                     continue;
                 }
                 if unsent {
@@ -138,39 +142,39 @@
             }
         };
         connection.watch.response_started();
-        let (parts, body) = answer.into_parts();
+        let (parts, body) = response.into_parts();
         let head = (gw.cfg.dialect.answer)(parts.status, &parts.headers);
         // Failure: an endpoint sends a second, late response on the connection, and it is taken for
         // the response to the next request, from another client. Only the id tells them apart.
-        if head.id.as_deref().is_some_and(|id| id != out.id) {
+        if head.id.as_deref().is_some_and(|id| id != outgoing.id) {
             return AttemptOutcome::Doubt(Doubt::Misfit);
         }
-        gw.apply_announced_limit(&endpoint, sent, head.limit);
+        gw.apply_announced_limit(&endpoint, sent_at, head.limit);
         if head.not_run {
             let status = parts.status.as_u16();
             drain_refusal(connection, &endpoint, &head, body).await;
             return AttemptOutcome::NotRun(NotRun::Refused(status));
         }
-        let sound = head.sealed && !head.encoded && head.id.is_some();
-        if parts.status.is_success() && !sound {
+        let is_complete_head = head.sealed && !head.encoded && head.id.is_some();
+        if parts.status.is_success() && !is_complete_head {
             return AttemptOutcome::Doubt(Doubt::Spoiled);
         }
-        return AttemptOutcome::Answer(Box::new(EndpointResponse {
+        return AttemptOutcome::Response(Box::new(EndpointResponse {
             parts,
             head,
             body,
             sender: connection.sender,
             watch: connection.watch,
-            slot: place,
+            slot,
         }));
     }
 }
 
-fn build_request(out: &OutgoingRequest<'_>) -> Request<Full<Bytes>> {
-    let mut req = Request::new(Full::new(out.body.clone()));
-    *req.method_mut() = out.method.clone();
-    *req.uri_mut() = out.uri.clone();
-    *req.headers_mut() = out.headers.clone();
+fn build_request(outgoing: &OutgoingRequest<'_>) -> Request<Full<Bytes>> {
+    let mut req = Request::new(Full::new(outgoing.body.clone()));
+    *req.method_mut() = outgoing.method.clone();
+    *req.uri_mut() = outgoing.uri.clone();
+    *req.headers_mut() = outgoing.headers.clone();
     req
 }
 
@@ -188,8 +192,8 @@
 ) {
     use http_body_util::{BodyExt, Limited};
     let reading = Limited::new(body, MAX_REFUSAL_BYTES).collect();
-    let until = Instant::now() + REFUSAL_READ_TIMEOUT;
-    if let Ok(Ok(_)) = timeout_at(until, reading).await {
+    let deadline = Instant::now() + REFUSAL_READ_TIMEOUT;
+    if let Ok(Ok(_)) = timeout_at(deadline, reading).await {
         EndpointResponse::release_connection(connection.sender, connection.watch, endpoint, head);
     }
 }
--- a/crates/anvil_gateway/src/attempt_counter.rs
+++ b/crates/anvil_gateway/src/attempt_counter.rs
@@ -25,15 +25,15 @@
 
 impl AttemptCounter {
     /// Records the outcome of an attempt at an endpoint.
-    pub fn record(&mut self, endpoint: InstanceId, tried: &AttemptOutcome) {
+    pub fn record(&mut self, endpoint: InstanceId, outcome: &AttemptOutcome) {
         self.endpoints.push(endpoint);
-        match tried {
+        match outcome {
             AttemptOutcome::NotRun(NotRun::Unreachable(_)) => self.missing += 1,
             AttemptOutcome::NotRun(NotRun::Refused(MISDIRECTED_STATUS)) => {
                 self.missing += 1;
                 self.was_received = true;
             }
-            AttemptOutcome::NotRun(_) | AttemptOutcome::Doubt(_) | AttemptOutcome::Answer(_) => {
+            AttemptOutcome::NotRun(_) | AttemptOutcome::Doubt(_) | AttemptOutcome::Response(_) => {
                 self.counted += 1;
                 self.was_received = true;
             }
@@ -62,12 +62,12 @@
     }
 
     /// Whether another attempt is allowed if `attempts` endpoints may receive the request.
-    pub fn may_continue(&self, attempts: u32) -> bool {
-        self.counted < attempts && self.missing < MAX_MISSING_ENDPOINTS
+    pub fn may_continue(&self, max_attempts: u32) -> bool {
+        self.counted < max_attempts && self.missing < MAX_MISSING_ENDPOINTS
     }
 
     /// Whether the next attempt is the last one allowed.
-    pub fn is_last(&self, attempts: u32) -> bool {
-        self.counted + 1 >= attempts
+    pub fn is_last(&self, max_attempts: u32) -> bool {
+        self.counted + 1 >= max_attempts
     }
 }
--- a/crates/anvil_gateway/src/availability.rs
+++ b/crates/anvil_gateway/src/availability.rs
@@ -25,42 +25,43 @@
 const MAX_WAIT_DIVISOR: u32 = 4;
 
 /// Longest wait for a routing table, by the age of the process.
-pub fn startup_wait(age: Now, patience: Duration) -> Duration {
+pub fn startup_wait(age: Now, request_timeout: Duration) -> Duration {
     let expected = STARTUP_TIME.saturating_sub(age);
-    expected.min(patience / MAX_WAIT_DIVISOR)
+    expected.min(request_timeout / MAX_WAIT_DIVISOR)
 }
 
 /// Longest wait for endpoints while the list is known to be wrong.
-pub fn endpoints_wait(lag: Duration, left: Duration) -> Duration {
+pub fn endpoints_wait(lag: Duration, time_left: Duration) -> Duration {
     let expected = lag + LIST_REREAD_TIME;
-    expected.min(left / MAX_WAIT_DIVISOR)
+    expected.min(time_left / MAX_WAIT_DIVISOR)
 }
 
 /// Waits until `f` returns a value, for at most this time.
 pub async fn wait_until_available<T>(
     gw: &Gateway,
-    most: Duration,
+    max_wait: Duration,
     f: impl Fn() -> Option<T>,
 ) -> Option<T> {
     if let Some(found) = f() {
         return Some(found);
     }
-    let begun = Instant::now();
-    let found = poll_until(gw, begun + most, f).await;
-    gw.metrics.time(metrics::AVAILABILITY_WAIT, begun.elapsed());
+    let started = Instant::now();
+    let found = poll_until(gw, started + max_wait, f).await;
+    gw.metrics
+        .time(metrics::AVAILABILITY_WAIT, started.elapsed());
     found
 }
 
-async fn poll_until<T>(gw: &Gateway, until: Instant, f: impl Fn() -> Option<T>) -> Option<T> {
+async fn poll_until<T>(gw: &Gateway, deadline: Instant, f: impl Fn() -> Option<T>) -> Option<T> {
     loop {
-        let news = gw.state_changed.notified();
-        tokio::pin!(news);
+        let changed = gw.state_changed.notified();
+        tokio::pin!(changed);
         // Registers before the check, so that a change between the two is not missed.
-        news.as_mut().enable();
+        changed.as_mut().enable();
         if let Some(found) = f() {
             return Some(found);
         }
-        if timeout_at(until, news).await.is_err() {
+        if timeout_at(deadline, changed).await.is_err() {
             return f();
         }
     }
--- a/crates/anvil_gateway/src/choose.rs
+++ b/crates/anvil_gateway/src/choose.rs
@@ -52,11 +52,11 @@
         if total == 0 {
             return None;
         }
-        let mut drawn = rand::random_range(0..total);
+        let mut remaining = rand::random_range(0..total);
         let found = route.services.iter().find(|(_, weight)| {
-            let here = drawn < *weight;
-            drawn = drawn.saturating_sub(*weight);
-            here
+            let is_selected = remaining < *weight;
+            remaining = remaining.saturating_sub(*weight);
+            is_selected
         });
         found.map(|(service, _)| service.clone())
     }
@@ -74,29 +74,29 @@
         within: Duration,
     ) -> Result<Selection, Unplaced> {
         let now = self.lifecycle.now();
-        let open = self.directory.available(service, tried);
-        let home = home_of(prompt, &open);
-        let weighed = |endpoint| self.estimate(now, prompt, home, endpoint);
-        let all: Vec<Candidate<'_>> = open.iter().map(weighed).collect();
-        let best = self.reserve_best(now, &all, within)?;
-        let source = self.copy_source(service, prompt, best, &all);
-        let missing = source
+        let available = self.directory.available(service, tried);
+        let home = home_of(prompt, &available);
+        let candidate = |endpoint| self.estimate(now, prompt, home, endpoint);
+        let candidates: Vec<Candidate<'_>> = available.iter().map(candidate).collect();
+        let best = self.reserve_best(now, &candidates, within)?;
+        let source = self.copy_source(service, prompt, best, &candidates);
+        let missing_tokens = source
             .as_ref()
             .map_or(best.lacking.believed, |source| source.equivalent_tokens);
-        let grounds = best.endpoint.load().grounds(now);
-        let place = EndpointSlot::take(
+        let load_summary = best.endpoint.load().grounds(now);
+        let slot = EndpointSlot::take(
             best.endpoint.clone(),
             now,
             &self.engine_rule,
             prompt,
-            missing,
+            missing_tokens,
         );
         Ok(Selection {
-            slot: place,
+            slot,
             expected: best.expected,
-            missing_tokens: missing,
+            missing_tokens,
             copy_from: source.map(|source| source.addr),
-            load_summary: grounds,
+            load_summary,
         })
     }
 
@@ -105,7 +105,7 @@
     fn reserve_best<'a>(
         &self,
         now: Now,
-        all: &'a [Candidate<'a>],
+        candidates: &'a [Candidate<'a>],
         within: Duration,
     ) -> Result<&'a Candidate<'a>, Unplaced> {
         // A clock before the epoch still yields valid time windows.
@@ -114,28 +114,29 @@
             now,
             time_of_day: time_of_day.unwrap_or_default(),
         };
-        let turn = self.share_position();
-        let mut taking = Vec::new();
-        let mut soonest = None;
-        for weighed in all {
-            let wait = weighed.endpoint.rate_limit_wait(at, turn);
-            soonest = Some(soonest.map_or(wait, |soonest: Duration| soonest.min(wait)));
+        let position = self.share_position();
+        let mut accepting = Vec::new();
+        let mut shortest_wait = None;
+        for candidate in candidates {
+            let wait = candidate.endpoint.rate_limit_wait(at, position);
+            shortest_wait =
+                Some(shortest_wait.map_or(wait, |shortest_wait: Duration| shortest_wait.min(wait)));
             if wait.is_zero() {
-                taking.push(weighed);
+                accepting.push(candidate);
             }
         }
-        let by_rank = |weighed: &&Candidate<'_>| (weighed.on_cooldown, weighed.expected);
-        while let Some(best) = taking.iter().copied().min_by_key(by_rank) {
+        let preference = |candidate: &&Candidate<'_>| (candidate.on_cooldown, candidate.expected);
+        while let Some(best) = accepting.iter().copied().min_by_key(preference) {
             if best.expected > within {
                 return Err(Unplaced::TooLate(best.expected));
             }
-            if best.endpoint.try_count_request(at, turn) {
+            if best.endpoint.try_count_request(at, position) {
                 return Ok(best);
             }
             // A concurrent request took the last one allowed.
-            taking.retain(|weighed| weighed.endpoint.id != best.endpoint.id);
+            accepting.retain(|candidate| candidate.endpoint.id != best.endpoint.id);
         }
-        Err(soonest.map_or(Unplaced::Nobody, Unplaced::AtLimit))
+        Err(shortest_wait.map_or(Unplaced::Nobody, Unplaced::AtLimit))
     }
 
     /// The engine to copy the prefix from, if copying is much faster than recomputing it.
@@ -143,24 +144,25 @@
         &self,
         service: &str,
         prompt: &Prompt<'_>,
-        chosen: &Candidate<'_>,
-        all: &[Candidate<'_>],
+        selected: &Candidate<'_>,
+        candidates: &[Candidate<'_>],
     ) -> Option<CopySource> {
         prompt.subject()?;
         let table = self.table.load();
         let engine = table.as_ref()?.services.get(service)?.engine?;
-        let rate = Copying::between(engine.bytes_per_token, engine.link_mbps, &self.engine_rule)?;
-        let others = all.iter().filter(|other| !other.on_cooldown);
-        let others = others.filter(|other| other.endpoint.id != chosen.endpoint.id);
+        let copy_rate =
+            Copying::between(engine.bytes_per_token, engine.link_mbps, &self.engine_rule)?;
+        let others = candidates.iter().filter(|other| !other.on_cooldown);
+        let others = others.filter(|other| other.endpoint.id != selected.endpoint.id);
         let others: Vec<_> = others
             .map(|other| (other.endpoint.addr, other.lacking))
             .collect();
-        let (addr, there) = copying::source(chosen.lacking, &others)?;
+        let (addr, source_lacking) = copying::source(selected.lacking, &others)?;
         Some(CopySource {
             addr,
-            equivalent_tokens: rate.as_if_missing(
-                chosen.lacking.believed,
-                there,
+            equivalent_tokens: copy_rate.as_if_missing(
+                selected.lacking.believed,
+                source_lacking,
                 &self.engine_rule,
             ),
         })
@@ -174,25 +176,26 @@
         endpoint: &'a Arc<Endpoint>,
     ) -> Candidate<'a> {
         let load = endpoint.load();
-        let far = *endpoint.zone != *self.cfg.zone.id;
-        let way = if far {
+        let is_other_zone = *endpoint.zone != *self.cfg.zone.id;
+        let network_delay = if is_other_zone {
             self.engine_rule.other_zone
         } else {
             Duration::ZERO
         };
-        let before = way + load.set_back(RETRY_COST);
-        let shut = load.is_shut(now);
+        let base = network_delay + load.set_back(RETRY_COST);
+        let on_cooldown = load.is_shut(now);
         if prompt.parts.is_empty() {
-            let full = f64::from(load.busy(now)) / f64::from(load.slots(endpoint.slots).max(1));
-            let spread = Duration::from_micros(rand::random_range(0..500));
+            let utilisation =
+                f64::from(load.busy(now)) / f64::from(load.slots(endpoint.slots).max(1));
+            let jitter = Duration::from_micros(rand::random_range(0..500));
             return Candidate {
                 endpoint,
-                expected: before + FULL_ENDPOINT_WAIT.mul_f64(full) + spread,
+                expected: base + FULL_ENDPOINT_WAIT.mul_f64(utilisation) + jitter,
                 lacking: Lacking {
                     unsent: 0,
                     believed: 0,
                 },
-                on_cooldown: shut,
+                on_cooldown,
             };
         }
         let is_home = prompt
@@ -207,9 +210,9 @@
         let expected = load.expected(now, &self.engine_rule, believed, endpoint.slots);
         Candidate {
             endpoint,
-            expected: before + expected,
+            expected: base + expected,
             lacking: Lacking { unsent, believed },
-            on_cooldown: shut,
+            on_cooldown,
         }
     }
 }
@@ -232,9 +235,9 @@
     equivalent_tokens: Tokens,
 }
 
-fn home_of(prompt: &Prompt<'_>, group: &[Arc<Endpoint>]) -> Option<u64> {
+fn home_of(prompt: &Prompt<'_>, endpoints: &[Arc<Endpoint>]) -> Option<u64> {
     let subject = prompt.subject()?;
-    let ranks = group
+    let ranks = endpoints
         .iter()
         .map(|endpoint| home_rank(subject, &endpoint.id));
     ranks.max()
--- a/crates/anvil_gateway/src/connection_watch.rs
+++ b/crates/anvil_gateway/src/connection_watch.rs
@@ -75,7 +75,7 @@
         end == Some(End::Closed) && !self.received_data.load(Ordering::Relaxed)
     }
 
-    fn end(&self, end: End) {
+    fn set_end(&self, end: End) {
         self.ended.send_replace(Some(end));
     }
 }
@@ -100,7 +100,7 @@
     fn socket(&mut self) -> Pin<&mut TcpStream> {
         let socket = self.socket.as_mut();
         // The socket is taken out only on drop.
-        Pin::new(socket.unwrap_or_else(|| unreachable!("a socket until the drop")))
+        Pin::new(socket.unwrap_or_else(|| unreachable!("the socket is present until drop")))
     }
 }
 
@@ -115,13 +115,13 @@
             return;
         };
         if !awaited || watch.received_data.load(Ordering::Relaxed) {
-            watch.end(End::Abandoned);
+            watch.set_end(End::Abandoned);
             return;
         }
         runtime.spawn(async move {
             let reading = timeout(LINGER, read_to_end(socket, &watch));
             let end = reading.await.unwrap_or(End::Abandoned);
-            watch.end(end);
+            watch.set_end(end);
         });
     }
 }
--- a/crates/anvil_gateway/src/crashes.rs
+++ b/crates/anvil_gateway/src/crashes.rs
@@ -30,21 +30,21 @@
     pub fn record_lost_response(
         self: &Arc<Self>,
         endpoint: &Arc<Endpoint>,
-        content: RequestDigest,
-        run: CrashedRun,
+        digest: RequestDigest,
+        progress: CrashedRun,
     ) {
         if endpoint.is_leaving() {
             return;
         }
         let now = self.lifecycle.now();
-        let lost = self.crash_watch().lost(now, &endpoint.id, content, run);
-        match lost {
+        let verdict = self.crash_watch().lost(now, &endpoint.id, digest, progress);
+        match verdict {
             Lost::Wait => {}
             Lost::Look => {
                 tokio::spawn(probe(self.clone(), endpoint.clone()));
             }
             Lost::Crashed => {
-                self.report_crash(&endpoint.id, BTreeMap::from([(content, run)]), None);
+                self.report_crash(&endpoint.id, BTreeMap::from([(digest, progress)]), None);
             }
         }
     }
@@ -55,50 +55,52 @@
     }
 
     /// Records that an endpoint has answered a request completely.
-    pub fn record_answered(&self, content: RequestDigest) {
-        self.crash_watch().answered(self.lifecycle.now(), content);
-        self.suspects.record_answered(content);
+    pub fn record_answered(&self, digest: RequestDigest) {
+        self.crash_watch().answered(self.lifecycle.now(), digest);
+        self.suspects.record_answered(digest);
     }
 
     /// Records evidence that an endpoint's process has ended although it was not leaving.
     pub fn record_crash_evidence(&self, endpoint: &InstanceId, evidence: Evidence) {
-        let contents = self.crash_watch().crashed(self.lifecycle.now(), endpoint);
-        self.report_crash(endpoint, contents, Some(evidence));
+        let digests = self.crash_watch().crashed(self.lifecycle.now(), endpoint);
+        self.report_crash(endpoint, digests, Some(evidence));
     }
 
     fn report_crash(
         &self,
         endpoint: &InstanceId,
-        contents: BTreeMap<RequestDigest, CrashedRun>,
+        digests: BTreeMap<RequestDigest, CrashedRun>,
         evidence: Option<Evidence>,
     ) {
-        if contents.is_empty() {
+        if digests.is_empty() {
             return;
         }
-        self.metrics.count(metrics::CRASHES);
-        let named = contents.keys().take(MAX_LOGGED_DIGESTS);
-        let named: Vec<_> = named
-            .map(|content| request_digest::to_hex(*content))
+        self.metrics.count(metrics::ENDPOINT_CRASHES);
+        let logged = digests.keys().take(MAX_LOGGED_DIGESTS);
+        let logged: Vec<_> = logged
+            .map(|digest| request_digest::to_hex(*digest))
             .collect();
         event!(
             self.log, events::GATEWAY_ENDPOINT_CRASHED, "endpoint" => &**endpoint,
             "evidence" => evidence.map(|evidence| format!("{evidence:?}")),
-            "requests" => contents.len(), "contents" => named.join(" ")
+            "requests" => digests.len(), "contents" => logged.join(" ")
         );
-        if self.suspects.record_crash(endpoint, contents) {
+        if self.suspects.record_crash(endpoint, digests) {
             self.metrics.count(metrics::CRASHES_UNREPORTED);
         }
     }
 
     /// Whether an endpoint answered a request shortly before.
-    pub fn was_recently_answered(&self, content: RequestDigest) -> bool {
+    pub fn was_recently_answered(&self, digest: RequestDigest) -> bool {
         let now = self.lifecycle.now();
-        self.crash_watch().was_answered(now, content)
+        self.crash_watch().was_answered(now, digest)
     }
 
     fn crash_watch(&self) -> MutexGuard<'_, CrashWatch> {
         // Sound after a panic elsewhere: each entry is valid by itself.
-        self.crashes.lock().unwrap_or_else(PoisonError::into_inner)
+        self.crash_watch
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/anvil_gateway/src/directory.rs
+++ b/crates/anvil_gateway/src/directory.rs
@@ -57,7 +57,7 @@
 
 impl Directory {
     /// The endpoints of a service.
-    pub fn endpoints_of(&self, service: &str) -> EndpointGroup {
+    pub fn service_endpoints(&self, service: &str) -> EndpointGroup {
         let groups = self.groups.load();
         groups.get(service).cloned().unwrap_or_default()
     }
@@ -70,7 +70,7 @@
     }
 
     /// All endpoints.
-    pub fn all(&self) -> Vec<Arc<Endpoint>> {
+    pub fn all_endpoints(&self) -> Vec<Arc<Endpoint>> {
         let groups = self.groups.load();
         groups.values().flatten().cloned().collect()
     }
@@ -81,9 +81,9 @@
         if self.is_stale(service) {
             return EndpointGroup::new();
         }
-        let mut group = self.endpoints_of(service);
-        group.retain(|endpoint| !endpoint.is_leaving() && !tried.contains(&endpoint.id));
-        group
+        let mut endpoints = self.service_endpoints(service);
+        endpoints.retain(|endpoint| !endpoint.is_leaving() && !tried.contains(&endpoint.id));
+        endpoints
     }
 
     /// Records that another incarnation answers at the address of a listed endpoint.
@@ -121,43 +121,45 @@
     pub fn count_available(&self, now: Now) -> (u64, u64) {
         let groups = self.groups.load();
         let all = groups.values().flatten();
-        let open: Vec<_> = all.filter(|endpoint| !endpoint.is_leaving()).collect();
-        let shut = open.iter().filter(|endpoint| endpoint.load().is_shut(now));
-        (open.len() as u64, shut.count() as u64)
+        let available: Vec<_> = all.filter(|endpoint| !endpoint.is_leaving()).collect();
+        let on_cooldown = available
+            .iter()
+            .filter(|endpoint| endpoint.load().is_shut(now));
+        (available.len() as u64, on_cooldown.count() as u64)
     }
 
     /// Applies a complete list. An endpoint with the same id, address and service keeps its
     /// connections and statistics; endpoints that are not listed receive no new requests.
     pub fn apply_list(&self, list: &[Listed]) -> Changes {
-        let old = self.groups.load();
+        let previous = self.groups.load();
         let mut known: BTreeMap<&InstanceId, &Arc<Endpoint>> = BTreeMap::new();
-        for endpoint in old.values().flatten() {
+        for endpoint in previous.values().flatten() {
             known.insert(&endpoint.id, endpoint);
         }
         // Sound after a panic elsewhere: each entry is valid by itself.
-        let mut left = self
+        let mut recently_leaving = self
             .recently_leaving
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        left.retain(|_, at| at.elapsed() < LEAVING_RETENTION);
+        recently_leaving.retain(|_, last_listed| last_listed.elapsed() < LEAVING_RETENTION);
         let mut changes = Changes::default();
         let mut groups: BTreeMap<ServiceId, EndpointGroup> = BTreeMap::new();
         for listed in list {
-            let same = known.remove(&listed.id).filter(|endpoint| {
+            let unchanged = known.remove(&listed.id).filter(|endpoint| {
                 endpoint.addr == listed.addr && endpoint.service == listed.service
             });
-            let endpoint = same.cloned().unwrap_or_else(|| {
+            let endpoint = unchanged.cloned().unwrap_or_else(|| {
                 changes.added.push(listed.id.clone());
                 Arc::new(Endpoint::new(listed))
             });
             // Failure: a lagging list names an endpoint as ready that an earlier list had as
             // leaving or no longer had, so it would receive requests just before it stops.
-            let leaves = listed.leaving || left.contains_key(&listed.id);
-            if leaves && endpoint.mark_leaving() {
+            let is_leaving = listed.leaving || recently_leaving.contains_key(&listed.id);
+            if is_leaving && endpoint.mark_leaving() {
                 changes.leaving.push(listed.id.clone());
             }
             if listed.leaving {
-                left.insert(listed.id.clone(), Instant::now());
+                recently_leaving.insert(listed.id.clone(), Instant::now());
             }
             groups
                 .entry(listed.service.clone())
--- a/crates/anvil_gateway/src/discovery.rs
+++ b/crates/anvil_gateway/src/discovery.rs
@@ -66,7 +66,7 @@
 /// early wake-up, a gateway that has just read the list has no usable endpoint until the list is
 /// due again.
 async fn wait_until_due(gw: &Gateway, due: Duration) {
-    let doubted = async {
+    let found_wrong = async {
         pause_before_reread(gw).await;
         tokio::select! {
             () = gw.list_mismatch.notified() => {}
@@ -74,13 +74,13 @@
         }
     };
     // The list is read next in either case.
-    let _ = timeout(due, doubted).await;
+    let _ = timeout(due, found_wrong).await;
 }
 
 /// Pause before a wrong list is read again, long enough to keep all gateways together within the
 /// platform's call rate.
 async fn pause_before_reread(gw: &Gateway) {
-    let gateways = f64::from(gw.gateways.load(Ordering::Relaxed));
+    let gateways = f64::from(gw.gateway_count.load(Ordering::Relaxed));
     let pause = gateways / (LIST_RATE_FRACTION * gw.cfg.list.calls_per_second);
     let pause = Duration::try_from_secs_f64(pause).unwrap_or(REREAD_PAUSE.1);
     let pause = pause.clamp(REREAD_PAUSE.0, REREAD_PAUSE.1);
@@ -89,7 +89,7 @@
 
 impl Discovery {
     async fn read_from_platform(&mut self, gw: &Gateway) {
-        let begun = Moment::now();
+        let started = Moment::now();
         gw.metrics.count(metrics::LIST_READ);
         match self.reader.read_list(&gw.cfg.list).await {
             Ok((listed, unreadable)) => {
@@ -97,7 +97,7 @@
                     event!(gw.log, events::GATEWAY_LIST_BACK);
                 }
                 self.last_read_failed = false;
-                gw.list_cache.store_reading(begun, listed);
+                gw.list_cache.store_reading(started, listed);
                 self.record_source(gw, &gw.cfg.id);
                 apply_newest(gw, unreadable);
             }
@@ -107,7 +107,7 @@
                 }
                 self.last_read_failed = true;
                 // A sibling may still reach the platform.
-                gw.siblings.skip(&gw.cfg.id, gw.lifecycle.now());
+                gw.siblings.mark_skipped(&gw.cfg.id, gw.lifecycle.now());
                 sleep(FAILED_READ_PAUSE).await;
             }
         }
@@ -117,23 +117,23 @@
     /// due is skipped for a while.
     async fn request_from_sibling(&mut self, gw: &Gateway, sibling: &InstanceId, until: Duration) {
         let waiting = request_list(gw, sibling, gw.list_cache.age() / 2, until);
-        let doubted = async {
+        let found_wrong = async {
             pause_before_reread(gw).await;
             tokio::select! {
                 () = gw.list_mismatch.notified() => false,
                 () = gw.list_read_requested.notified() => true,
             }
         };
-        let told = tokio::select! {
-            told = waiting => told,
-            is_wanted = doubted => {
-                if is_wanted {
+        let newer = tokio::select! {
+            newer = waiting => newer,
+            read_requested = found_wrong => {
+                if read_requested {
                     return self.read_from_platform(gw).await;
                 }
                 request_list(gw, sibling, Duration::ZERO, until).await
             }
         };
-        match told {
+        match newer {
             Ok(true) => {
                 gw.metrics.count(metrics::LIST_FROM_SIBLING);
                 self.record_source(gw, sibling);
@@ -162,18 +162,18 @@
 ) -> Result<bool, WireError> {
     let within = until.saturating_sub(gw.list_cache.age());
     let channel = gw.siblings.channel(sibling).ok_or(WireError::Ended)?;
-    let asked = Moment::now();
-    let ask = ListAsk {
+    let asked_at = Moment::now();
+    let request = ListAsk {
         have: gw.list_cache.version(),
         read_within,
         wait: within.saturating_sub(TRANSIT_TIME),
     };
-    let reply: ListReply = channel.call::<ListCall>(&ask, within).await?;
-    Ok(gw.list_cache.apply_reply(asked, reply))
+    let reply: ListReply = channel.call::<ListCall>(&request, within).await?;
+    Ok(gw.list_cache.apply_reply(asked_at, reply))
 }
 
 fn skip_sibling(gw: &Gateway, sibling: &InstanceId, why: &str) {
-    gw.siblings.skip(sibling, gw.lifecycle.now());
+    gw.siblings.mark_skipped(sibling, gw.lifecycle.now());
     event!(
         gw.log, events::GATEWAY_SIBLING_PASSED_OVER,
         "sibling" => sibling.to_string(), "why" => why
@@ -182,10 +182,10 @@
 
 /// Applies the newest list to the directory.
 fn apply_newest(gw: &Gateway, unreadable: u32) {
-    let Some(listing) = gw.list_cache.newest() else {
+    let Some(snapshot) = gw.list_cache.newest() else {
         return;
     };
-    let listed: Vec<Listed> = listing.endpoints().cloned().collect();
+    let listed: Vec<Listed> = snapshot.endpoints().cloned().collect();
     let changes = gw.directory.apply_list(&listed);
     for endpoint in &changes.vanished {
         gw.record_crash_evidence(endpoint, Evidence::Unlisted);
--- a/crates/anvil_gateway/src/endpoint.rs
+++ b/crates/anvil_gateway/src/endpoint.rs
@@ -78,10 +78,10 @@
         &self,
         now: Now,
         sent: Now,
-        word: Option<RateLimit>,
+        limit: Option<RateLimit>,
         log: &Logger,
     ) {
-        if self.rate_share().heard(now, sent, word) {
+        if self.rate_share().heard(now, sent, limit) {
             self.log_limit("heard", log);
         }
     }
@@ -102,18 +102,18 @@
 
     /// Requests sent since the limit is known, and thousandths of requests this gateway could have
     /// sent.
-    pub fn limit_used(&self, now: Now, turn: Turn) -> (u64, u64) {
-        self.rate_share().used(now, turn)
+    pub fn limit_used(&self, now: Now, position: Turn) -> (u64, u64) {
+        self.rate_share().used(now, position)
     }
 
     /// Time until the limit allows another request; zero if it does now.
-    pub fn rate_limit_wait(&self, at: Clocks, turn: Turn) -> Duration {
-        self.rate_share().opens_in(at, turn)
+    pub fn rate_limit_wait(&self, clocks: Clocks, position: Turn) -> Duration {
+        self.rate_share().opens_in(clocks, position)
     }
 
     /// Counts a request that is about to be sent. Returns false if the limit does not allow it.
-    pub fn try_count_request(&self, at: Clocks, turn: Turn) -> bool {
-        self.rate_share().send(at, turn)
+    pub fn try_count_request(&self, clocks: Clocks, position: Turn) -> bool {
+        self.rate_share().send(clocks, position)
     }
 
     fn rate_share(&self) -> MutexGuard<'_, RateShare> {
@@ -126,9 +126,9 @@
     /// Records a failed request and puts the endpoint on cooldown.
     pub fn record_failure(&self, now: Now, log: &Logger, why: &str) {
         let mut load = self.load();
-        let was_shut = load.is_shut(now);
+        let was_on_cooldown = load.is_shut(now);
         load.failed(now);
-        if !was_shut {
+        if !was_on_cooldown {
             event!(
                 log, events::GATEWAY_ENDPOINT_SHUT,
                 "endpoint" => &*self.id, "why" => why, "failures" => load.failures()
@@ -157,19 +157,19 @@
         now: Now,
         rule: &EngineRule,
         prompt: &Prompt<'_>,
-        unread: Tokens,
+        unprocessed_tokens: Tokens,
     ) -> Self {
-        endpoint.load().start(now, rule, prompt, unread);
+        endpoint.load().start(now, rule, prompt, unprocessed_tokens);
         Self {
             endpoint,
-            unprocessed_tokens: unread,
+            unprocessed_tokens,
         }
     }
 
     /// Records that the response has begun, so the prompt has been processed.
     pub fn response_started(&mut self) {
-        let unread = std::mem::take(&mut self.unprocessed_tokens);
-        self.endpoint.load().read(unread);
+        let unprocessed_tokens = std::mem::take(&mut self.unprocessed_tokens);
+        self.endpoint.load().read(unprocessed_tokens);
     }
 }
 
--- a/crates/anvil_gateway/src/endpoint_limits.rs
+++ b/crates/anvil_gateway/src/endpoint_limits.rs
@@ -44,17 +44,17 @@
     }
 
     fn is_known_to_ledger(&self, endpoint: &InstanceId, limit: Option<RateLimit>) -> bool {
-        let told = self.from_ledger.load();
-        let Some(told) = told.get(endpoint) else {
+        let from_ledger = self.from_ledger.load();
+        let Some(known) = from_ledger.get(endpoint) else {
             return limit.is_none();
         };
-        let age = SystemTime::now().duration_since(told.at);
-        limit == Some(told.limit) && age.unwrap_or_default() < REPORT_REFRESH_AFTER
+        let age = SystemTime::now().duration_since(known.at);
+        limit == Some(known.limit) && age.unwrap_or_default() < REPORT_REFRESH_AFTER
     }
 
     fn next_report(&self) -> Option<Command> {
-        let untold = self.pending();
-        let (endpoint, limit) = untold.first_key_value()?;
+        let pending = self.pending();
+        let (endpoint, limit) = pending.first_key_value()?;
         Some(Command::ReportLimit(ReportLimit {
             endpoint: endpoint.clone(),
             limit: *limit,
@@ -64,60 +64,60 @@
     }
 
     fn mark_accepted(&self, report: &Command) {
-        let Command::ReportLimit(taken) = report else {
+        let Command::ReportLimit(accepted) = report else {
             return;
         };
-        let mut untold = self.pending();
+        let mut pending = self.pending();
         // The endpoint may have announced another limit in the meantime.
-        if untold.get(&taken.endpoint) == Some(&taken.limit) {
-            untold.remove(&taken.endpoint);
+        if pending.get(&accepted.endpoint) == Some(&accepted.limit) {
+            pending.remove(&accepted.endpoint);
         }
     }
 }
 
 impl Gateway {
     /// Applies the limit in a response to a request that was sent at `sent`.
-    pub fn apply_announced_limit(&self, endpoint: &Endpoint, sent: Now, word: AnnouncedLimit) {
-        let word = match word {
+    pub fn apply_announced_limit(&self, endpoint: &Endpoint, sent: Now, announced: AnnouncedLimit) {
+        let announced = match announced {
             AnnouncedLimit::None => None,
             AnnouncedLimit::Rate(limit) => Some(limit),
             // The previous limit stays in force.
             AnnouncedLimit::Unreadable => return self.metrics.count(metrics::LIMITS_UNREADABLE),
         };
-        endpoint.apply_announced_limit(self.lifecycle.now(), sent, word, &self.log);
+        endpoint.apply_announced_limit(self.lifecycle.now(), sent, announced, &self.log);
         let limit = endpoint.limit();
-        let heard_so = limit == word;
-        if heard_so && !self.endpoint_limits.is_known_to_ledger(&endpoint.id, limit) {
+        let is_in_force = limit == announced;
+        if is_in_force && !self.endpoint_limits.is_known_to_ledger(&endpoint.id, limit) {
             self.endpoint_limits.queue_report(&endpoint.id, limit);
         }
     }
 
     /// Applies the limits reported by the ledger.
-    pub fn apply_ledger_limits(&self, told: &BTreeMap<InstanceId, EndpointLimit>) {
-        let before = self.endpoint_limits.from_ledger.load_full();
-        if *before == *told {
+    pub fn apply_ledger_limits(&self, reported: &BTreeMap<InstanceId, EndpointLimit>) {
+        let previous = self.endpoint_limits.from_ledger.load_full();
+        if *previous == *reported {
             return;
         }
         self.endpoint_limits
             .from_ledger
-            .store(Arc::new(told.clone()));
+            .store(Arc::new(reported.clone()));
         let limit_of = |all: &BTreeMap<InstanceId, EndpointLimit>, endpoint: &InstanceId| {
-            all.get(endpoint).map(|told| told.limit)
+            all.get(endpoint).map(|reported| reported.limit)
         };
-        let all = before.keys().chain(told.keys());
+        let all = previous.keys().chain(reported.keys());
         for endpoint in all {
-            let limit = limit_of(told, endpoint);
-            if limit != limit_of(&before, endpoint) {
+            let limit = limit_of(reported, endpoint);
+            if limit != limit_of(&previous, endpoint) {
                 self.apply_ledger_limit(endpoint, limit);
             }
         }
     }
 
     /// Applies the ledger's limits to endpoints that have just been listed.
-    pub fn apply_limits_to_added(&self, came: &[InstanceId]) {
-        let told = self.endpoint_limits.from_ledger.load();
-        for endpoint in came {
-            if let Some(limit) = told.get(endpoint) {
+    pub fn apply_limits_to_added(&self, added: &[InstanceId]) {
+        let from_ledger = self.endpoint_limits.from_ledger.load();
+        for endpoint in added {
+            if let Some(limit) = from_ledger.get(endpoint) {
                 self.apply_ledger_limit(endpoint, Some(limit.limit));
             }
         }
@@ -133,7 +133,7 @@
 /// Reports limits to the ledger for as long as the process runs.
 pub async fn run(gw: &Gateway) {
     let limits = &gw.endpoint_limits;
-    let next = || limits.next_report();
-    let taken = |report: &Command| limits.mark_accepted(report);
-    reports::run(gw, &limits.report_wanted, next, taken).await;
+    let next_report = || limits.next_report();
+    let mark_accepted = |report: &Command| limits.mark_accepted(report);
+    reports::run(gw, &limits.report_wanted, next_report, mark_accepted).await;
 }
--- a/crates/anvil_gateway/src/exchange.rs
+++ b/crates/anvil_gateway/src/exchange.rs
@@ -51,7 +51,7 @@
     /// State shared by all requests.
     pub gw: Arc<Gateway>,
     /// The parsed request head.
-    pub ask: Ask,
+    pub request: Ask,
     /// The matching route.
     pub route: Arc<Route>,
     /// The organisation that sent the request.
@@ -61,7 +61,7 @@
     /// Maximum output tokens in one event.
     pub tokens_per_event: Tokens,
     /// Attempts made so far.
-    pub attempts: AttemptCounter,
+    pub attempt_counter: AttemptCounter,
     /// The request fails if it has no response by then.
     pub deadline: Instant,
     /// Its reservation; `None` if the organisation does not prepay.
@@ -85,7 +85,7 @@
     /// The complete body.
     pub body: Bytes,
     /// Equal for requests that count as the same one.
-    pub digest: RequestDigest,
+    pub request_digest: RequestDigest,
 }
 
 impl Exchange {
@@ -93,18 +93,18 @@
     pub async fn run(mut self) -> Reply {
         self.gw.count_first_attempt(&self.service);
         match self.first_response(None).await {
-            Ok(answer) if self.route.repeat.is_stream() && answer.parts.status.is_success() => {
-                StreamRelay::start(self, *answer).await
+            Ok(response) if self.route.repeat.is_stream() && response.parts.status.is_success() => {
+                StreamRelay::start_response(self, *response).await
             }
-            Ok(answer) => self.buffered_response(*answer).await,
-            Err(refused) => self.refuse(refused),
+            Ok(response) => self.buffered_response(*response).await,
+            Err(refusal) => self.refuse(refusal),
         }
     }
 
     /// Ends the request with a refusal.
-    pub fn refuse(mut self, (cause, again): Refusal) -> Reply {
+    pub fn refuse(mut self, (cause, retry_after): Refusal) -> Reply {
         self.trace.record_outcome(cause.text());
-        refusal(cause, Some(again))
+        refusal(cause, Some(retry_after))
     }
 
     /// Time left until the deadline.
@@ -120,30 +120,32 @@
     ) -> Result<Box<EndpointResponse>, Refusal> {
         let mut failure: Option<Box<EndpointResponse>> = None;
         loop {
-            let refused = match self.one_attempt(after).await {
-                Ok(AttemptOutcome::Answer(answer)) if self.is_final(&answer) => return Ok(answer),
-                Ok(AttemptOutcome::Answer(answer)) => {
+            let refusal = match self.one_attempt(after).await {
+                Ok(AttemptOutcome::Response(response)) if self.is_final(&response) => {
+                    return Ok(response);
+                }
+                Ok(AttemptOutcome::Response(response)) => {
                     self.trace
-                        .step(format_args!("status {}", answer.parts.status));
-                    failure = Some(answer);
+                        .step(format_args!("status {}", response.parts.status));
+                    failure = Some(response);
                     continue;
                 }
-                Ok(AttemptOutcome::NotRun(why)) => {
-                    let cause = self.record_not_run(&why);
+                Ok(AttemptOutcome::NotRun(reason)) => {
+                    let cause = self.record_not_run(&reason);
                     self.may_retry(cause).err()
                 }
                 Ok(AttemptOutcome::Doubt(doubt)) => {
                     let cause = self.record_doubt(doubt);
                     self.may_retry(cause).err()
                 }
-                Err(refused) => Some(refused),
+                Err(refusal) => Some(refusal),
             };
-            if self.wait_for_endpoints(refused).await && self.retry_budget_allows() {
+            if self.wait_for_endpoints(refusal).await && self.retry_budget_allows() {
                 continue;
             }
-            if let Some(refused) = refused {
+            if let Some(refusal) = refusal {
                 // An endpoint's own error response says more than a refusal by the gateway.
-                return failure.ok_or(refused);
+                return failure.ok_or(refusal);
             }
         }
     }
@@ -151,52 +153,55 @@
     /// Waits once for endpoints when none of those tried still exists.
     ///
     /// No attempt has run, so the request may wait and go to any of the new endpoints.
-    async fn wait_for_endpoints(&mut self, refused: Option<Refusal>) -> bool {
-        let nobody = matches!(refused, Some((Cause::NoEndpoint | Cause::Refused, _)));
-        if !nobody
+    async fn wait_for_endpoints(&mut self, refusal: Option<Refusal>) -> bool {
+        let no_endpoint = matches!(
+            refusal,
+            Some((Cause::NoEndpoint | Cause::RefusedByEndpoints, _))
+        );
+        if !no_endpoint
             || self.has_waited_for_endpoints
             || self.in_doubt
-            || !self.attempts.reached_none()
+            || !self.attempt_counter.reached_none()
         {
             return false;
         }
         self.has_waited_for_endpoints = true;
         self.gw.list_mismatch.notify_one();
-        let most = availability::endpoints_wait(self.gw.cfg.list.lag, self.time_left());
-        let found = availability::wait_until_available(&self.gw, most, || {
-            let open = self
+        let max_wait = availability::endpoints_wait(self.gw.cfg.list.lag, self.time_left());
+        let found = availability::wait_until_available(&self.gw, max_wait, || {
+            let available = self
                 .gw
                 .directory
-                .available(&self.service, self.attempts.endpoints());
-            (!open.is_empty()).then_some(())
+                .available(&self.service, self.attempt_counter.endpoints());
+            (!available.is_empty()).then_some(())
         });
         let found = found.await.is_some();
         self.trace
             .step(format_args!("waited for endpoints: {found}"));
         if found {
-            self.attempts.reset_missing();
+            self.attempt_counter.reset_missing();
         }
         found
     }
 
     /// Whether the response is passed on. A server error is retried first if the route and the
     /// retry budget allow it.
-    fn is_final(&mut self, answer: &EndpointResponse) -> bool {
+    fn is_final(&mut self, response: &EndpointResponse) -> bool {
         self.in_doubt = true;
-        let failed = answer.parts.status.is_server_error();
-        let again = failed && self.route.repeat.may_run_again() && self.has_attempts_left();
-        !(again && self.gw.try_count_retry(&self.service))
+        let failed = response.parts.status.is_server_error();
+        let retry = failed && self.route.repeat.may_run_again() && self.has_attempts_left();
+        !(retry && self.gw.try_count_retry(&self.service))
     }
 
     /// Whether the attempt limit and the deadline allow another attempt.
     pub fn has_attempts_left(&self) -> bool {
-        self.attempts.may_continue(self.route.attempts) && !self.time_left().is_zero()
+        self.attempt_counter.may_continue(self.route.attempts) && !self.time_left().is_zero()
     }
 
-    fn record_not_run(&mut self, why: &NotRun) -> Cause {
-        self.trace.step(format_args!("not run: {why:?}"));
+    fn record_not_run(&mut self, reason: &NotRun) -> Cause {
+        self.trace.step(format_args!("not run: {reason:?}"));
         self.gw.metrics.count(metrics::ATTEMPTS_NOT_RUN);
-        Cause::Refused
+        Cause::RefusedByEndpoints
     }
 
     fn record_doubt(&mut self, doubt: Doubt) -> Cause {
@@ -204,15 +209,15 @@
         self.gw.metrics.count(metrics::ATTEMPTS_IN_DOUBT);
         self.in_doubt = true;
         match doubt {
-            Doubt::Silent => Cause::Late,
-            Doubt::Lost | Doubt::Misfit | Doubt::Spoiled => Cause::Lost,
+            Doubt::Silent => Cause::ResponseTimeout,
+            Doubt::Lost | Doubt::Misfit | Doubt::Spoiled => Cause::ResponseLost,
         }
     }
 
     /// Whether the request may be sent to another endpoint after this failure.
     pub fn may_retry(&mut self, failed: Cause) -> Result<(), Refusal> {
-        let cause = if self.in_doubt && failed == Cause::Refused {
-            Cause::Lost
+        let cause = if self.in_doubt && failed == Cause::RefusedByEndpoints {
+            Cause::ResponseLost
         } else {
             failed
         };
@@ -226,14 +231,14 @@
     /// Whether the shared retry budget allows another attempt. A request that has not reached any
     /// endpoint does not use the budget.
     fn retry_budget_allows(&self) -> bool {
-        !self.attempts.was_received() || self.gw.try_count_retry(&self.service)
+        !self.attempt_counter.was_received() || self.gw.try_count_retry(&self.service)
     }
 
     async fn one_attempt(&mut self, after: Option<u64>) -> Result<AttemptOutcome, Refusal> {
-        if let Some(quarantine) = self.gw.suspects.quarantine(self.digest) {
+        if let Some(quarantine) = self.gw.suspects.quarantine(self.request_digest) {
             self.trace.step(format_args!("in quarantine: {quarantine}"));
             let cause = if self.in_doubt {
-                Cause::Lost
+                Cause::ResponseLost
             } else {
                 Cause::CrashesEndpoints
             };
@@ -243,89 +248,101 @@
             parts: &self.prompt_parts,
         };
         let within = self.time_left().mul_f64(FIRST_TOKEN_FRACTION);
-        let chosen =
-            self.gw
-                .select_endpoint(&self.service, &prompt, self.attempts.endpoints(), within);
-        let chosen = chosen.map_err(|unplaced| self.refuse_unplaced(unplaced))?;
-        let endpoint = chosen.slot.endpoint.clone();
+        let selection = self.gw.select_endpoint(
+            &self.service,
+            &prompt,
+            self.attempt_counter.endpoints(),
+            within,
+        );
+        let selection = selection.map_err(|unplaced| self.refuse_unplaced(unplaced))?;
+        let endpoint = selection.slot.endpoint.clone();
         self.trace.step(format_args!(
             "to {} expecting {:?}, {} tokens to read, {}",
-            endpoint.id, chosen.expected, chosen.missing_tokens, chosen.load_summary
+            endpoint.id, selection.expected, selection.missing_tokens, selection.load_summary
         ));
-        if let Some(addr) = chosen.copy_from {
+        if let Some(addr) = selection.copy_from {
             self.trace.step(format_args!("copies from {addr}"));
             self.gw.metrics.count(metrics::ATTEMPTS_WITH_COPY);
         }
         self.gw.metrics.count(metrics::ATTEMPTS);
-        if !self.attempts.endpoints().is_empty() {
+        if !self.attempt_counter.endpoints().is_empty() {
             self.gw.metrics.count(metrics::ATTEMPTS_AFTER_FIRST);
         }
         let left = self.time_left();
         let onward = Onward {
             endpoint: &endpoint.id,
-            organisation: self.organisation.as_ref().map(|o| &*o.id),
+            organisation: self
+                .organisation
+                .as_ref()
+                .map(|organisation| &*organisation.id),
             left,
             class: self.priority_class(),
-            after: after.or(self.ask.after),
-            copy_from: chosen.copy_from,
+            after: after.or(self.request.after),
+            copy_from: selection.copy_from,
         };
-        let until = self.response_deadline();
-        let out = OutgoingRequest {
+        let response_deadline = self.response_deadline();
+        let outgoing = OutgoingRequest {
             method: &self.method,
             uri: &self.uri,
             headers: (self.gw.cfg.dialect.onward)(&self.headers, &onward),
             body: self.body.clone(),
-            id: &self.ask.id,
-            deadline: until,
+            id: &self.request.id,
+            response_deadline,
             watch: &mut self.awaited_connection,
         };
         // Counted before it is sent: if the client disconnects, this function is dropped during the
         // wait, when the endpoint may have begun.
-        let counted_before = self.in_doubt;
-        if let Some(spend) = &mut self.charge {
-            spend.record_begun();
+        let was_in_doubt = self.in_doubt;
+        if let Some(charge) = &mut self.charge {
+            charge.record_begun();
         }
         let sent_at = Instant::now();
-        let tried = send(&self.gw, chosen.slot, out).await;
+        let outcome = send(&self.gw, selection.slot, outgoing).await;
         self.awaited_connection = None;
-        self.attempts.record(endpoint.id.clone(), &tried);
-        if let (AttemptOutcome::NotRun(_), Some(spend), false) =
-            (&tried, &mut self.charge, counted_before)
+        self.attempt_counter.record(endpoint.id.clone(), &outcome);
+        if let (AttemptOutcome::NotRun(_), Some(charge), false) =
+            (&outcome, &mut self.charge, was_in_doubt)
         {
-            spend.record_not_run();
+            charge.record_not_run();
         }
-        self.record_outcome(&endpoint, &tried, sent_at.elapsed());
-        Ok(tried)
+        self.record_outcome(&endpoint, &outcome, sent_at.elapsed());
+        Ok(outcome)
     }
 
     /// Until when the response head is awaited: up to the deadline, or less if another endpoint may
     /// run the request instead.
     fn response_deadline(&self) -> Instant {
         let repeatable = self.route.repeat.may_run_again();
-        if !repeatable || self.attempts.is_last(self.route.attempts) {
+        if !repeatable || self.attempt_counter.is_last(self.route.attempts) {
             return self.deadline;
         }
-        let patient = Instant::now() + self.route.target.mul_f64(UNRESPONSIVE_TARGETS);
-        patient.min(self.deadline)
+        let unresponsive_at = Instant::now() + self.route.target.mul_f64(UNRESPONSIVE_TARGETS);
+        unresponsive_at.min(self.deadline)
     }
 
     fn priority_class(&self) -> u8 {
-        let own = self.organisation.as_ref().and_then(|o| o.class);
-        own.unwrap_or(self.route.class).min(LEAST_URGENT_CLASS)
+        let organisation_class = self
+            .organisation
+            .as_ref()
+            .and_then(|organisation| organisation.class);
+        organisation_class
+            .unwrap_or(self.route.class)
+            .min(LEAST_URGENT_CLASS)
     }
 
     fn refuse_unplaced(&mut self, unplaced: Unplaced) -> Refusal {
         self.trace.step(format_args!("no place: {unplaced:?}"));
         if self.in_doubt {
-            return (Cause::Lost, DEFAULT_RETRY_AFTER);
+            return (Cause::ResponseLost, DEFAULT_RETRY_AFTER);
         }
         match unplaced {
             Unplaced::Nobody => (Cause::NoEndpoint, DEFAULT_RETRY_AFTER),
             Unplaced::TooLate(expected) => {
-                let over = expected.saturating_sub(self.time_left().mul_f64(FIRST_TOKEN_FRACTION));
+                let excess =
+                    expected.saturating_sub(self.time_left().mul_f64(FIRST_TOKEN_FRACTION));
                 (
                     Cause::Overloaded,
-                    over.clamp(OVERLOAD_RETRY_AFTER.0, OVERLOAD_RETRY_AFTER.1),
+                    excess.clamp(OVERLOAD_RETRY_AFTER.0, OVERLOAD_RETRY_AFTER.1),
                 )
             }
             Unplaced::AtLimit(wait) => (
@@ -336,8 +353,8 @@
     }
 
     /// Passes on a non-streamed response once it is complete.
-    async fn buffered_response(mut self, answer: EndpointResponse) -> Reply {
-        let mut answer = answer;
+    async fn buffered_response(mut self, response: EndpointResponse) -> Reply {
+        let mut response = response;
         loop {
             let EndpointResponse {
                 mut parts,
@@ -345,35 +362,42 @@
                 body,
                 sender,
                 watch,
-                slot: mut place,
-            } = answer;
+                mut slot,
+            } = response;
             let reading = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect();
             let read = timeout_at(self.deadline, reading).await;
-            place.response_started();
+            slot.response_started();
             if let Ok(Ok(body)) = read {
-                EndpointResponse::release_connection(sender, watch, &place.endpoint, &head);
+                EndpointResponse::release_connection(sender, watch, &slot.endpoint, &head);
                 remove_connection_headers(&mut parts.headers);
-                self.gw.record_answered(self.digest);
+                self.gw.record_answered(self.request_digest);
                 self.trace.record_first_piece();
-                let fine = parts.status.is_success();
-                self.trace
-                    .record_outcome(if fine { "completed" } else { "endpoint_failed" });
+                let is_success = parts.status.is_success();
+                self.trace.record_outcome(if is_success {
+                    "completed"
+                } else {
+                    "endpoint_failed"
+                });
                 return Reply::from_parts(parts, whole(body.to_bytes()));
             }
-            self.record_lost_response(&place.endpoint, CrashedRun::AfterOutput, "no whole answer");
+            self.record_lost_response(
+                &slot.endpoint,
+                CrashedRun::AfterOutput,
+                "incomplete response",
+            );
             let doubt = if read.is_err() {
                 Doubt::Silent
             } else {
                 Doubt::Spoiled
             };
             let cause = self.record_doubt(doubt);
-            let again = match self.may_retry(cause) {
+            let next = match self.may_retry(cause) {
                 Ok(()) => self.first_response(None).await,
-                Err(refused) => Err(refused),
+                Err(refusal) => Err(refusal),
             };
-            match again {
-                Ok(next) => answer = *next,
-                Err(refused) => return self.refuse(refused),
+            match next {
+                Ok(next) => response = *next,
+                Err(refusal) => return self.refuse(refusal),
             }
         }
     }
@@ -381,19 +405,19 @@
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        let Some(mut spend) = self.charge.take() else {
+        let Some(mut charge) = self.charge.take() else {
             return;
         };
-        self.trace.record_cost(spend.cost());
+        self.trace.record_cost(charge.cost());
         // The client has disconnected before the response began.
         let Some(watch) = self.awaited_connection.take().filter(|_| !self.in_doubt) else {
             return;
         };
         let log = self.gw.log.clone();
-        let id = self.ask.id.clone();
+        let id = self.request.id.clone();
         tokio::spawn(async move {
             if watch.ended_without_data().await {
-                spend.record_not_run();
+                charge.record_not_run();
                 event!(log, events::GATEWAY_BILL_DROPPED, "request" => &*id);
             }
         });
--- a/crates/anvil_gateway/src/exchange/outcome.rs
+++ b/crates/anvil_gateway/src/exchange/outcome.rs
@@ -18,20 +18,20 @@
     pub(super) fn record_outcome(
         &mut self,
         endpoint: &Arc<Endpoint>,
-        tried: &AttemptOutcome,
+        outcome: &AttemptOutcome,
         waited: Duration,
     ) {
         let now = self.gw.lifecycle.now();
-        match tried {
-            AttemptOutcome::Answer(answer) => {
+        match outcome {
+            AttemptOutcome::Response(response) => {
                 self.gw.directory.record_match(&self.service);
                 self.gw.record_endpoint_alive(endpoint);
-                if let Some(load) = &answer.head.load {
+                if let Some(load) = &response.head.load {
                     endpoint.apply_load(now, load);
                 }
                 endpoint
                     .load()
-                    .answered(answer.parts.status.is_server_error());
+                    .answered(response.parts.status.is_server_error());
             }
             AttemptOutcome::NotRun(NotRun::Refused(MISDIRECTED_STATUS)) => {
                 self.gw
@@ -43,8 +43,8 @@
             AttemptOutcome::NotRun(NotRun::Refused(_)) => {
                 endpoint.load().was_full(now, FULL_ENDPOINT_PAUSE)
             }
-            AttemptOutcome::NotRun(NotRun::Unreachable(why)) => {
-                self.record_endpoint_failure(endpoint, why)
+            AttemptOutcome::NotRun(NotRun::Unreachable(reason)) => {
+                self.record_endpoint_failure(endpoint, reason)
             }
             // Not a sign of failure if the client's timeout is shorter than a normal response
             // takes.
@@ -60,14 +60,20 @@
     }
 
     /// Records that an endpoint lost the response to this request.
-    pub fn record_lost_response(&mut self, endpoint: &Arc<Endpoint>, run: CrashedRun, why: &str) {
-        self.trace.record_digest(self.digest);
-        self.record_endpoint_failure(endpoint, why);
-        self.gw.record_lost_response(endpoint, self.digest, run);
+    pub fn record_lost_response(
+        &mut self,
+        endpoint: &Arc<Endpoint>,
+        run: CrashedRun,
+        reason: &str,
+    ) {
+        self.trace.record_digest(self.request_digest);
+        self.record_endpoint_failure(endpoint, reason);
+        self.gw
+            .record_lost_response(endpoint, self.request_digest, run);
     }
 
     /// Records that an endpoint failed this request.
-    pub fn record_endpoint_failure(&self, endpoint: &Endpoint, why: &str) {
-        endpoint.record_failure(self.gw.lifecycle.now(), &self.gw.log, why);
+    pub fn record_endpoint_failure(&self, endpoint: &Endpoint, reason: &str) {
+        endpoint.record_failure(self.gw.lifecycle.now(), &self.gw.log, reason);
     }
 }
--- a/crates/anvil_gateway/src/gateway.rs
+++ b/crates/anvil_gateway/src/gateway.rs
@@ -92,9 +92,9 @@
     /// Constants for estimates of engines.
     pub engine_rule: EngineRule,
     /// Number of live gateways according to the ledger, this one included.
-    pub gateways: AtomicU32,
+    pub gateway_count: AtomicU32,
     /// Rank of this gateway among them.
-    pub rank: AtomicU32,
+    pub gateway_rank: AtomicU32,
     /// When the ledger last confirmed that the cached state is current, in milliseconds since the
     /// start.
     pub ledger_confirmed_ms: AtomicU64,
@@ -110,7 +110,7 @@
     /// Wakes requests that wait for a routing table or for endpoints.
     pub state_changed: Notify,
     /// Endpoints that recently lost responses or crashed.
-    pub crashes: Mutex<CrashWatch>,
+    pub crash_watch: Mutex<CrashWatch>,
     /// Requests under which endpoints crashed.
     pub suspects: Suspects,
     /// Limits that endpoints announced.
@@ -172,34 +172,34 @@
 impl Gateway {
     /// Creates a gateway without a routing table, endpoints or grants.
     pub fn new(cfg: GatewaySettings, log: Logger, metrics: Metrics) -> Self {
-        let life = Life::begin();
+        let lifecycle = Life::begin();
         // If the clock was set back, a later incarnation would look older and the ledger would
         // refuse its batches. A random part of the name keeps incarnations apart.
         let name = format!("{}#{:x}", cfg.id, rand::random::<u64>());
-        let purse = Purse::new(name.into(), life.incarnation, grant_policy());
+        let grant_account = Purse::new(name.into(), lifecycle.incarnation, grant_policy());
         Self {
             table: ArcSwapOption::empty(),
             directory: Directory::default(),
-            grant_account: Arc::new(purse),
+            grant_account: Arc::new(grant_account),
             grants_wanted: Notify::new(),
             ledger: LedgerClient::new(&cfg.ledger)
                 .with_patience(REPLICA_TIMEOUT)
                 .with_hedge(HEDGE_DELAY),
             seeds: ArcSwap::from_pointee(cfg.ledger.clone()),
-            lifecycle: life,
+            lifecycle,
             log,
             dropped_log_lines: Dropped::default(),
             metrics,
             engine_rule: EngineRule::default(),
-            gateways: AtomicU32::new(ASSUMED_GATEWAYS),
-            rank: AtomicU32::new(rand::random_range(0..ASSUMED_GATEWAYS)),
+            gateway_count: AtomicU32::new(ASSUMED_GATEWAYS),
+            gateway_rank: AtomicU32::new(rand::random_range(0..ASSUMED_GATEWAYS)),
             ledger_confirmed_ms: AtomicU64::new(0),
             list_cache: ListCache::default(),
             siblings: Siblings::new(cfg.id.clone(), cfg.siblings),
             list_read_requested: Notify::new(),
             list_mismatch: Notify::new(),
             state_changed: Notify::new(),
-            crashes: Mutex::default(),
+            crash_watch: Mutex::default(),
             suspects: Suspects::default(),
             endpoint_limits: EndpointLimits::default(),
             open_requests: AtomicU32::new(0),
@@ -211,8 +211,8 @@
 
     /// Whether the load balancer may send new connections.
     pub fn is_ready(&self) -> bool {
-        let knows = self.table.load().is_some() && !self.directory.is_empty();
-        knows && !self.lifecycle.is_leaving() && !self.is_starved()
+        let is_initialised = self.table.load().is_some() && !self.directory.is_empty();
+        is_initialised && !self.lifecycle.is_leaving() && !self.is_starved()
     }
 
     /// Whether requests were refused recently because the ledger is unreachable and the grants are
@@ -252,8 +252,8 @@
     /// The position of this gateway among those that share endpoints' rate limits.
     pub(crate) fn share_position(&self) -> Turn {
         Turn {
-            rank: self.rank.load(Ordering::Relaxed),
-            routers: self.gateways.load(Ordering::Relaxed),
+            rank: self.gateway_rank.load(Ordering::Relaxed),
+            routers: self.gateway_count.load(Ordering::Relaxed),
         }
     }
 
@@ -285,8 +285,8 @@
     pub fn try_count_retry(&self, service: &ServiceId) -> bool {
         let now = self.lifecycle.now();
         let mut rng = rand::rng();
-        let again = |budget: &mut RetryBudget| budget.again(now, 1, Repeat::Safe, &mut rng);
-        let allowed = self.with_retry_budget(service, again).is_some();
+        let count_retry = |budget: &mut RetryBudget| budget.again(now, 1, Repeat::Safe, &mut rng);
+        let allowed = self.with_retry_budget(service, count_retry).is_some();
         if !allowed {
             self.metrics.count(RETRIES_DENIED);
         }
@@ -299,24 +299,24 @@
         service: &ServiceId,
         f: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
-        let gateways = self.gateways.load(Ordering::Relaxed).max(1);
+        let gateways = self.gateway_count.load(Ordering::Relaxed).max(1);
         // Sound after a panic elsewhere: the budget stays between zero and the reserve.
-        let mut retries = self
+        let mut budgets = self
             .retry_budgets
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let own = retries
+        let entry = budgets
             .entry(service.clone())
             .or_insert_with(|| GatewayRetryBudget {
                 gateways,
                 budget: RetryBudget::new(self.retry_rule(gateways)),
             });
-        if own.gateways != gateways {
-            own.gateways = gateways;
+        if entry.gateways != gateways {
+            entry.gateways = gateways;
             let rule = self.retry_rule(gateways);
-            own.budget.set_rule(self.lifecycle.now(), rule);
+            entry.budget.set_rule(self.lifecycle.now(), rule);
         }
-        f(&mut own.budget)
+        f(&mut entry.budget)
     }
 
     /// This gateway's share of the retry budget, as one of `gateways`.
--- a/crates/anvil_gateway/src/grant_loop.rs
+++ b/crates/anvil_gateway/src/grant_loop.rs
@@ -69,6 +69,6 @@
 }
 
 fn summarize_opened(grants: &[Grant]) -> Vec<(&BudgetId, Tokens)> {
-    let each = grants.iter();
-    each.map(|grant| (&grant.budget, grant.amount)).collect()
+    let grants = grants.iter();
+    grants.map(|grant| (&grant.budget, grant.amount)).collect()
 }
--- a/crates/anvil_gateway/src/ledger_updates.rs
+++ b/crates/anvil_gateway/src/ledger_updates.rs
@@ -27,17 +27,17 @@
 
 /// Follows the replicas in turn for as long as the process runs.
 pub async fn run(gw: &Gateway) {
-    let mut held = Held::default();
+    let mut cached = Held::default();
     let mut revision = 0;
-    let mut in_touch = false;
+    let mut connected = false;
     // Start at a random replica, so that no single replica sends updates to all gateways.
     let mut replica = rand::random_range(0..64);
     loop {
-        let heard = follow_one(gw, replica, &mut held, &mut revision, &mut in_touch).await;
-        if !heard && in_touch {
-            let version = held.version;
+        let updated = follow_one(gw, replica, &mut cached, &mut revision, &mut connected).await;
+        if !updated && connected {
+            let version = cached.version;
             event!(gw.log, events::GATEWAY_OUT_OF_TOUCH, "version" => version);
-            in_touch = false;
+            connected = false;
         }
         replica += 1;
         sleep(NEXT_REPLICA_PAUSE).await;
@@ -47,49 +47,51 @@
 async fn follow_one(
     gw: &Gateway,
     replica: usize,
-    held: &mut Held,
+    cached: &mut Held,
     revision: &mut Revision,
-    in_touch: &mut bool,
+    connected: &mut bool,
 ) -> bool {
     let opening = gw
         .ledger
-        .follow(replica, gw.cfg.id.clone(), Interest::Router, held.version);
+        .follow(replica, gw.cfg.id.clone(), Interest::Router, cached.version);
     let Ok(Ok(mut replies)) = timeout(OPEN_TIMEOUT, opening).await else {
         return false;
     };
-    let mut heard = false;
-    let mut patience = FIRST_UPDATE_TIMEOUT;
-    while let Ok(Ok(Some(LedgerReply::Follow(told)))) = timeout(patience, replies.next()).await {
-        heard = true;
-        patience = SILENCE;
-        if !*in_touch {
+    let mut updated = false;
+    let mut update_timeout = FIRST_UPDATE_TIMEOUT;
+    while let Ok(Ok(Some(LedgerReply::Follow(update)))) =
+        timeout(update_timeout, replies.next()).await
+    {
+        updated = true;
+        update_timeout = SILENCE;
+        if !*connected {
             event!(gw.log, events::GATEWAY_IN_TOUCH, "replica" => replica);
-            *in_touch = true;
+            *connected = true;
         }
         gw.ledger_confirmed_ms.store(gw.now_ms(), Ordering::Relaxed);
-        if held.apply(told) {
-            apply_update(gw, held, revision);
+        if cached.apply(update) {
+            apply_update(gw, cached, revision);
         }
     }
-    heard
+    updated
 }
 
-fn apply_update(gw: &Gateway, held: &Held, revision: &mut Revision) {
-    update_gateway_count(gw, held);
-    let routers = members::alive(held, Role::Router);
+fn apply_update(gw: &Gateway, cached: &Held, revision: &mut Revision) {
+    update_gateway_count(gw, cached);
+    let routers = members::alive(cached, Role::Router);
     gw.siblings
-        .update(routers.filter(|router| router.zone.id == gw.cfg.zone.id));
-    gw.apply_ledger_suspects(&held.suspects);
-    gw.apply_ledger_limits(&held.limits);
-    let replicas = members::replicas(held, &gw.seeds.load());
-    let relays = members::relays(held, &gw.cfg.id);
+        .update_members(routers.filter(|router| router.zone.id == gw.cfg.zone.id));
+    gw.apply_ledger_suspects(&cached.suspects);
+    gw.apply_ledger_limits(&cached.limits);
+    let replicas = members::replicas(cached, &gw.seeds.load());
+    let relays = members::relays(cached, &gw.cfg.id);
     if gw.ledger.set_ways(&replicas, &relays) {
         event!(
             gw.log, events::GATEWAY_LEDGER_WAYS,
             "replicas" => replicas.len(), "relays" => relays.len()
         );
     }
-    let Some(entry) = held.tree.get(&TreePath::Routing) else {
+    let Some(entry) = cached.tree.get(&TreePath::Routing) else {
         return;
     };
     if entry.revision <= *revision {
@@ -103,7 +105,7 @@
             gw.state_changed.notify_waiters();
             event!(
                 gw.log, events::GATEWAY_TABLE_IN_FORCE,
-                "table" => version, "version" => held.version
+                "table" => version, "version" => cached.version
             );
         }
         Err(e) => {
@@ -112,16 +114,16 @@
     }
 }
 
-fn update_gateway_count(gw: &Gateway, held: &Held) {
-    let alive = members::alive(held, Role::Router);
-    let mut ids: BTreeSet<_> = alive.map(|router| &router.id).collect();
+fn update_gateway_count(gw: &Gateway, cached: &Held) {
+    let live = members::alive(cached, Role::Router);
+    let mut ids: BTreeSet<_> = live.map(|router| &router.id).collect();
     // This gateway may not be in the ledger's membership yet.
     ids.insert(&gw.cfg.id);
     let rank = ids.iter().position(|id| **id == gw.cfg.id).unwrap_or(0);
     let rank = u32::try_from(rank).unwrap_or(u32::MAX);
-    gw.rank.store(rank, Ordering::Relaxed);
+    gw.gateway_rank.store(rank, Ordering::Relaxed);
     let count = u32::try_from(ids.len()).unwrap_or(u32::MAX);
-    if gw.gateways.swap(count, Ordering::Relaxed) != count {
+    if gw.gateway_count.swap(count, Ordering::Relaxed) != count {
         event!(gw.log, events::GATEWAY_PEERS_CHANGED, "gateways" => count);
     }
 }
--- a/crates/anvil_gateway/src/list_cache.rs
+++ b/crates/anvil_gateway/src/list_cache.rs
@@ -47,12 +47,9 @@
     /// The moment shifted forward by `after` and back by `before`; `None` if a clock can't
     /// represent it.
     fn shifted(&self, after: Duration, before: Duration) -> Option<Self> {
-        let steady = self.monotonic.checked_add(after)?.checked_sub(before)?;
+        let monotonic = self.monotonic.checked_add(after)?.checked_sub(before)?;
         let wall = self.wall.checked_add(after)?.checked_sub(before)?;
-        Some(Self {
-            monotonic: steady,
-            wall,
-        })
+        Some(Self { monotonic, wall })
     }
 }
 
@@ -115,87 +112,90 @@
     /// Version of the newest list; 0 if there is none.
     pub fn version(&self) -> ListVersion {
         let newest = self.newest.borrow();
-        newest.as_ref().map_or(0, |listing| listing.version)
+        newest.as_ref().map_or(0, |snapshot| snapshot.version)
     }
 
-    /// Stores a list whose reading from the platform began at `begun`.
-    pub fn store_reading(&self, begun: Moment, listed: Vec<Listed>) {
+    /// Stores a list whose reading from the platform began at `started`.
+    pub fn store_reading(&self, started: Moment, listed: Vec<Listed>) {
         let mut entries = Entries::new();
         for listed in listed {
-            let leaves = listed.leaving;
+            let is_leaving = listed.leaving;
             let id = listed.id.clone();
             // Of two entries with the same id the first is used; it is leaving if either of them
             // says so.
-            entries.entry(id).or_insert(listed).leaving |= leaves;
+            entries.entry(id).or_insert(listed).leaving |= is_leaving;
         }
-        self.store(ListSnapshot::new(entries, begun));
+        self.replace_newest(ListSnapshot::new(entries, started));
     }
 
     /// Applies a sibling's reply to a request sent at `asked`. Returns whether it is newer than the
     /// cached list.
-    pub fn apply_reply(&self, asked: Moment, reply: ListReply) -> bool {
-        let Some(as_of) = asked.shifted(reply.held_for, reply.age) else {
+    pub fn apply_reply(&self, asked_at: Moment, reply: ListReply) -> bool {
+        let Some(as_of) = asked_at.shifted(reply.held_for, reply.age) else {
             return false;
         };
-        let held = self.newest();
-        let is_newer = held
+        let cached = self.newest();
+        let is_newer = cached
             .as_ref()
-            .is_none_or(|held| as_of.monotonic > held.as_of.monotonic);
-        let Some(listing) = apply_news(reply.news, held, as_of).filter(|_| is_newer) else {
+            .is_none_or(|cached| as_of.monotonic > cached.as_of.monotonic);
+        let Some(snapshot) = apply_news(reply.news, cached, as_of).filter(|_| is_newer) else {
             return false;
         };
-        self.store(listing);
+        self.replace_newest(snapshot);
         true
     }
 
-    fn store(&self, listing: ListSnapshot) {
-        let before = self.newest.send_replace(Some(listing));
-        let Some(before) = before.filter(|before| before.version != self.version()) else {
+    fn replace_newest(&self, snapshot: ListSnapshot) {
+        let previous = self.newest.send_replace(Some(snapshot));
+        let Some(previous) = previous.filter(|previous| previous.version != self.version()) else {
             return;
         };
         let mut earlier = self.earlier();
-        earlier.push_front(before);
+        earlier.push_front(previous);
         earlier.truncate(MAX_EARLIER_LISTS);
     }
 
     /// Waits until the cached list satisfies the request or its time is over, then replies.
-    pub async fn answer(&self, ask: &ListAsk, most: Duration) -> ListReply {
-        let asked = Moment::now();
-        let is_fresh = |listing: &ListSnapshot| {
-            listing.as_of.monotonic + ask.read_within >= asked.monotonic && listing.age() < most
+    pub async fn answer_when_fresh(&self, request: &ListAsk, max_age: Duration) -> ListReply {
+        let asked_at = Moment::now();
+        let is_fresh = |snapshot: &ListSnapshot| {
+            snapshot.as_of.monotonic + request.read_within >= asked_at.monotonic
+                && snapshot.age() < max_age
         };
         let mut newest = self.newest.subscribe();
-        let waiting = newest.wait_for(|newest| newest.as_ref().is_some_and(is_fresh));
+        let waiting_for_fresh = newest.wait_for(|newest| newest.as_ref().is_some_and(is_fresh));
         // The reply carries the list's age, so it is valid even if the wait timed out.
-        let _ = tokio::time::timeout(ask.wait.min(most), waiting).await;
+        let _ = tokio::time::timeout(request.wait.min(max_age), waiting_for_fresh).await;
         ListReply {
-            held_for: asked.monotonic.elapsed(),
+            held_for: asked_at.monotonic.elapsed(),
             age: self.age(),
-            news: self.changes_since(ask.have),
+            news: self.changes_since(request.have),
         }
     }
 
-    fn changes_since(&self, have: ListVersion) -> ListNews {
+    fn changes_since(&self, known_version: ListVersion) -> ListNews {
         let Some(newest) = self.newest() else {
             return ListNews::Nothing;
         };
-        if newest.version == have {
+        if newest.version == known_version {
             return ListNews::Same;
         }
         let earlier = self.earlier();
-        let known = earlier.iter().find(|listing| listing.version == have);
-        let Some(known) = known else {
+        let base = earlier
+            .iter()
+            .find(|snapshot| snapshot.version == known_version);
+        let Some(base) = base else {
             return ListNews::Whole {
                 version: newest.version,
                 listed: newest.endpoints().cloned().collect(),
             };
         };
-        let is_new = |listed: &&Listed| known.entries.get(&listed.id) != Some(*listed);
+        let is_new = |listed: &&Listed| base.entries.get(&listed.id) != Some(*listed);
         let is_gone = |id: &&InstanceId| !newest.entries.contains_key(*id);
         ListNews::Changes {
             version: newest.version,
             listed: newest.endpoints().filter(is_new).cloned().collect(),
-            gone: known.entries.keys().filter(is_gone).cloned().collect(),
+            gone: base.entries.keys().filter(is_gone).cloned().collect(),
         }
     }
 
@@ -206,39 +206,43 @@
 }
 
 /// The list that results from a reply; `None` if it does not match the version the reply names.
-fn apply_news(news: ListNews, held: Option<ListSnapshot>, as_of: Moment) -> Option<ListSnapshot> {
-    let (version, entries) = match news {
+fn apply_news(
+    update: ListNews,
+    cached: Option<ListSnapshot>,
+    as_of: Moment,
+) -> Option<ListSnapshot> {
+    let (version, entries) = match update {
         ListNews::Nothing => return None,
-        ListNews::Same => return Some(ListSnapshot { as_of, ..held? }),
+        ListNews::Same => return Some(ListSnapshot { as_of, ..cached? }),
         ListNews::Whole { version, listed } => {
-            let named = listed.into_iter().map(|listed| (listed.id.clone(), listed));
-            (version, named.collect())
+            let by_id = listed.into_iter().map(|listed| (listed.id.clone(), listed));
+            (version, by_id.collect())
         }
         ListNews::Changes {
             version,
             listed,
             gone,
         } => {
-            let mut entries = Entries::clone(&held?.entries);
+            let mut entries = Entries::clone(&cached?.entries);
             entries.retain(|id, _| !gone.contains(id));
             entries.extend(listed.into_iter().map(|listed| (listed.id.clone(), listed)));
             (version, entries)
         }
     };
-    Some(ListSnapshot::new(entries, as_of)).filter(|listing| listing.version == version)
+    Some(ListSnapshot::new(entries, as_of)).filter(|snapshot| snapshot.version == version)
 }
 
 /// Equal for equal lists on all gateways; never 0.
 fn digest(entries: &Entries) -> ListVersion {
-    let mut hash = Xxh3::new();
+    let mut hasher = Xxh3::new();
     for listed in entries.values() {
         for text in [&listed.id, &listed.service, &listed.zone] {
-            hash.update(text.as_bytes());
-            hash.update(&[0]);
+            hasher.update(text.as_bytes());
+            hasher.update(&[0]);
         }
-        hash.update(listed.addr.to_string().as_bytes());
-        hash.update(&listed.slots.to_le_bytes());
-        hash.update(&[u8::from(listed.leaving)]);
+        hasher.update(listed.addr.to_string().as_bytes());
+        hasher.update(&listed.slots.to_le_bytes());
+        hasher.update(&[u8::from(listed.leaving)]);
     }
-    hash.digest().max(1)
+    hasher.digest().max(1)
 }
--- a/crates/anvil_gateway/src/list_reader.rs
+++ b/crates/anvil_gateway/src/list_reader.rs
@@ -25,22 +25,22 @@
 #[derive(Debug, Snafu)]
 pub enum ListError {
     /// A page did not arrive in time.
-    #[snafu(display("no answer within {PAGE_TIMEOUT:?}"))]
+    #[snafu(display("reading the endpoint list failed: no response within {PAGE_TIMEOUT:?}"))]
     Timeout,
     /// The connection failed, or a page can't be parsed.
-    #[snafu(display("{why}"))]
+    #[snafu(display("reading the endpoint list failed: {why}"))]
     Failed {
         /// Details.
         why: String,
     },
     /// The platform returned an error.
-    #[snafu(display("status {status}"))]
+    #[snafu(display("reading the endpoint list failed: status {status}"))]
     Status {
         /// The HTTP status.
         status: u16,
     },
     /// The list has too many pages.
-    #[snafu(display("more than {MAX_PAGES} pages"))]
+    #[snafu(display("reading the endpoint list failed: more than {MAX_PAGES} pages"))]
     TooManyPages,
 }
 
@@ -81,7 +81,7 @@
     }
 
     async fn read_page(&mut self, source: &ListSource, path: &str) -> Result<ListPage, ListError> {
-        let lost = |why: String| ListError::Failed { why };
+        let failed = |why: String| ListError::Failed { why };
         let mut sender = match self.sender.take().filter(SendRequest::is_ready) {
             Some(sender) => sender,
             None => connect(source).await?,
@@ -89,29 +89,29 @@
         let req = Request::get(path)
             .header(http::header::HOST, source.addr.to_string())
             .body(Full::default())
-            .map_err(|e| lost(e.to_string()))?;
-        let answer = sender.send_request(req).await;
-        let answer = answer.map_err(|e| lost(e.to_string()))?;
-        let status = answer.status();
-        let body = Limited::new(answer.into_body(), MAX_PAGE_BYTES)
+            .map_err(|e| failed(e.to_string()))?;
+        let response = sender.send_request(req).await;
+        let response = response.map_err(|e| failed(e.to_string()))?;
+        let status = response.status();
+        let body = Limited::new(response.into_body(), MAX_PAGE_BYTES)
             .collect()
             .await;
-        let body = body.map_err(|e| lost(e.to_string()))?.to_bytes();
+        let body = body.map_err(|e| failed(e.to_string()))?.to_bytes();
         self.sender = Some(sender);
         if !status.is_success() {
             let status = status.as_u16();
             return StatusSnafu { status }.fail();
         }
-        (source.page)(&body).map_err(lost)
+        (source.page)(&body).map_err(failed)
     }
 }
 
 async fn connect(source: &ListSource) -> Result<SendRequest<Full<Bytes>>, ListError> {
-    let lost = |why: String| ListError::Failed { why };
+    let failed = |why: String| ListError::Failed { why };
     let socket = TcpStream::connect(source.addr).await;
-    let socket = socket.map_err(|e| lost(e.to_string()))?;
+    let socket = socket.map_err(|e| failed(e.to_string()))?;
     let handshake = Builder::new().handshake(TokioIo::new(socket)).await;
-    let (sender, connection) = handshake.map_err(|e| lost(e.to_string()))?;
+    let (sender, connection) = handshake.map_err(|e| failed(e.to_string()))?;
     tokio::spawn(async move {
         // An error reaches the caller that waits for the response.
         let _ = connection.await;
--- a/crates/anvil_gateway/src/metrics.rs
+++ b/crates/anvil_gateway/src/metrics.rs
@@ -7,11 +7,11 @@
 use crate::gateway::Gateway;
 
 /// Requests answered completely. Count.
-pub const COMPLETED: &str = "requests.completed";
+pub const REQUESTS_COMPLETED: &str = "requests.completed";
 /// Requests that ended with an endpoint's own error response. Count.
-pub const ENDPOINT_FAILED: &str = "requests.endpoint_failed";
+pub const REQUESTS_ENDPOINT_FAILED: &str = "requests.endpoint_failed";
 /// Requests whose clients disconnected before the end. Count.
-pub const CLIENT_LEFT: &str = "requests.client_left";
+pub const REQUESTS_CLIENT_LEFT: &str = "requests.client_left";
 /// Time from a request's arrival to the start of its response. Milliseconds.
 pub const FIRST_PIECE: &str = "request.first_piece";
 /// Time from a request's arrival to its end. Milliseconds.
@@ -36,11 +36,11 @@
 /// Attempts that told the endpoint to copy a cached prompt prefix from another one. Count.
 pub const ATTEMPTS_WITH_COPY: &str = "tries.copied";
 /// Endpoints that crashed under requests. Count.
-pub const CRASHES: &str = "endpoints.crashed";
+pub const ENDPOINT_CRASHES: &str = "endpoints.crashed";
 /// Of these, the ones whose report was dropped because too many were pending. Count.
 pub const CRASHES_UNREPORTED: &str = "endpoints.crashed_untold";
 /// Requests in quarantine because endpoints crash under them. Gauge.
-pub const QUARANTINED: &str = "requests.quarantined";
+pub const REQUESTS_QUARANTINED: &str = "requests.quarantined";
 /// Responses whose rate limit can't be parsed. Count.
 pub const LIMITS_UNREADABLE: &str = "endpoints.limit_unreadable";
 /// Endpoints that announced a rate limit to all gateways together. Gauge.
@@ -70,9 +70,9 @@
 
 /// All names with their units.
 pub const ALL: &[(&str, &str)] = &[
-    (COMPLETED, "count"),
-    (ENDPOINT_FAILED, "count"),
-    (CLIENT_LEFT, "count"),
+    (REQUESTS_COMPLETED, "count"),
+    (REQUESTS_ENDPOINT_FAILED, "count"),
+    (REQUESTS_CLIENT_LEFT, "count"),
     (FIRST_PIECE, "milliseconds"),
     (REQUEST_TIME, "milliseconds"),
     (GRANT_WAIT, "milliseconds"),
@@ -84,9 +84,9 @@
     (ATTEMPTS_IN_DOUBT, "count"),
     (RETRIES_DENIED, "count"),
     (ATTEMPTS_WITH_COPY, "count"),
-    (CRASHES, "count"),
+    (ENDPOINT_CRASHES, "count"),
     (CRASHES_UNREPORTED, "count"),
-    (QUARANTINED, "gauge"),
+    (REQUESTS_QUARANTINED, "gauge"),
     (LIMITS_UNREADABLE, "count"),
     (ENDPOINTS_LIMITED, "gauge"),
     (LIMIT_USED, "gauge"),
@@ -106,23 +106,28 @@
     /// Updates the gauges.
     pub fn measure(&self) {
         let now = self.now_ms();
-        let (open, shut) = self.directory.count_available(self.lifecycle.now());
+        let (available, on_cooldown) = self.directory.count_available(self.lifecycle.now());
         let (limited, limit_used) = self.measure_limits();
-        let table = self.table.load();
-        let table = table.as_ref().map_or(0, |table| table.version);
+        let table_version = self.table.load();
+        let table_version = table_version
+            .as_ref()
+            .map_or(0, |table_version| table_version.version);
         let list_age = self.list_cache.age().min(self.lifecycle.now()).as_millis();
         let list_age = u64::try_from(list_age).unwrap_or(u64::MAX);
-        let age = |at: u64| now.saturating_sub(at);
+        let age = |since_ms: u64| now.saturating_sub(since_ms);
         for (name, value) in [
             (
                 OPEN_REQUESTS,
                 u64::from(self.open_requests.load(Ordering::Relaxed)),
             ),
-            (TABLE_VERSION, table),
-            (GATEWAYS, u64::from(self.gateways.load(Ordering::Relaxed))),
-            (ENDPOINTS_AVAILABLE, open),
-            (ENDPOINTS_ON_COOLDOWN, shut),
-            (QUARANTINED, self.suspects.count_quarantined()),
+            (TABLE_VERSION, table_version),
+            (
+                GATEWAYS,
+                u64::from(self.gateway_count.load(Ordering::Relaxed)),
+            ),
+            (ENDPOINTS_AVAILABLE, available),
+            (ENDPOINTS_ON_COOLDOWN, on_cooldown),
+            (REQUESTS_QUARANTINED, self.suspects.count_quarantined()),
             (ENDPOINTS_LIMITED, limited),
             (LIMIT_USED, limit_used),
             (
@@ -138,17 +143,17 @@
 
     /// Number of endpoints with a limit, and the percentage of this gateway's share that is used.
     fn measure_limits(&self) -> (u64, u64) {
-        let all = self.directory.all();
+        let all = self.directory.all_endpoints();
         let limited = all.iter().filter(|endpoint| endpoint.limit().is_some());
-        let used = limited
+        let usage = limited
             .map(|endpoint| endpoint.limit_used(self.lifecycle.now(), self.share_position()));
-        let (mut count, mut sent, mut might) = (0, 0, 0_u64);
-        for (one_sent, one_might) in used {
+        let (mut count, mut total_sent, mut allowed) = (0, 0, 0_u64);
+        for (endpoint_sent, endpoint_allowed) in usage {
             count += 1;
-            sent += one_sent;
-            might = might.saturating_add(one_might);
+            total_sent += endpoint_sent;
+            allowed = allowed.saturating_add(endpoint_allowed);
         }
         // At least one request, so that a limit learned just now does not yield a huge percentage.
-        (count, sent * 100_000 / might.max(1_000))
+        (count, total_sent * 100_000 / allowed.max(1_000))
     }
 }
--- a/crates/anvil_gateway/src/pool.rs
+++ b/crates/anvil_gateway/src/pool.rs
@@ -128,21 +128,21 @@
         &self,
         sender: SendRequest<Full<Bytes>>,
         watch: Arc<ConnectionWatch>,
-        keeps: Option<Duration>,
+        idle_time: Option<Duration>,
     ) {
         if sender.is_closed() {
             return;
         }
-        let keeps = keeps
+        let idle_time = idle_time
             .unwrap_or(DEFAULT_IDLE_TIME)
             .mul_f64(IDLE_TIME_FRACTION);
-        let until = Instant::now() + keeps;
+        let expires_at = Instant::now() + idle_time;
         let mut idle = self.lock();
         if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(IdleConnection {
                 sender,
                 watch,
-                expires_at: until,
+                expires_at,
             });
         }
     }
--- a/crates/anvil_gateway/src/reply.rs
+++ b/crates/anvil_gateway/src/reply.rs
@@ -13,11 +13,11 @@
 /// A stream that can't be completed. The connection is closed without the end of the stream, so
 /// that the client does not take the part for the whole.
 #[derive(Debug, Snafu)]
-#[snafu(display("the answer broke off"))]
-pub struct BrokenOff;
+#[snafu(display("the response stream ended early"))]
+pub struct IncompleteStream;
 
 /// Body of a response to a client.
-pub type ReplyBody = UnsyncBoxBody<Bytes, BrokenOff>;
+pub type ReplyBody = UnsyncBoxBody<Bytes, IncompleteStream>;
 /// A response to a client.
 pub type Reply = Response<ReplyBody>;
 
@@ -33,7 +33,7 @@
     /// The body exceeds the limit.
     BodyTooLong,
     /// The client did not send the body in time.
-    BodyLate,
+    BodyTimeout,
     /// The budget does not cover the maximum cost.
     BudgetExhausted,
     /// Tokens may become available, but not in time.
@@ -51,11 +51,11 @@
     /// Endpoints crashed under the same request.
     CrashesEndpoints,
     /// Endpoints refused it or were unreachable.
-    Refused,
+    RefusedByEndpoints,
     /// It may have run, and the response is lost.
-    Lost,
+    ResponseLost,
     /// It may have run, and no response came in time.
-    Late,
+    ResponseTimeout,
 }
 
 impl Cause {
@@ -65,7 +65,7 @@
         Self::UnknownKey,
         Self::NoRoute,
         Self::BodyTooLong,
-        Self::BodyLate,
+        Self::BodyTimeout,
         Self::BudgetExhausted,
         Self::BudgetBusy,
         Self::LedgerUnreachable,
@@ -74,9 +74,9 @@
         Self::NoEndpoint,
         Self::Overloaded,
         Self::CrashesEndpoints,
-        Self::Refused,
-        Self::Lost,
-        Self::Late,
+        Self::RefusedByEndpoints,
+        Self::ResponseLost,
+        Self::ResponseTimeout,
     ];
 
     /// Status for the client. 429 and 503 state that the request has not run and never will.
@@ -86,7 +86,7 @@
             Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::BodyLate => StatusCode::REQUEST_TIMEOUT,
+            Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
             Self::BudgetExhausted => StatusCode::PAYMENT_REQUIRED,
             Self::BudgetBusy => StatusCode::TOO_MANY_REQUESTS,
             Self::LedgerUnreachable
@@ -95,9 +95,9 @@
             | Self::NoEndpoint
             | Self::Overloaded
             | Self::CrashesEndpoints
-            | Self::Refused => StatusCode::SERVICE_UNAVAILABLE,
-            Self::Lost => StatusCode::BAD_GATEWAY,
-            Self::Late => StatusCode::GATEWAY_TIMEOUT,
+            | Self::RefusedByEndpoints => StatusCode::SERVICE_UNAVAILABLE,
+            Self::ResponseLost => StatusCode::BAD_GATEWAY,
+            Self::ResponseTimeout => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
@@ -108,7 +108,7 @@
             Self::UnknownKey => "unknown_key",
             Self::NoRoute => "no_route",
             Self::BodyTooLong => "body_too_long",
-            Self::BodyLate => "body_late",
+            Self::BodyTimeout => "body_late",
             Self::BudgetExhausted => "budget_exhausted",
             Self::BudgetBusy => "budget_busy",
             Self::LedgerUnreachable => "ledger_unreachable",
@@ -117,9 +117,9 @@
             Self::NoEndpoint => "no_endpoint",
             Self::Overloaded => "overloaded",
             Self::CrashesEndpoints => "crashes_endpoints",
-            Self::Refused => "refused_by_endpoints",
-            Self::Lost => "answer_lost",
-            Self::Late => "no_answer_in_time",
+            Self::RefusedByEndpoints => "refused_by_endpoints",
+            Self::ResponseLost => "answer_lost",
+            Self::ResponseTimeout => "no_answer_in_time",
         }
     }
 
@@ -153,12 +153,12 @@
 }
 
 /// Asks the client to use another connection for its next request.
-pub fn close_after(reply: &mut Reply) {
+pub fn set_connection_close(reply: &mut Reply) {
     let headers = reply.headers_mut();
     headers.insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-fn never(never: Infallible) -> BrokenOff {
+fn never(never: Infallible) -> IncompleteStream {
     match never {}
 }
 
--- a/crates/anvil_gateway/src/reports.rs
+++ b/crates/anvil_gateway/src/reports.rs
@@ -13,22 +13,22 @@
 /// Pause before a report is sent again.
 const RESEND_PAUSE: Duration = Duration::from_millis(100);
 
-/// Sends the reports that `next` returns, whenever `wanted` is notified, for as long as the process
-/// runs. `next` returns the same report until `taken` was called with it, so the ledger may receive
+/// Sends the reports that `next_report` returns, whenever `report_wanted` is notified, for as long as the process
+/// runs. `next_report` returns the same report until `mark_accepted` was called with it, so the ledger may receive
 /// a report twice.
 pub async fn run(
     gw: &Gateway,
-    wanted: &Notify,
-    next: impl Fn() -> Option<Command>,
-    taken: impl Fn(&Command),
+    report_wanted: &Notify,
+    next_report: impl Fn() -> Option<Command>,
+    mark_accepted: impl Fn(&Command),
 ) {
     loop {
-        let Some(report) = next() else {
-            wanted.notified().await;
+        let Some(report) = next_report() else {
+            report_wanted.notified().await;
             continue;
         };
         match gw.ledger.propose(report.clone(), ACCEPT_TIMEOUT).await {
-            Ok(_) => taken(&report),
+            Ok(_) => mark_accepted(&report),
             // The report is applied locally in the meantime.
             Err(_) => sleep(RESEND_PAUSE).await,
         }
--- a/crates/anvil_gateway/src/request_charge.rs
+++ b/crates/anvil_gateway/src/request_charge.rs
@@ -17,9 +17,9 @@
 
 impl RequestCharge {
     /// Starts with a reservation that covers the prompt and the maximum output.
-    pub fn new(purse: Arc<Purse>, reservation: Reservation, prompt: Tokens) -> Self {
+    pub fn new(grant_account: Arc<Purse>, reservation: Reservation, prompt: Tokens) -> Self {
         Self {
-            grant_account: purse,
+            grant_account,
             reservation: Some(reservation),
             prompt,
             output: 0,
--- a/crates/anvil_gateway/src/serve.rs
+++ b/crates/anvil_gateway/src/serve.rs
@@ -18,7 +18,7 @@
 use crate::admit::handle_request;
 use crate::gateway::Gateway;
 use crate::log_events as events;
-use crate::reply::{Reply, close_after, whole};
+use crate::reply::{Reply, set_connection_close, whole};
 use anvilreel::event;
 
 /// Idle timeout of a client's connection until a routing table sets one.
@@ -33,22 +33,22 @@
 
 /// Serves clients until a planned stop is complete.
 pub async fn serve_clients(gw: Arc<Gateway>, listener: TcpListener) {
-    let (tell, told) = watch::channel(false);
+    let (stop_tx, stop_rx) = watch::channel(false);
     let mut connections = JoinSet::new();
     let stopping = async {
         gw.lifecycle.left().await;
-        let left_at = Instant::now();
-        sleep_until(left_at + ACCEPT_AFTER_STOP).await;
-        left_at
+        let stopped_at = Instant::now();
+        sleep_until(stopped_at + ACCEPT_AFTER_STOP).await;
+        stopped_at
     };
     tokio::pin!(stopping);
-    let left_at = loop {
+    let stopped_at = loop {
         tokio::select! {
-            left_at = &mut stopping => break left_at,
+            stopped_at = &mut stopping => break stopped_at,
             Some(_) = connections.join_next() => {}
             accepted = listener.accept() => match accepted {
                 Ok((socket, _)) => {
-                    connections.spawn(serve_connection(gw.clone(), socket, told.clone()));
+                    connections.spawn(serve_client(gw.clone(), socket, stop_rx.clone()));
                 }
                 Err(e) => {
                     event!(gw.log, events::GATEWAY_CLIENT_CONNECTION, "error" => e.to_string());
@@ -59,17 +59,17 @@
     };
     drop(listener);
     // Fails only if no connection is left.
-    let _ = tell.send(true);
-    let end = left_at + gw.cfg.grace.saturating_sub(STOP_MARGIN);
+    let _ = stop_tx.send(true);
+    let end = stopped_at + gw.cfg.grace.saturating_sub(STOP_MARGIN);
     while let Ok(Some(_)) = timeout_at(end, connections.join_next()).await {}
 }
 
-async fn serve_connection(gw: Arc<Gateway>, socket: TcpStream, mut told: watch::Receiver<bool>) {
+async fn serve_client(gw: Arc<Gateway>, socket: TcpStream, mut stop_rx: watch::Receiver<bool>) {
     // Without TCP_NODELAY small chunks wait for an acknowledgement. If setting it fails, they are
     // only slower.
     let _ = socket.set_nodelay(true);
     let table = gw.table.load();
-    let idle = table
+    let idle_timeout = table
         .as_ref()
         .map_or(DEFAULT_IDLE_TIMEOUT, |table| table.limits.idle_time);
     drop(table);
@@ -78,19 +78,19 @@
         async move {
             let mut reply = handle_request(&gw, req).await;
             if gw.lifecycle.is_leaving() || gw.is_starved() {
-                close_after(&mut reply);
+                set_connection_close(&mut reply);
             }
             Ok::<Reply, Infallible>(reply)
         }
     });
     let connection = Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(idle)
+        .header_read_timeout(idle_timeout)
         .serve_connection(TokioIo::new(socket), service);
     tokio::pin!(connection);
     let served = tokio::select! {
         served = &mut connection => served,
-        () = wait_for_stop(&mut told) => {
+        () = wait_for_stop(&mut stop_rx) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
@@ -100,9 +100,9 @@
     }
 }
 
-async fn wait_for_stop(told: &mut watch::Receiver<bool>) {
+async fn wait_for_stop(stop_rx: &mut watch::Receiver<bool>) {
     // An error means that the accept loop has ended, which happens after the stop.
-    let _ = told.wait_for(|stop| *stop).await;
+    let _ = stop_rx.wait_for(|stop| *stop).await;
 }
 
 /// Answers readiness checks on any path for as long as the process runs.
--- a/crates/anvil_gateway/src/siblings.rs
+++ b/crates/anvil_gateway/src/siblings.rs
@@ -30,10 +30,10 @@
 
 impl Siblings {
     /// Contains only this gateway until the ledger reports others.
-    pub fn new(own: InstanceId, addr: SocketAddr) -> Self {
-        let addrs = BTreeMap::from([(own.clone(), addr)]);
+    pub fn new(own_id: InstanceId, addr: SocketAddr) -> Self {
+        let addrs = BTreeMap::from([(own_id.clone(), addr)]);
         Self {
-            own_id: own,
+            own_id,
             addrs: ArcSwap::from_pointee(addrs),
             peers: Peers::default(),
             skipped: Mutex::default(),
@@ -41,13 +41,14 @@
     }
 
     /// Updates the live gateways. All of them serve siblings at the same port.
-    pub fn update<'a>(&self, alive: impl Iterator<Item = &'a Instance>) {
-        let Some(own) = self.addrs.load().get(&self.own_id).copied() else {
+    pub fn update_members<'a>(&self, live: impl Iterator<Item = &'a Instance>) {
+        let Some(own_addr) = self.addrs.load().get(&self.own_id).copied() else {
             return;
         };
-        let at = |instance: &Instance| SocketAddr::new(instance.addr.ip(), own.port());
-        let mut addrs: BTreeMap<_, _> = alive.map(|i| (i.id.clone(), at(i))).collect();
-        addrs.insert(self.own_id.clone(), own);
+        let sibling_addr =
+            |instance: &Instance| SocketAddr::new(instance.addr.ip(), own_addr.port());
+        let mut addrs: BTreeMap<_, _> = live.map(|i| (i.id.clone(), sibling_addr(i))).collect();
+        addrs.insert(self.own_id.clone(), own_addr);
         if addrs == **self.addrs.load() {
             return;
         }
@@ -58,10 +59,10 @@
 
     /// The gateways that may read the list, in order of preference.
     pub fn reading_order(&self, now: Now) -> Vec<InstanceId> {
-        let mut passed_over = self.skipped();
-        passed_over.retain(|_, until| now < *until);
+        let mut skipped = self.skipped();
+        skipped.retain(|_, until| now < *until);
         let addrs = self.addrs.load();
-        in_order(addrs.keys().cloned(), |id| passed_over.contains_key(id))
+        in_order(addrs.keys().cloned(), |id| skipped.contains_key(id))
     }
 
     /// The channel to a sibling.
@@ -71,7 +72,7 @@
     }
 
     /// Skips a sibling that has not answered in time.
-    pub fn skip(&self, id: &InstanceId, now: Now) {
+    pub fn mark_skipped(&self, id: &InstanceId, now: Now) {
         self.skipped().insert(id.clone(), now + SKIP_TIME);
     }
 
@@ -87,11 +88,11 @@
 }
 
 /// Serves siblings for as long as the process runs.
-pub async fn serve(gw: Arc<Gateway>, server: Server) {
-    let handlers = Handlers::default().with::<ListCall, _, _>(move |ask: ListAsk, tx| {
+pub async fn serve_siblings(gw: Arc<Gateway>, server: Server) {
+    let handlers = Handlers::default().with::<ListCall, _, _>(move |request: ListAsk, tx| {
         let gw = gw.clone();
         async move {
-            let reply = reply_to(&gw, &ask).await;
+            let reply = reply_to(&gw, &request).await;
             // Fails only if the sibling has disconnected.
             let _ = tx.finish(&reply).await;
         }
@@ -99,9 +100,11 @@
     server.serve(handlers, std::future::pending()).await;
 }
 
-async fn reply_to(gw: &Gateway, ask: &ListAsk) -> ListReply {
-    if ask.read_within.is_zero() {
+async fn reply_to(gw: &Gateway, request: &ListAsk) -> ListReply {
+    if request.read_within.is_zero() {
         gw.list_read_requested.notify_one();
     }
-    gw.list_cache.answer(ask, gw.cfg.list_within).await
+    gw.list_cache
+        .answer_when_fresh(request, gw.cfg.list_within)
+        .await
 }
--- a/crates/anvil_gateway/src/stream_relay.rs
+++ b/crates/anvil_gateway/src/stream_relay.rs
@@ -22,7 +22,7 @@
 use crate::endpoint::EndpointSlot;
 use crate::exchange::Exchange;
 use crate::metrics;
-use crate::reply::{BrokenOff, Cause, Reply, remove_connection_headers};
+use crate::reply::{Cause, IncompleteStream, Reply, remove_connection_headers};
 use crate::stream_events::{EventSplitter, StreamEvent};
 
 /// A resumable stream counts as stalled after this multiple of the route's maximum gap. The client
@@ -37,7 +37,7 @@
     sender: SendRequest<http_body_util::Full<Bytes>>,
     watch: Arc<ConnectionWatch>,
     head: AnswerHead,
-    place: EndpointSlot,
+    slot: EndpointSlot,
     /// What is reported should the endpoint crash now.
     progress: CrashedRun,
 }
@@ -54,7 +54,7 @@
     delivered_at: Option<Instant>,
 }
 
-enum Next {
+enum NextEvent {
     Event(StreamEvent),
     End,
     Broken,
@@ -63,14 +63,14 @@
 impl StreamRelay {
     /// Starts the client's response once the first event has arrived. A stream that breaks before
     /// that can still be retried elsewhere, or refused with a status.
-    pub async fn start(exchange: Exchange, answer: EndpointResponse) -> Reply {
-        let mut parts = answer.parts.clone();
+    pub async fn start_response(exchange: Exchange, response: EndpointResponse) -> Reply {
+        let mut parts = response.parts.clone();
         remove_connection_headers(&mut parts.headers);
-        let last = exchange.ask.after;
+        let last_delivered = exchange.request.after;
         let mut relay = Self {
             exchange,
-            source: Some(StreamSource::from(answer)),
-            last_delivered: last,
+            source: Some(StreamSource::from(response)),
+            last_delivered,
             prefetched: None,
             delivered_at: None,
         };
@@ -89,7 +89,7 @@
                 }
                 Err(cause) => {
                     relay.exchange.trace.record_outcome(cause.text());
-                    Some((Err(BrokenOff), None))
+                    Some((Err(IncompleteStream), None))
                 }
             }
         });
@@ -106,16 +106,16 @@
         };
         self.last_delivered = event.id.or(self.last_delivered);
         let now = Instant::now();
-        if let Some(before) = self.delivered_at.replace(now) {
-            self.exchange.trace.record_gap(now - before);
+        if let Some(previous) = self.delivered_at.replace(now) {
+            self.exchange.trace.record_gap(now - previous);
             self.exchange
                 .gw
                 .metrics
-                .time(metrics::STREAM_GAP, now - before);
+                .time(metrics::STREAM_GAP, now - previous);
         }
         let tokens = self.exchange.tokens_per_event;
-        if let Some(spend) = &mut self.exchange.charge {
-            spend.record_output(tokens);
+        if let Some(charge) = &mut self.exchange.charge {
+            charge.record_output(tokens);
         }
         Ok(Some(event.bytes))
     }
@@ -128,52 +128,52 @@
     ) -> Result<Option<StreamEvent>, Cause> {
         loop {
             match self.next_from_source().await {
-                Next::Event(event) => return Ok(Some(event)),
-                Next::End => {
-                    self.finish();
+                NextEvent::Event(event) => return Ok(Some(event)),
+                NextEvent::End => {
+                    self.release_source();
                     return Ok(None);
                 }
-                Next::Broken => {
-                    let answer = self.resume_elsewhere().await?;
+                NextEvent::Broken => {
+                    let response = self.resume_elsewhere().await?;
                     if let Some(head) = head.as_deref_mut() {
-                        *head = answer.parts.clone();
+                        *head = response.parts.clone();
                         remove_connection_headers(&mut head.headers);
                     }
-                    self.source = Some(StreamSource::from(answer));
+                    self.source = Some(StreamSource::from(response));
                 }
             }
         }
     }
 
-    async fn next_from_source(&mut self) -> Next {
-        let until = self.stall_deadline();
+    async fn next_from_source(&mut self) -> NextEvent {
+        let deadline = self.stall_deadline();
         let Some(source) = &mut self.source else {
-            return Next::Broken;
+            return NextEvent::Broken;
         };
         loop {
             if let Some(event) = source.splitter.next_event() {
-                source.place.response_started();
+                source.slot.response_started();
                 source.progress = CrashedRun::AfterOutput;
                 // Failure: an endpoint repeats an event, or sends one of an earlier run. Ids
                 // increase by one; an event that does not follow is not delivered.
                 if is_next_event(self.last_delivered, event.id) {
-                    return Next::Event(event);
+                    return NextEvent::Event(event);
                 }
-                return Next::Broken;
+                return NextEvent::Broken;
             }
-            match timeout_at(until, source.body.frame()).await {
+            match timeout_at(deadline, source.body.frame()).await {
                 Err(_) => {
                     self.exchange.trace.step(format_args!("silent endpoint"));
-                    return Next::Broken;
+                    return NextEvent::Broken;
                 }
-                Ok(None) if source.splitter.is_empty() => return Next::End,
-                Ok(None | Some(Err(_))) => return Next::Broken,
+                Ok(None) if source.splitter.is_empty() => return NextEvent::End,
+                Ok(None | Some(Err(_))) => return NextEvent::Broken,
                 Ok(Some(Ok(frame))) => {
                     let Some(data) = frame.data_ref() else {
                         continue;
                     };
                     if !source.splitter.push(data) {
-                        return Next::Broken;
+                        return NextEvent::Broken;
                     }
                 }
             }
@@ -189,67 +189,73 @@
             return deadline;
         }
         let gap = self.exchange.route.gap;
-        let silent = gap.map_or(DEFAULT_STALL_TIME, |gap| gap.mul_f64(STALL_GAPS));
-        deadline.min(Instant::now() + silent)
+        let stall_time = gap.map_or(DEFAULT_STALL_TIME, |gap| gap.mul_f64(STALL_GAPS));
+        deadline.min(Instant::now() + stall_time)
     }
 
     async fn resume_elsewhere(&mut self) -> Result<EndpointResponse, Cause> {
         if let Some(source) = self.source.take() {
             self.exchange.record_lost_response(
-                &source.place.endpoint,
+                &source.slot.endpoint,
                 source.progress,
-                "its stream broke off",
+                "stream ended early",
             );
-            let last = self.last_delivered;
-            let id = &source.place.endpoint.id;
+            let last_delivered = self.last_delivered;
+            let id = &source.slot.endpoint.id;
             self.exchange
                 .trace
-                .step(format_args!("{id} broke off after {last:?}"));
+                .step(format_args!("{id} broke off after {last_delivered:?}"));
             // Dropping the source closes its connection, which stops the endpoint's run.
         }
-        let late = self.exchange.time_left().is_zero();
-        let cause = if late { Cause::Late } else { Cause::Lost };
+        let timed_out = self.exchange.time_left().is_zero();
+        let cause = if timed_out {
+            Cause::ResponseTimeout
+        } else {
+            Cause::ResponseLost
+        };
         if !self.exchange.route.repeat.may_resume_elsewhere() {
             return Err(cause);
         }
         self.exchange.may_retry(cause).map_err(|(cause, _)| cause)?;
-        let last = self.last_delivered;
-        let answer = self.exchange.first_response(last).await;
-        let answer = answer.map_err(|(cause, _)| cause)?;
-        if answer.parts.status.is_success() {
+        let last_delivered = self.last_delivered;
+        let response = self.exchange.first_response(last_delivered).await;
+        let response = response.map_err(|(cause, _)| cause)?;
+        if response.parts.status.is_success() {
             self.exchange.gw.metrics.count(metrics::STREAMS_RESUMED);
-            Ok(*answer)
+            Ok(*response)
         } else {
-            Err(Cause::Lost)
+            Err(Cause::ResponseLost)
         }
     }
 
-    fn finish(&mut self) {
+    fn release_source(&mut self) {
         let Some(source) = self.source.take() else {
             return;
         };
-        self.exchange.gw.record_answered(self.exchange.digest);
-        let endpoint = source.place.endpoint.clone();
+        self.exchange
+            .gw
+            .record_answered(self.exchange.request_digest);
+        let endpoint = source.slot.endpoint.clone();
         EndpointResponse::release_connection(source.sender, source.watch, &endpoint, &source.head);
     }
 }
 
-fn is_next_event(last: Option<u64>, next: Option<u64>) -> bool {
-    match (last, next) {
-        (Some(last), Some(next)) => next == last + 1,
+fn is_next_event(last_delivered: Option<u64>, next: Option<u64>) -> bool {
+    match (last_delivered, next) {
+        (Some(last_delivered), Some(next)) => next == last_delivered + 1,
         _ => true,
     }
 }
 
 impl From<EndpointResponse> for StreamSource {
-    fn from(answer: EndpointResponse) -> Self {
+    fn from(response: EndpointResponse) -> Self {
         Self {
-            body: answer.body,
+            body: response.body,
             splitter: EventSplitter::default(),
-            sender: answer.sender,
-            watch: answer.watch,
-            head: answer.head,
-            place: answer.slot,
+            sender: response.sender,
+            watch: response.watch,
+            head: response.head,
+            slot: response.slot,
             progress: CrashedRun::BeforeOutput,
         }
     }
--- a/crates/anvil_gateway/src/suspects.rs
+++ b/crates/anvil_gateway/src/suspects.rs
@@ -56,10 +56,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:?} crashed under it, ", self.endpoints)?;
         match self.reported_at {
-            Some(since) => write!(
+            Some(reported_at) => write!(
                 f,
                 "told by the ledger {:.1} s after the start",
-                since.as_secs_f64()
+                reported_at.as_secs_f64()
             ),
             None => f.write_str("seen here"),
         }
@@ -106,12 +106,12 @@
         endpoint: &InstanceId,
         requests: BTreeMap<RequestDigest, CrashedRun>,
     ) -> bool {
-        let mut own = self.pending();
-        let is_full = own.crashes.len() >= MAX_PENDING_CRASHES;
+        let mut pending = self.pending();
+        let is_full = pending.crashes.len() >= MAX_PENDING_CRASHES;
         if is_full {
-            own.remove_oldest();
+            pending.remove_oldest();
         }
-        own.add(ReportCrash {
+        pending.add(ReportCrash {
             endpoint: endpoint.clone(),
             requests: requests.into_iter().collect(),
             // The ledger's leader sets the time.
@@ -123,40 +123,40 @@
 
     /// Why a request is not sent to endpoints; `None` if it may be sent.
     pub fn quarantine(&self, request: RequestDigest) -> Option<Quarantine> {
-        let told = self.from_ledger.load();
-        let told = told.get(&request);
-        let own = {
-            let own = self.pending();
+        let reported = self.from_ledger.load();
+        let reported = reported.get(&request);
+        let pending = {
+            let pending = self.pending();
             // A report that it was answered is on its way to the ledger.
-            if own.answered.contains(&request) {
+            if pending.answered.contains(&request) {
                 return None;
             }
-            own.endpoints_by_request.get(&request).cloned()
+            pending.endpoints_by_request.get(&request).cloned()
         };
-        if told.is_none() && own.is_none() {
+        if reported.is_none() && pending.is_none() {
             return None;
         }
         let now = SystemTime::now();
-        let suspect = told.map(|told| told.suspect.clone());
+        let suspect = reported.map(|reported| reported.suspect.clone());
         let mut suspect = suspect.unwrap_or_else(|| Suspect::new(now));
-        for (endpoint, run) in own.into_iter().flatten() {
+        for (endpoint, run) in pending.into_iter().flatten() {
             suspect.crashed(&endpoint, run, now);
         }
-        let left = suspect.quarantined_for(now);
-        let told = told.filter(|told| told.suspect.weight() >= QUARANTINED_FROM);
-        (!left.is_zero()).then(|| Quarantine {
-            time_left: left,
+        let time_left = suspect.quarantined_for(now);
+        let reported = reported.filter(|reported| reported.suspect.weight() >= QUARANTINED_FROM);
+        (!time_left.is_zero()).then(|| Quarantine {
+            time_left,
             endpoints: endpoints_of(&suspect),
-            reported_at: told.map(|told| told.learned_at),
+            reported_at: reported.map(|reported| reported.learned_at),
         })
     }
 
     /// Records that an endpoint answered a request, so the earlier crashes had another cause.
     pub fn record_answered(&self, request: RequestDigest) {
-        let mut own = self.pending();
+        let mut pending = self.pending();
         let is_suspect = self.from_ledger.load().contains_key(&request)
-            || own.endpoints_by_request.contains_key(&request);
-        if is_suspect && own.answered.insert(request) {
+            || pending.endpoints_by_request.contains_key(&request);
+        if is_suspect && pending.answered.insert(request) {
             self.report_wanted.notify_one();
         }
     }
@@ -164,10 +164,10 @@
     /// Number of requests in quarantine according to the ledger.
     pub fn count_quarantined(&self) -> u64 {
         let now = SystemTime::now();
-        let told = self.from_ledger.load();
-        let quarantined = told
+        let reported = self.from_ledger.load();
+        let quarantined = reported
             .values()
-            .filter(|told| is_quarantined(&told.suspect, now));
+            .filter(|reported| is_quarantined(&reported.suspect, now));
         quarantined.count() as u64
     }
 
@@ -177,27 +177,28 @@
     }
 
     fn next_report(&self) -> Option<Command> {
-        let own = self.pending();
-        if let Some(crash) = own.crashes.front() {
+        let pending = self.pending();
+        if let Some(crash) = pending.crashes.front() {
             return Some(Command::ReportCrash(crash.clone()));
         }
-        if own.answered.is_empty() {
+        if pending.answered.is_empty() {
             return None;
         }
-        let requests = own.answered.iter().copied().collect();
+        let requests = pending.answered.iter().copied().collect();
         Some(Command::ClearSuspects(ClearSuspects { requests }))
     }
 
     fn mark_accepted(&self, report: &Command) {
-        let mut own = self.pending();
+        let mut pending = self.pending();
         match report {
             // The first report is a different one if this one was dropped in the meantime.
-            Command::ReportCrash(taken) if own.crashes.front() == Some(taken) => {
-                own.remove_oldest()
+            Command::ReportCrash(accepted) if pending.crashes.front() == Some(accepted) => {
+                pending.remove_oldest()
             }
-            Command::ClearSuspects(taken) => {
-                own.answered
-                    .retain(|request| !taken.requests.contains(request));
+            Command::ClearSuspects(accepted) => {
+                pending
+                    .answered
+                    .retain(|request| !accepted.requests.contains(request));
             }
             _ => {}
         }
@@ -217,35 +218,35 @@
     /// Applies the suspects reported by the ledger. A request that an endpoint answered here
     /// shortly before is cleared: when a zone loses power, equal requests from many clients were in
     /// flight at several endpoints.
-    pub fn apply_ledger_suspects(&self, told: &BTreeMap<RequestDigest, Suspect>) {
-        let before = self.suspects.from_ledger.load_full();
-        let known = before
+    pub fn apply_ledger_suspects(&self, reported: &BTreeMap<RequestDigest, Suspect>) {
+        let previous = self.suspects.from_ledger.load_full();
+        let known = previous
             .iter()
-            .map(|(request, told)| (request, &told.suspect));
-        if known.eq(told) {
+            .map(|(request, reported)| (request, &reported.suspect));
+        if known.eq(reported) {
             return;
         }
-        let since = self.lifecycle.now();
-        let mut all = BTreeMap::new();
-        for (request, suspect) in told {
-            let known = before.get(request);
-            let told = LedgerSuspect {
+        let now = self.lifecycle.now();
+        let mut updated = BTreeMap::new();
+        for (request, suspect) in reported {
+            let known = previous.get(request);
+            let entry = LedgerSuspect {
                 suspect: suspect.clone(),
-                learned_at: known.map_or(since, |known| known.learned_at),
+                learned_at: known.map_or(now, |known| known.learned_at),
             };
-            self.log_new_quarantine(*request, known, &told);
-            all.insert(*request, told);
+            self.log_new_quarantine(*request, known, &entry);
+            updated.insert(*request, entry);
         }
-        for (request, _) in before
+        for (request, _) in previous
             .iter()
-            .filter(|(request, _)| !told.contains_key(request))
+            .filter(|(request, _)| !reported.contains_key(request))
         {
             event!(
                 self.log, events::GATEWAY_REQUEST_CLEARED, "content" => request_digest::to_hex(*request)
             );
         }
-        self.suspects.from_ledger.store(Arc::new(all));
-        for request in told.keys() {
+        self.suspects.from_ledger.store(Arc::new(updated));
+        for request in reported.keys() {
             if self.was_recently_answered(*request) {
                 self.suspects.record_answered(*request);
             }
@@ -256,14 +257,14 @@
         &self,
         request: RequestDigest,
         known: Option<&LedgerSuspect>,
-        told: &LedgerSuspect,
+        entry: &LedgerSuspect,
     ) {
         let now = SystemTime::now();
         let was_quarantined = known.is_some_and(|known| is_quarantined(&known.suspect, now));
-        if is_quarantined(&told.suspect, now) && !was_quarantined {
+        if is_quarantined(&entry.suspect, now) && !was_quarantined {
             event!(
                 self.log, events::GATEWAY_REQUEST_QUARANTINED, "content" => request_digest::to_hex(request),
-                "endpoints" => format!("{:?}", endpoints_of(&told.suspect))
+                "endpoints" => format!("{:?}", endpoints_of(&entry.suspect))
             );
         }
     }
@@ -272,7 +273,7 @@
 /// Reports observations to the ledger for as long as the process runs.
 pub async fn run(gw: &Gateway) {
     let suspects = &gw.suspects;
-    let next = || suspects.next_report();
-    let taken = |report: &Command| suspects.mark_accepted(report);
-    reports::run(gw, &suspects.report_wanted, next, taken).await;
+    let next_report = || suspects.next_report();
+    let mark_accepted = |report: &Command| suspects.mark_accepted(report);
+    reports::run(gw, &suspects.report_wanted, next_report, mark_accepted).await;
 }
--- a/crates/anvil_gateway/src/table.rs
+++ b/crates/anvil_gateway/src/table.rs
@@ -145,17 +145,18 @@
 
 impl From<TableParts> for RouteTable {
     fn from(parts: TableParts) -> Self {
-        let mut hosts: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Arc<Route>>> = BTreeMap::new();
+        let mut routes_by_host: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Arc<Route>>> =
+            BTreeMap::new();
         for route in parts.routes {
-            let of_host = hosts.entry(route.host.clone()).or_default();
-            of_host.insert(route.prefix.clone(), Arc::new(route));
+            let routes = routes_by_host.entry(route.host.clone()).or_default();
+            routes.insert(route.prefix.clone(), Arc::new(route));
         }
-        let asks_for_keys = !parts.organisations.is_empty();
-        let mut keys = BTreeMap::new();
-        for (organisation, own) in parts.organisations {
+        let requires_keys = !parts.organisations.is_empty();
+        let mut organisations_by_key = BTreeMap::new();
+        for (organisation, keys) in parts.organisations {
             let organisation = Arc::new(organisation);
-            for key in own {
-                keys.insert(key, organisation.clone());
+            for key in keys {
+                organisations_by_key.insert(key, organisation.clone());
             }
         }
         let services = parts.services.into_iter();
@@ -163,9 +164,9 @@
             version: parts.version,
             services: services.map(|s| (s.id.clone(), s)).collect(),
             limits: parts.limits,
-            routes_by_host: hosts,
-            organisations_by_key: keys,
-            requires_keys: asks_for_keys,
+            routes_by_host,
+            organisations_by_key,
+            requires_keys,
         }
     }
 }
--- a/crates/anvil_gateway/src/trace.rs
+++ b/crates/anvil_gateway/src/trace.rs
@@ -27,7 +27,7 @@
     first_piece_at: Option<Duration>,
     longest_gap: Duration,
     cost: u64,
-    digest: Option<RequestDigest>,
+    request_digest: Option<RequestDigest>,
     outcome: Option<&'static str>,
 }
 
@@ -36,11 +36,11 @@
 
 impl Trace {
     /// Starts the trace of a request that has just arrived.
-    pub fn new(gw: Arc<Gateway>, id: Arc<str>, begun: Instant) -> Self {
+    pub fn new(gw: Arc<Gateway>, id: Arc<str>, started_at: Instant) -> Self {
         gw.open_requests.fetch_add(1, Ordering::Relaxed);
         Self {
             gw,
-            started_at: begun,
+            started_at,
             id,
             route: None,
             organisation: None,
@@ -49,15 +49,15 @@
             first_piece_at: None,
             longest_gap: Duration::ZERO,
             cost: 0,
-            digest: None,
+            request_digest: None,
             outcome: None,
         }
     }
 
     /// Records the route, and the version of the routing table that it is from.
-    pub fn record_route(&mut self, route: &Arc<str>, table: u64) {
+    pub fn record_route(&mut self, route: &Arc<str>, table_version: u64) {
         self.route = Some(route.clone());
-        self.table_version = table;
+        self.table_version = table_version;
     }
 
     /// Records the organisation that sent the request.
@@ -81,8 +81,8 @@
     }
 
     /// Records the gap between two events of a stream; the longest one is logged.
-    pub fn record_gap(&mut self, pause: Duration) {
-        self.longest_gap = self.longest_gap.max(pause);
+    pub fn record_gap(&mut self, gap: Duration) {
+        self.longest_gap = self.longest_gap.max(gap);
     }
 
     /// Records the cost in tokens.
@@ -91,8 +91,8 @@
     }
 
     /// Records the digest that is equal for equal requests.
-    pub fn record_digest(&mut self, content: RequestDigest) {
-        self.digest = Some(content);
+    pub fn record_digest(&mut self, request_digest: RequestDigest) {
+        self.request_digest = Some(request_digest);
     }
 
     /// Records the outcome. Only the first call has an effect.
@@ -112,26 +112,26 @@
             self.gw.metrics.time(metrics::FIRST_PIECE, first);
         }
         let log = &self.gw.log;
-        let took = took.as_millis();
-        let first = self.first_piece_at.map_or(0, |first| first.as_millis());
-        let pause = self.longest_gap.as_millis();
-        let confirmed = self.gw.ledger_confirmed_ms.load(Ordering::Relaxed);
-        let held = self.gw.now_ms().saturating_sub(confirmed);
+        let took_ms = took.as_millis();
+        let first_ms = self.first_piece_at.map_or(0, |first| first.as_millis());
+        let longest_gap_ms = self.longest_gap.as_millis();
+        let confirmed_ms = self.gw.ledger_confirmed_ms.load(Ordering::Relaxed);
+        let since_confirmed_ms = self.gw.now_ms().saturating_sub(confirmed_ms);
         if outcome == "completed" {
             event!(
                 log, events::GATEWAY_REQUEST_COMPLETED,
                 "request" => &*self.id, "route" => self.route.as_deref(),
                 "organisation" => self.organisation.as_deref(), "table" => self.table_version,
-                "held_ms" => held,
-                "first_ms" => first, "pause_ms" => pause, "took_ms" => took, "billed" => self.cost, "steps" => &*self.steps
+                "held_ms" => since_confirmed_ms,
+                "first_ms" => first_ms, "pause_ms" => longest_gap_ms, "took_ms" => took_ms, "billed" => self.cost, "steps" => &*self.steps
             );
         } else {
             event!(
                 log, events::GATEWAY_REQUEST_FAILED,
                 "request" => &*self.id, "outcome" => outcome, "route" => self.route.as_deref(),
                 "organisation" => self.organisation.as_deref(), "table" => self.table_version,
-                "held_ms" => held, "content" => self.digest.map(request_digest::to_hex),
-                "first_ms" => first, "pause_ms" => pause, "took_ms" => took, "billed" => self.cost, "steps" => &*self.steps
+                "held_ms" => since_confirmed_ms, "content" => self.request_digest.map(request_digest::to_hex),
+                "first_ms" => first_ms, "pause_ms" => longest_gap_ms, "took_ms" => took_ms, "billed" => self.cost, "steps" => &*self.steps
             );
         }
     }
--- a/crates/anvil_gateway/tests/direct/explained.rs
+++ b/crates/anvil_gateway/tests/direct/explained.rs
@@ -208,7 +208,7 @@
     })
     .await;
     let (fleet, written, _) = logged(&[("engine-1", &endpoint)]).await;
-    fleet.gw.gateways.store(1, Ordering::Relaxed);
+    fleet.gw.gateway_count.store(1, Ordering::Relaxed);
     let mut client = Client::connect(fleet.addr).await;
     for number in 0..4 {
         tokio::time::sleep(Duration::from_millis(450)).await;
--- a/crates/anvil_gateway/tests/direct/siblings.rs
+++ b/crates/anvil_gateway/tests/direct/siblings.rs
@@ -91,7 +91,7 @@
     }
 
     fn knows_it_leaves(&self) -> bool {
-        let group = self.gw.directory.endpoints_of(crate::fleet::SERVICE);
+        let group = self.gw.directory.service_endpoints(crate::fleet::SERVICE);
         group.iter().all(|endpoint| endpoint.is_leaving())
     }
 }
@@ -118,13 +118,13 @@
         let log = Logger::root(Discard, o!());
         let gw = Arc::new(Gateway::new(cfg, log, Metrics::silent("gateway")));
         let server = siblings::listen(&gw).await.expect("an address");
-        let answering = tokio::spawn(siblings::serve(gw.clone(), server));
+        let answering = tokio::spawn(siblings::serve_siblings(gw.clone(), server));
         let tasks = vec![answering];
         running.push(Running { gw, tasks });
     }
     let instances: Vec<Instance> = running.iter().map(|r| r.gw.instance()).collect();
     for one in &mut running {
-        one.gw.siblings.update(instances.iter());
+        one.gw.siblings.update_members(instances.iter());
         let gw = one.gw.clone();
         one.tasks
             .push(tokio::spawn(async move { discovery::run(&gw).await }));
--- a/crates/anvil_gateway/tests/listing.rs
+++ b/crates/anvil_gateway/tests/listing.rs
@@ -40,7 +40,7 @@
 }
 
 async fn reply(from: &ListCache, have: u64) -> ListReply {
-    from.answer(&ask(have, SECOND), SECOND).await
+    from.answer_when_fresh(&ask(have, SECOND), SECOND).await
 }
 
 #[tokio::test]
@@ -111,7 +111,7 @@
 async fn a_doubted_list_is_answered_by_a_newer_reading_only() {
     let reader = having(vec![listed("before", false)]);
     let doubt = ask(reader.version(), Duration::ZERO);
-    let (told, ()) = tokio::join!(reader.answer(&doubt, SECOND), async {
+    let (told, ()) = tokio::join!(reader.answer_when_fresh(&doubt, SECOND), async {
         tokio::time::sleep(Duration::from_millis(20)).await;
         reader.store_reading(Moment::now(), vec![listed("after", false)]);
     });
