--- a/crates/anvil_gateway/src/admit.rs
+++ b/crates/anvil_gateway/src/admit.rs
@@ -16,7 +16,7 @@
 use crate::attempt_counter::AttemptCounter;
 use crate::availability;
 use crate::dialect::Ask;
-use crate::exchange::{DEFAULT_RETRY_AFTER, Exchange, Refusal};
+use crate::exchange::{DEFAULT_RETRY_AFTER, Exchange, RequestRefusal};
 use crate::gateway::Gateway;
 use crate::metrics;
 use crate::reply::{Cause, Reply, refusal};
@@ -102,7 +102,7 @@
     request: Ask,
     received_at: Instant,
     trace: &mut Trace,
-) -> Result<Admitted, Refusal> {
+) -> Result<Admitted, RequestRefusal> {
     let table = wait_for_table(gw, &request, trace).await?;
     let route = find_route(&table, &head).ok_or((Cause::NoRoute, DEFAULT_RETRY_AFTER))?;
     trace.record_route(&route.name, table.version);
@@ -143,7 +143,7 @@
     gw: &Gateway,
     request: &Ask,
     trace: &mut Trace,
-) -> Result<Arc<RouteTable>, Refusal> {
+) -> Result<Arc<RouteTable>, RequestRefusal> {
     let max_wait = availability::startup_wait(gw.lifecycle.now(), request.patience);
     let table = availability::wait_until_available(gw, max_wait, || gw.table.load_full()).await;
     if table.is_none() {
@@ -164,7 +164,7 @@
     table: &RouteTable,
     route: &Route,
     request: &Ask,
-) -> Result<Option<Arc<Organisation>>, Refusal> {
+) -> Result<Option<Arc<Organisation>>, RequestRefusal> {
     let organisation = request
         .key
         .as_deref()
@@ -175,7 +175,11 @@
     Ok(organisation.cloned())
 }
 
-async fn read_body(body: Incoming, max_bytes: usize, deadline: Instant) -> Result<Bytes, Refusal> {
+async fn read_body(
+    body: Incoming,
+    max_bytes: usize,
+    deadline: Instant,
+) -> Result<Bytes, RequestRefusal> {
     // A declared length over the limit is refused without reading the body.
     if body.size_hint().lower() > max_bytes as u64 {
         return Err((Cause::BodyTooLong, DEFAULT_RETRY_AFTER));
@@ -196,7 +200,7 @@
     request: &Ask,
     deadline: Instant,
     trace: &mut Trace,
-) -> Result<Option<RequestCharge>, Refusal> {
+) -> Result<Option<RequestCharge>, RequestRefusal> {
     let Some(organisation) = organisation.filter(|organisation| organisation.prepaid) else {
         return Ok(None);
     };
@@ -256,7 +260,7 @@
     RETRY_ELSEWHERE_AFTER
 }
 
-fn shortage_refusal(gw: &Gateway, reason: &Reason) -> Refusal {
+fn shortage_refusal(gw: &Gateway, reason: &Reason) -> RequestRefusal {
     match reason {
         Reason::BudgetExhausted(_) => (Cause::BudgetExhausted, DEFAULT_RETRY_AFTER),
         Reason::LedgerUnreachable => (Cause::LedgerUnreachable, unreachable_retry_after(gw)),
--- a/crates/anvil_gateway/src/exchange.rs
+++ b/crates/anvil_gateway/src/exchange.rs
@@ -44,7 +44,7 @@
     (Duration::from_millis(250), Duration::from_secs(2));
 
 /// Why a request is refused, and the retry-after time where a retry helps.
-pub type Refusal = (Cause, Duration);
+pub type RequestRefusal = (Cause, Duration);
 
 /// One request with the state of its attempts.
 pub struct Exchange {
@@ -102,7 +102,7 @@
     }
 
     /// Ends the request with a refusal.
-    pub fn refuse(mut self, (cause, retry_after): Refusal) -> Reply {
+    pub fn refuse(mut self, (cause, retry_after): RequestRefusal) -> Reply {
         self.trace.record_outcome(cause.text());
         refusal(cause, Some(retry_after))
     }
@@ -117,7 +117,7 @@
     pub async fn first_response(
         &mut self,
         after: Option<u64>,
-    ) -> Result<Box<EndpointResponse>, Refusal> {
+    ) -> Result<Box<EndpointResponse>, RequestRefusal> {
         let mut failure: Option<Box<EndpointResponse>> = None;
         loop {
             let refusal = match self.one_attempt(after).await {
@@ -153,7 +153,7 @@
     /// Waits once for endpoints when none of those tried still exists.
     ///
     /// No attempt has run, so the request may wait and go to any of the new endpoints.
-    async fn wait_for_endpoints(&mut self, refusal: Option<Refusal>) -> bool {
+    async fn wait_for_endpoints(&mut self, refusal: Option<RequestRefusal>) -> bool {
         let no_endpoint = matches!(
             refusal,
             Some((Cause::NoEndpoint | Cause::RefusedByEndpoints, _))
@@ -215,7 +215,7 @@
     }
 
     /// Whether the request may be sent to another endpoint after this failure.
-    pub fn may_retry(&mut self, failed: Cause) -> Result<(), Refusal> {
+    pub fn may_retry(&mut self, failed: Cause) -> Result<(), RequestRefusal> {
         let cause = if self.in_doubt && failed == Cause::RefusedByEndpoints {
             Cause::ResponseLost
         } else {
@@ -234,7 +234,7 @@
         !self.attempt_counter.was_received() || self.gw.try_count_retry(&self.service)
     }
 
-    async fn one_attempt(&mut self, after: Option<u64>) -> Result<AttemptOutcome, Refusal> {
+    async fn one_attempt(&mut self, after: Option<u64>) -> Result<AttemptOutcome, RequestRefusal> {
         if let Some(quarantine) = self.gw.suspects.quarantine(self.request_digest) {
             self.trace.step(format_args!("in quarantine: {quarantine}"));
             let cause = if self.in_doubt {
@@ -330,7 +330,7 @@
             .min(LEAST_URGENT_CLASS)
     }
 
-    fn refuse_unplaced(&mut self, unplaced: Unplaced) -> Refusal {
+    fn refuse_unplaced(&mut self, unplaced: Unplaced) -> RequestRefusal {
         self.trace.step(format_args!("no place: {unplaced:?}"));
         if self.in_doubt {
             return (Cause::ResponseLost, DEFAULT_RETRY_AFTER);
--- a/crates/anvil_gateway/src/exchange/outcome.rs
+++ b/crates/anvil_gateway/src/exchange/outcome.rs
@@ -41,10 +41,10 @@
                 self.gw.list_mismatch.notify_one();
             }
             AttemptOutcome::NotRun(NotRun::Refused(_)) => {
-                endpoint.load().was_full(now, FULL_ENDPOINT_PAUSE)
+                endpoint.load().was_full(now, FULL_ENDPOINT_PAUSE);
             }
             AttemptOutcome::NotRun(NotRun::Unreachable(reason)) => {
-                self.record_endpoint_failure(endpoint, reason)
+                self.record_endpoint_failure(endpoint, reason);
             }
             // Not a sign of failure if the client's timeout is shorter than a normal response
             // takes.
--- a/crates/anvil_gateway/src/suspects.rs
+++ b/crates/anvil_gateway/src/suspects.rs
@@ -193,7 +193,7 @@
         match report {
             // The first report is a different one if this one was dropped in the meantime.
             Command::ReportCrash(accepted) if pending.crashes.front() == Some(accepted) => {
-                pending.remove_oldest()
+                pending.remove_oldest();
             }
             Command::ClearSuspects(accepted) => {
                 pending
--- a/crates/anvil_gateway/tests/catalogue.rs
+++ b/crates/anvil_gateway/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! Code and catalogue hold together.
+//! The documented events and metrics match the code.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -7,10 +7,10 @@
 use anvil_gateway::reply::Cause;
 
 /// Number of the gateway's first event.
-const FIRST: u16 = 6_000;
+const FIRST_EVENT_NUMBER: u16 = 6_000;
 
 #[test]
-fn every_event_stands_in_the_catalogue_and_the_other_way_round() {
+fn documented_events_match_the_code() {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../docs/EVENTS.md");
     let page = std::fs::read_to_string(path).expect("a page");
     let mut listed = BTreeMap::new();
@@ -22,7 +22,7 @@
         let Ok(number) = cells[0].parse::<u16>() else {
             continue;
         };
-        if number < FIRST {
+        if number < FIRST_EVENT_NUMBER {
             continue;
         }
         assert_eq!(cells.len(), 5, "number, name, level, meaning, what to do");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn every_metric_stands_on_its_page_and_the_other_way_round() {
+fn documented_metrics_match_the_code() {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../docs/METRICS.md");
     let page = std::fs::read_to_string(path).expect("a page");
     let rows = page
--- a/crates/anvil_gateway/tests/direct/client.rs
+++ b/crates/anvil_gateway/tests/direct/client.rs
@@ -1,4 +1,4 @@
-//! A client that sees the bytes.
+//! A client that sees the raw bytes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,24 +7,24 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest wait for an answer in any test.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Longest wait for a response in any test.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a client got on one connection.
+/// What a client received on one connection.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Got {
-    /// Status, 0 when the connection ended without one.
+pub struct ClientResponse {
+    /// Status; 0 if the connection ended without one.
     pub status: u16,
     /// Head, as text.
     pub head: String,
-    /// The body, out of its chunks.
+    /// The decoded body.
     pub body: String,
-    /// Whether the answer came to its end.
-    pub whole: bool,
+    /// Whether the response was complete.
+    pub complete: bool,
 }
 
-impl Got {
-    /// When to come back, as the answer says.
+impl ClientResponse {
+    /// The retry-after time of the response.
     pub fn retry_after(&self) -> Option<Duration> {
         let mut lines = self.head.lines().filter_map(|line| line.split_once(": "));
         let (_, value) = lines.find(|(key, _)| key.eq_ignore_ascii_case("retry-after"))?;
@@ -44,83 +44,86 @@
         Self::try_connect(addr).await.expect("a connection")
     }
 
-    /// Connects to a process that may not be there.
+    /// Connects to a process that may not be running.
     pub async fn try_connect(addr: SocketAddr) -> std::io::Result<Self> {
         let socket = TcpStream::connect(addr).await?;
         let buf = Vec::new();
         Ok(Self { socket, buf })
     }
 
-    /// Sends a request with this body and waits for its answer.
-    pub async fn ask_with(&mut self, path: &str, id: &str, body: &str) -> Got {
+    /// Sends a request with this body and waits for the response.
+    pub async fn request_with_body(&mut self, path: &str, id: &str, body: &str) -> ClientResponse {
         let headers = format!("content-length: {}\r\n", body.len());
         self.send(path, id, &headers).await;
         self.socket.write_all(body.as_bytes()).await.expect("sent");
-        self.answer().await
+        self.read_response().await
     }
 
-    /// Sends a request with these headers beside its id.
+    /// Sends a request with these headers in addition to its id.
     pub async fn send(&mut self, path: &str, id: &str, headers: &str) {
         let req = format!("POST {path} HTTP/1.1\r\nhost: shop\r\nx-id: {id}\r\n{headers}\r\n");
         self.socket.write_all(req.as_bytes()).await.expect("sent");
     }
 
-    /// Sends a request and waits for its answer.
-    pub async fn ask(&mut self, path: &str, id: &str, headers: &str) -> Got {
+    /// Sends a request and waits for the response.
+    pub async fn request(&mut self, path: &str, id: &str, headers: &str) -> ClientResponse {
         let headers = format!("content-length: 0\r\n{headers}");
         self.send(path, id, &headers).await;
-        self.answer().await
+        self.read_response().await
     }
 
-    /// Waits for the next answer.
-    pub async fn answer(&mut self) -> Got {
-        let read = timeout(PATIENCE, self.read_answer()).await;
-        read.expect("an answer within the patience")
+    /// Waits for the next response.
+    pub async fn read_response(&mut self) -> ClientResponse {
+        let read = timeout(RESPONSE_TIMEOUT, self.read_until_complete()).await;
+        read.expect("a response within the timeout")
     }
 
-    /// Waits until something has come.
-    pub async fn some(&mut self) -> String {
-        let read = timeout(PATIENCE, self.socket.read_buf(&mut self.buf)).await;
-        read.expect("within the patience").expect("bytes");
+    /// Waits until more bytes arrive; returns everything that is unread.
+    pub async fn read_some(&mut self) -> String {
+        let read = timeout(RESPONSE_TIMEOUT, self.socket.read_buf(&mut self.buf)).await;
+        read.expect("data within the timeout").expect("bytes");
         String::from_utf8_lossy(&self.buf).into_owned()
     }
 
-    async fn read_answer(&mut self) -> Got {
+    async fn read_until_complete(&mut self) -> ClientResponse {
         loop {
-            let (got, used) = parse(&self.buf);
-            if got.whole {
-                self.buf.drain(..used);
-                return got;
+            let (response, response_bytes) = parse(&self.buf);
+            if response.complete {
+                self.buf.drain(..response_bytes);
+                return response;
             }
             match self.socket.read_buf(&mut self.buf).await {
-                Ok(0) | Err(_) => return got,
+                Ok(0) | Err(_) => return response,
                 Ok(_) => {}
             }
         }
     }
 }
 
-/// What the bytes say so far, and how many of them a whole answer takes.
-fn parse(buf: &[u8]) -> (Got, usize) {
-    let mut got = Got {
+/// The response as far as the bytes contain it, and the number of bytes of a complete one.
+fn parse(buf: &[u8]) -> (ClientResponse, usize) {
+    let mut response = ClientResponse {
         status: 0,
         head: String::new(),
         body: String::new(),
-        whole: false,
+        complete: false,
     };
     let Some(end) = buf.windows(4).position(|w| w == b"\r\n\r\n") else {
-        return (got, 0);
+        return (response, 0);
     };
-    got.head = String::from_utf8_lossy(&buf[..end]).to_lowercase();
-    got.status = got.head[9..12].parse().expect("a status");
+    response.head = String::from_utf8_lossy(&buf[..end]).to_lowercase();
+    response.status = response.head[9..12].parse().expect("a status");
     let mut at = end + 4;
-    let mut lines = got.head.lines().filter_map(|line| line.split_once(": "));
+    let mut lines = response
+        .head
+        .lines()
+        .filter_map(|line| line.split_once(": "));
     if let Some((_, length)) = lines.find(|(key, _)| *key == "content-length") {
         let length: usize = length.parse().expect("a length");
         let end = buf.len().min(at + length);
-        got.body = String::from_utf8_lossy(&buf[at..end]).into_owned();
-        got.whole = end == at + length;
-        return (got, end);
+        response.body = String::from_utf8_lossy(&buf[at..end]).into_owned();
+        response.complete = end == at + length;
+        return (response, end);
     }
     while let Some(line) = buf[at..].windows(2).position(|w| w == b"\r\n") {
         let size = std::str::from_utf8(&buf[at..at + line]).expect("a chunk's size");
@@ -129,12 +132,12 @@
         if buf.len() < from + size + 2 {
             break;
         }
-        got.body += &String::from_utf8_lossy(&buf[from..from + size]);
+        response.body += &String::from_utf8_lossy(&buf[from..from + size]);
         at = from + size + 2;
         if size == 0 {
-            got.whole = true;
+            response.complete = true;
             break;
         }
     }
-    (got, at)
+    (response, at)
 }
--- a/crates/anvil_gateway/tests/direct/crashing.rs
+++ b/crates/anvil_gateway/tests/direct/crashing.rs
@@ -1,4 +1,4 @@
-//! A ledger and several gateways before endpoints that crash under one request.
+//! A ledger and several gateways in front of endpoints that crash under one request.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,62 +10,62 @@
 use anvil_world::suspect::CrashedRun;
 use tokio::time::{Instant, sleep};
 
-use crate::client::{Client, Got};
+use crate::client::{Client, ClientResponse};
 use crate::endpoint::{
-    Endpoint, Received, Step, answer, chunk, event, not_run, stream_end, stream_head,
+    ReceivedRequest, Step, TestEndpoint, chunk, event, not_run, response, stream_end, stream_head,
 };
-use crate::fleet::{Fleet, listed};
-use crate::processes::{GATEWAYS, Processes, listing};
+use crate::fleet::{TestGateway, listed};
+use crate::processes::{GATEWAYS, Processes, serve_list};
 
-/// Endpoints that run at once.
+/// Endpoints that run concurrently.
 const ENDPOINTS: usize = 6;
-/// Body of the request that crashes each endpoint which begins to run it.
-const POISON: &str = "crash";
-/// A crashed endpoint stays on the list for so long.
-const LISTED_FOR: Duration = Duration::from_millis(500);
-/// A crashed endpoint is back, in another life, after this time.
-const BACK_AFTER: Duration = Duration::from_millis(700);
-/// Endpoints that may crash under a request before it must be kept from them.
-const CRASHES: usize = 3;
-/// Time in which all gateways know of it.
+/// Body of the request that crashes each endpoint that begins to run it.
+const CRASHING_BODY: &str = "crash";
+/// A crashed endpoint stays on the list for this time.
+const DELISTED_AFTER: Duration = Duration::from_millis(500);
+/// A crashed endpoint returns as a new incarnation after this time.
+const RESTARTED_AFTER: Duration = Duration::from_millis(700);
+/// Endpoints that may crash under a request before it must be quarantined.
+const QUARANTINE_CRASHES: usize = 3;
+/// Time in which all gateways learn of the quarantine.
 const KNOWN_WITHIN: Duration = Duration::from_secs(3);
-/// Arrivals later than that which are borne.
-const STRAYS: usize = 3;
+/// Later arrivals that are tolerated.
+const TOLERATED_LATE_CRASHES: usize = 3;
 
-/// The endpoints of one test, and when each of them crashed.
+/// The endpoints of one test, and when they crashed.
 #[derive(Clone, Default)]
 struct Endpoints {
     listed: Arc<Mutex<BTreeMap<String, SocketAddr>>>,
     crashes: Arc<Mutex<Vec<Instant>>>,
-    begun: Arc<Mutex<usize>>,
+    started: Arc<Mutex<usize>>,
 }
 
 impl Endpoints {
     async fn start(&self) {
-        let own = self.clone();
+        let endpoints = self.clone();
         let number = {
-            let mut begun = self.begun.lock().expect("a number");
-            *begun += 1;
-            *begun
+            let mut started = self.started.lock().expect("a number");
+            *started += 1;
+            *started
         };
         let id = format!("life-{number}");
         let name = id.clone();
-        let endpoint = Endpoint::start(move |_, req| own.behave(&name, req)).await;
+        let endpoint = TestEndpoint::start(move |_, req| endpoints.behave(&name, req)).await;
         let mut listed = self.listed.lock().expect("a list");
         listed.insert(id, endpoint.addr);
     }
 
-    fn behave(&self, id: &str, req: &Received) -> Vec<Step> {
-        if req.body != POISON.as_bytes() {
-            return vec![Step::Send(answer(req, "ran"))];
+    fn behave(&self, id: &str, req: &ReceivedRequest) -> Vec<Step> {
+        if req.body != CRASHING_BODY.as_bytes() {
+            return vec![Step::Send(response(req, "ran"))];
         }
         self.crashes.lock().expect("times").push(Instant::now());
-        let (own, id) = (self.clone(), id.to_owned());
+        let (endpoints, id) = (self.clone(), id.to_owned());
         tokio::spawn(async move {
-            sleep(LISTED_FOR).await;
-            own.listed.lock().expect("a list").remove(&id);
-            sleep(BACK_AFTER.saturating_sub(LISTED_FOR)).await;
-            own.start().await;
+            sleep(DELISTED_AFTER).await;
+            endpoints.listed.lock().expect("a list").remove(&id);
+            sleep(RESTARTED_AFTER.saturating_sub(DELISTED_AFTER)).await;
+            endpoints.start().await;
         });
         vec![Step::Crash]
     }
@@ -74,106 +74,125 @@
         self.crashes.lock().expect("times").clone()
     }
 
-    fn text(&self) -> String {
+    fn list_text(&self) -> String {
         let listed = self.listed.lock().expect("a list");
         let lines = listed.iter().map(|(id, addr)| format!("{id} {addr}\n"));
         lines.collect()
     }
 
-    /// A ledger and gateways before them.
-    async fn served(&self) -> Processes {
+    /// A ledger and gateways in front of them.
+    async fn start_processes(&self) -> Processes {
         for _ in 0..ENDPOINTS {
             self.start().await;
         }
-        let own = self.clone();
-        Processes::start(move || own.text()).await
+        let endpoints = self.clone();
+        Processes::start(move || endpoints.list_text()).await
     }
 }
 
-/// The same request again and again, at one gateway after the other.
-async fn repeat(processes: &Processes, path: &str, lasts: Duration) {
-    let begun = Instant::now();
+/// Sends the same request repeatedly, to the gateways in turn.
+async fn send_repeatedly(processes: &Processes, path: &str, duration: Duration) {
+    let started_at = Instant::now();
     for number in (0..GATEWAYS).cycle() {
-        if begun.elapsed() > lasts {
+        if started_at.elapsed() > duration {
             break;
         }
-        processes.ask(number, path, POISON).await;
+        processes.send_request(number, path, CRASHING_BODY).await;
         sleep(Duration::from_millis(100)).await;
     }
 }
 
-/// Arrivals that are too many: later than all gateways know of the crashes before.
-fn strays(endpoints: &Endpoints) -> usize {
+/// Number of arrivals after all gateways must know of the earlier crashes.
+fn late_crashes(endpoints: &Endpoints) -> usize {
     let crashes = endpoints.crashes();
-    let Some(last) = crashes.get(CRASHES - 1) else {
+    let Some(last) = crashes.get(QUARANTINE_CRASHES - 1) else {
         return 0;
     };
-    let late = |at: &&Instant| **at > *last + KNOWN_WITHIN;
-    crashes.iter().filter(late).count()
+    let is_late = |at: &&Instant| **at > *last + KNOWN_WITHIN;
+    crashes.iter().filter(is_late).count()
 }
 
-/// Guards against a request that crashes one endpoint after the other as its callers come again, at any gateway.
+/// Guards against a request crashing one endpoint after the other as its clients retry at any
+/// gateway.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_crashes_endpoints_is_kept_from_them() {
+async fn request_that_crashes_endpoints_is_quarantined_at_all_gateways() {
     let endpoints = Endpoints::default();
-    let processes = endpoints.served().await;
+    let processes = endpoints.start_processes().await;
     for path in ["/once/x", "/idempotent/x"] {
         endpoints.crashes.lock().expect("times").clear();
-        repeat(&processes, path, KNOWN_WITHIN + KNOWN_WITHIN).await;
-        let strays = strays(&endpoints);
-        assert!(strays <= STRAYS, "{path}: {strays} more endpoints crashed");
-        let got = processes.ask(0, path, POISON).await;
-        assert_eq!(got.status, 503, "{got:?}");
-        let got = processes.ask(0, path, "fine").await;
-        assert_eq!((got.status, &*got.body), (200, "ran"));
+        send_repeatedly(&processes, path, KNOWN_WITHIN + KNOWN_WITHIN).await;
+        let strays = late_crashes(&endpoints);
+        assert!(
+            strays <= TOLERATED_LATE_CRASHES,
+            "{path}: {strays} more endpoints crashed"
+        );
+        let response = processes.send_request(0, path, CRASHING_BODY).await;
+        assert_eq!(response.status, 503, "{response:?}");
+        let response = processes.send_request(0, path, "fine").await;
+        assert_eq!((response.status, &*response.body), (200, "ran"));
     }
 }
 
-/// Guards against a fleet that forgets, as it loses power, which request crashes endpoints.
+/// Guards against a power failure erasing which requests crash endpoints.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_crashes_endpoints_is_known_after_all_processes_lost_power() {
+async fn quarantine_survives_a_power_failure() {
     let endpoints = Endpoints::default();
-    let mut processes = endpoints.served().await;
-    repeat(&processes, "/once/x", KNOWN_WITHIN).await;
+    let mut processes = endpoints.start_processes().await;
+    send_repeatedly(&processes, "/once/x", KNOWN_WITHIN).await;
     processes.lose_power().await;
-    repeat(&processes, "/once/x", KNOWN_WITHIN).await;
-    let strays = strays(&endpoints);
-    assert!(strays <= STRAYS, "{strays} more endpoints crashed");
+    send_repeatedly(&processes, "/once/x", KNOWN_WITHIN).await;
+    let strays = late_crashes(&endpoints);
+    assert!(
+        strays <= TOLERATED_LATE_CRASHES,
+        "{strays} more endpoints crashed"
+    );
 }
 
-/// Asks once while only this endpoint is listed, and waits until its crash would be known.
-async fn ask_only(fleet: &Fleet, id: &str, endpoint: &Endpoint, path: &str) -> Got {
+/// Sends one request while only this endpoint is listed, and waits until a crash would be detected.
+async fn request_with_only(
+    fleet: &TestGateway,
+    id: &str,
+    endpoint: &TestEndpoint,
+    path: &str,
+) -> ClientResponse {
     fleet.gw.directory.apply_list(&[listed(id, endpoint.addr)]);
     let mut client = Client::connect(fleet.addr).await;
-    let got = client.ask(path, "id", "").await;
+    let response = client.request(path, "id", "").await;
     sleep(Duration::from_millis(50)).await;
-    got
+    response
 }
 
-/// Guards against a request that is quarantined because its answers are lost, though no endpoint crashes.
+/// Guards against a quarantine for lost responses without a crash.
 #[tokio::test]
-async fn a_request_whose_answers_are_lost_is_not_quarantined() {
-    let well = Endpoint::start(|_, req| vec![Step::Send(answer(req, "ran"))]).await;
-    let fleet = Fleet::start(&[]).await;
-    for number in 0..2 * CRASHES {
-        let lossy = Endpoint::start(|_, _| vec![Step::Reset]).await;
-        let got = ask_only(&fleet, &format!("lossy-{number}"), &lossy, "/once/x").await;
-        assert_eq!(got.status, 502);
+async fn lost_responses_without_a_crash_cause_no_quarantine() {
+    let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
+    let fleet = TestGateway::start(&[]).await;
+    for number in 0..2 * QUARANTINE_CRASHES {
+        let lossy = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
+        let response =
+            request_with_only(&fleet, &format!("lossy-{number}"), &lossy, "/once/x").await;
+        assert_eq!(response.status, 502);
     }
-    assert_eq!(ask_only(&fleet, "well", &well, "/once/x").await.status, 200);
+    assert_eq!(
+        request_with_only(&fleet, "well", &working, "/once/x")
+            .await
+            .status,
+        200
+    );
 }
 
-/// Guards against a stream being quarantined for crashes that came while it was being answered.
+/// Guards against a stream being quarantined for three crashes that came after its output had
+/// begun.
 #[tokio::test]
-async fn a_stream_that_had_output_is_not_quarantined_for_three_crashes() {
-    let well = Endpoint::start(|_, req| {
+async fn stream_with_output_is_not_quarantined_after_three_crashes() {
+    let working = TestEndpoint::start(|_, req| {
         let answer = [stream_head(req), chunk(&event(1)), stream_end()];
         vec![Step::Send(answer.concat())]
     })
     .await;
-    let fleet = Fleet::start(&[]).await;
-    for number in 0..CRASHES {
-        let crashing = Endpoint::start(|_, req| {
+    let fleet = TestGateway::start(&[]).await;
+    for number in 0..QUARANTINE_CRASHES {
+        let crashing = TestEndpoint::start(|_, req| {
             vec![
                 Step::Send(stream_head(req)),
                 Step::Send(chunk(&event(1))),
@@ -183,62 +202,81 @@
         })
         .await;
         let id = format!("crashing-{number}");
-        assert!(!ask_only(&fleet, &id, &crashing, "/stream/x").await.whole);
+        assert!(
+            !request_with_only(&fleet, &id, &crashing, "/stream/x")
+                .await
+                .complete
+        );
     }
     assert_eq!(
-        ask_only(&fleet, "well", &well, "/stream/x").await.status,
+        request_with_only(&fleet, "well", &working, "/stream/x")
+            .await
+            .status,
         200
     );
 }
 
-/// Guards against a lookup that all callers share being quarantined, because many were under way as a zone lost power.
+/// Guards against a request that many clients share being quarantined because several copies were
+/// in flight when a zone lost power.
 #[tokio::test]
-async fn a_request_that_is_answered_all_the_time_is_not_quarantined() {
-    let behave = |number, req: &Received| match number {
-        0 => vec![Step::Send(answer(req, "ran"))],
+async fn frequently_answered_request_is_not_quarantined() {
+    let behave = |number, req: &ReceivedRequest| match number {
+        0 => vec![Step::Send(response(req, "ran"))],
         _ => vec![Step::Crash],
     };
-    let mut lost = Vec::new();
+    let mut crashing = Vec::new();
     for _ in 0..4 {
-        lost.push(Endpoint::start(behave).await);
+        crashing.push(TestEndpoint::start(behave).await);
     }
-    let well = Endpoint::start(|_, req| vec![Step::Send(answer(req, "ran"))]).await;
-    let fleet = Fleet::start(&[("well", &well)]).await;
-    for (number, endpoint) in lost.iter().enumerate() {
+    let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
+    let fleet = TestGateway::start(&[("well", &working)]).await;
+    for (number, endpoint) in crashing.iter().enumerate() {
         let id = format!("lost-{number}");
         for status in [200, 502] {
-            let got = ask_only(&fleet, &id, endpoint, "/once/x").await;
-            assert_eq!(got.status, status);
+            let response = request_with_only(&fleet, &id, endpoint, "/once/x").await;
+            assert_eq!(response.status, status);
         }
     }
-    assert_eq!(ask_only(&fleet, "well", &well, "/once/x").await.status, 200);
+    assert_eq!(
+        request_with_only(&fleet, "well", &working, "/once/x")
+            .await
+            .status,
+        200
+    );
 }
 
-/// Guards against a request that is sent on by a gateway which is cut off from the ledger.
+/// Guards against a gateway without a ledger sending on a request under which endpoints crashed.
 #[tokio::test]
-async fn a_gateway_by_itself_quarantines_a_request_under_which_three_endpoints_crashed() {
+async fn gateway_without_a_ledger_quarantines_after_three_crashes() {
     let mut crashing = Vec::new();
     for _ in 0..5 {
-        crashing.push(Endpoint::start(|_, _| vec![Step::Crash]).await);
+        crashing.push(TestEndpoint::start(|_, _| vec![Step::Crash]).await);
     }
     let names = ["a", "b", "c", "d", "e"];
     let listed: Vec<_> = names.into_iter().zip(&crashing).collect();
-    let fleet = Fleet::start(&listed).await;
-    for _ in 0..CRASHES {
+    let fleet = TestGateway::start(&listed).await;
+    for _ in 0..QUARANTINE_CRASHES {
         let mut client = Client::connect(fleet.addr).await;
-        assert_eq!(client.ask("/once/x", "id", "").await.status, 502);
+        assert_eq!(client.request("/once/x", "id", "").await.status, 502);
         sleep(Duration::from_millis(50)).await;
     }
     let mut client = Client::connect(fleet.addr).await;
-    let got = client.ask("/once/x", "id", "").await;
-    assert_eq!(got.status, 503);
-    assert!(got.retry_after() > Some(Duration::from_mins(1)), "{got:?}");
+    let response = client.request("/once/x", "id", "").await;
+    assert_eq!(response.status, 503);
+    assert!(
+        response.retry_after() > Some(Duration::from_mins(1)),
+        "{response:?}"
+    );
     let received = crashing.iter().map(|endpoint| endpoint.received().len());
-    assert_eq!(received.sum::<usize>(), CRASHES);
+    assert_eq!(received.sum::<usize>(), QUARANTINE_CRASHES);
 }
 
-/// What the ledger tells of a request under which three endpoints crashed.
-fn told(fleet: &Fleet, path: &str, key: Option<&str>) -> BTreeMap<RequestDigest, Suspect> {
+/// The ledger's report on a request under which three endpoints crashed.
+fn ledger_suspects(
+    fleet: &TestGateway,
+    path: &str,
+    key: Option<&str>,
+) -> BTreeMap<RequestDigest, Suspect> {
     let table = fleet.gw.table.load_full().expect("a table");
     let route = table.route("shop", path).expect("a route").clone();
     let organisation = key.and_then(|key| table.organisation(key).cloned());
@@ -258,27 +296,28 @@
     BTreeMap::from([(content, suspect)])
 }
 
-/// Guards against a request that waits for money, although it is known to be refused.
+/// Guards against a request waiting for grants although its quarantine is known.
 #[tokio::test]
-async fn a_quarantined_request_is_refused_before_money_is_asked_for() {
-    let well = Endpoint::start(|_, req| vec![Step::Send(answer(req, "ran"))]).await;
-    let fleet = Fleet::start(&[("well", &well)]).await;
+async fn quarantined_request_is_refused_without_waiting_for_grants() {
+    let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
+    let fleet = TestGateway::start(&[("well", &working)]).await;
     fleet
         .gw
-        .apply_ledger_suspects(&told(&fleet, "/stream/x", Some("key")));
-    let begun = Instant::now();
+        .apply_ledger_suspects(&ledger_suspects(&fleet, "/stream/x", Some("key")));
+    let started_at = Instant::now();
     let mut client = Client::connect(fleet.addr).await;
     let headers = "x-key: key\r\nx-tokens: 100,30\r\n";
-    let got = client.ask("/stream/x", "id", headers).await;
-    assert_eq!(got.status, 503);
-    assert!(got.body.contains("crashes_endpoints"), "{got:?}");
-    assert!(begun.elapsed() < Duration::from_millis(150));
+    let response = client.request("/stream/x", "id", headers).await;
+    assert_eq!(response.status, 503);
+    assert!(response.body.contains("crashes_endpoints"), "{response:?}");
+    assert!(started_at.elapsed() < Duration::from_millis(150));
 }
 
-/// Guards against a further endpoint for a request that is quarantined while its first one works on it.
+/// Guards against another attempt for a request that was quarantined while its first endpoint
+/// worked on it.
 #[tokio::test]
-async fn a_request_quarantined_meanwhile_is_not_sent_on() {
-    let failing = Endpoint::start(|_, req| {
+async fn request_quarantined_while_in_flight_is_not_retried() {
+    let failing = TestEndpoint::start(|_, req| {
         let id = req.header("x-id").unwrap_or_default();
         let text = format!(
             "HTTP/1.1 500 Failed\r\nx-id: {id}\r\nx-seal: s\r\ncontent-length: 4\r\n\r\nwhy."
@@ -287,110 +326,120 @@
         vec![Step::Pause(after), Step::Send(text.into_bytes())]
     })
     .await;
-    let well = Endpoint::start(|_, req| vec![Step::Send(answer(req, "ran"))]).await;
-    let fleet = Fleet::start(&[("failing", &failing), ("well", &well)]).await;
-    let told = told(&fleet, "/idempotent/x", None);
+    let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
+    let fleet = TestGateway::start(&[("failing", &failing), ("well", &working)]).await;
+    let suspects = ledger_suspects(&fleet, "/idempotent/x", None);
     let mut client = Client::connect(fleet.addr).await;
-    let asking = client.ask("/idempotent/x", "id", "");
-    let telling = async {
+    let asking = client.request("/idempotent/x", "id", "");
+    let reporting = async {
         sleep(Duration::from_millis(100)).await;
-        fleet.gw.apply_ledger_suspects(&told);
+        fleet.gw.apply_ledger_suspects(&suspects);
     };
-    let (got, ()) = tokio::join!(asking, telling);
-    assert_eq!((got.status, &*got.body), (500, "why."));
-    assert!(well.received().is_empty());
+    let (response, ()) = tokio::join!(asking, reporting);
+    assert_eq!((response.status, &*response.body), (500, "why."));
+    assert!(working.received().is_empty());
 }
 
-/// Guards against a lookup that is quarantined, because many were under way at other gateways as a zone lost power.
+/// Guards against a request that succeeds here being quarantined because copies at other gateways
+/// were in flight when a zone lost power.
 #[tokio::test]
-async fn a_request_that_was_answered_here_is_not_quarantined_by_the_ledgers_word() {
-    let well = Endpoint::start(|_, req| vec![Step::Send(answer(req, "ran"))]).await;
-    let fleet = Fleet::start(&[("well", &well)]).await;
-    let told = told(&fleet, "/once/x", None);
+async fn request_answered_here_is_not_quarantined_by_the_ledger() {
+    let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
+    let fleet = TestGateway::start(&[("well", &working)]).await;
+    let suspects = ledger_suspects(&fleet, "/once/x", None);
     for (answered, status) in [(false, 503), (true, 200)] {
         fleet.gw.apply_ledger_suspects(&BTreeMap::new());
         let mut client = Client::connect(fleet.addr).await;
         if answered {
-            assert_eq!(client.ask("/once/x", "id", "").await.status, 200);
+            assert_eq!(client.request("/once/x", "id", "").await.status, 200);
         }
-        fleet.gw.apply_ledger_suspects(&told);
-        assert_eq!(client.ask("/once/x", "id", "").await.status, status);
+        fleet.gw.apply_ledger_suspects(&suspects);
+        assert_eq!(client.request("/once/x", "id", "").await.status, status);
     }
 }
 
-/// Guards against a request being quarantined because endpoints that were leaving ended while it ran.
+/// Guards against a quarantine because leaving endpoints stopped while the request ran.
 #[tokio::test]
-async fn an_endpoint_that_leaves_and_ends_counts_against_no_request() {
-    let ends = |_, _: &Received| vec![Step::Pause(Duration::from_millis(100)), Step::Crash];
-    let well = Endpoint::start(|_, req| vec![Step::Send(answer(req, "ran"))]).await;
-    let fleet = Fleet::start(&[]).await;
-    for number in 0..CRASHES {
-        let leaving = Endpoint::start(ends).await;
+async fn leaving_endpoint_that_stops_causes_no_quarantine() {
+    let ends = |_, _: &ReceivedRequest| vec![Step::Pause(Duration::from_millis(100)), Step::Crash];
+    let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
+    let fleet = TestGateway::start(&[]).await;
+    for number in 0..QUARANTINE_CRASHES {
+        let leaving = TestEndpoint::start(ends).await;
         let mut listed = listed(&format!("leaving-{number}"), leaving.addr);
         fleet.gw.directory.apply_list(std::slice::from_ref(&listed));
         let mut client = Client::connect(fleet.addr).await;
-        let asking = client.ask("/once/x", "id", "");
-        let leaves = async {
+        let asking = client.request("/once/x", "id", "");
+        let leave = async {
             sleep(Duration::from_millis(50)).await;
             listed.leaving = true;
             fleet.gw.directory.apply_list(std::slice::from_ref(&listed));
         };
-        let (got, ()) = tokio::join!(asking, leaves);
-        assert_eq!(got.status, 502);
+        let (response, ()) = tokio::join!(asking, leave);
+        assert_eq!(response.status, 502);
         sleep(Duration::from_millis(50)).await;
     }
-    assert_eq!(ask_only(&fleet, "well", &well, "/once/x").await.status, 200);
+    assert_eq!(
+        request_with_only(&fleet, "well", &working, "/once/x")
+            .await
+            .status,
+        200
+    );
 }
 
-/// A gateway that reads a list, with the text that it consists of.
-async fn reading() -> (Fleet, Arc<Mutex<String>>) {
+/// A gateway that reads a list, and the text of that list.
+async fn start_reading_list() -> (TestGateway, Arc<Mutex<String>>) {
     let text = Arc::new(Mutex::new(String::new()));
-    let told = text.clone();
-    let list = listing(move || told.lock().expect("a text").clone()).await;
-    (Fleet::reading(list, Duration::from_millis(200)).await, text)
+    let list_text = text.clone();
+    let list = serve_list(move || list_text.lock().expect("the list text").clone()).await;
+    (
+        TestGateway::start_reading_list(list, Duration::from_millis(200)).await,
+        text,
+    )
 }
 
-/// Lists only this endpoint, and waits until the gateway knows.
-async fn list_only(fleet: &Fleet, text: &Mutex<String>, id: &str, addr: SocketAddr) {
-    *text.lock().expect("a text") = format!("{id} {addr}\n");
+/// Lists only this endpoint, and waits until the gateway has read the list.
+async fn list_only(fleet: &TestGateway, text: &Mutex<String>, id: &str, addr: SocketAddr) {
+    *text.lock().expect("the list text") = format!("{id} {addr}\n");
     while fleet.gw.directory.find(&id.into()).is_none() {
         sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Guards against crashes that aren't counted where the machine is gone as well, so that nobody refuses a connection.
+/// Guards against crashes not being counted if the whole machine is gone, so that no connection is
+/// refused.
 #[tokio::test]
-async fn an_endpoint_that_is_listed_no_more_has_crashed() {
-    let (fleet, text) = reading().await;
+async fn endpoint_missing_from_the_list_counts_as_crashed() {
+    let (fleet, text) = start_reading_list().await;
     let mut client = Client::connect(fleet.addr).await;
-    for number in 0..CRASHES {
-        let lossy = Endpoint::start(|_, _| vec![Step::Reset]).await;
+    for number in 0..QUARANTINE_CRASHES {
+        let lossy = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
         list_only(&fleet, &text, &format!("lost-{number}"), lossy.addr).await;
-        assert_eq!(client.ask("/once/x", "id", "").await.status, 502);
+        assert_eq!(client.request("/once/x", "id", "").await.status, 502);
     }
-    let well = Endpoint::start(|_, req| vec![Step::Send(answer(req, "ran"))]).await;
-    list_only(&fleet, &text, "well", well.addr).await;
-    let got = client.ask("/once/x", "id", "").await;
-    assert!(got.body.contains("crashes_endpoints"), "{got:?}");
+    let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
+    list_only(&fleet, &text, "well", working.addr).await;
+    let response = client.request("/once/x", "id", "").await;
+    assert!(response.body.contains("crashes_endpoints"), "{response:?}");
 }
 
-/// Guards against crashes that aren't counted where another endpoint has the address at once.
+/// Guards against crashes not being counted if another endpoint takes over the address at once.
 #[tokio::test]
-async fn an_endpoint_at_whose_address_another_one_answers_has_crashed() {
-    let fleet = Fleet::start(&[]).await;
-    for number in 0..CRASHES {
-        let replaced = Endpoint::start(|number, req| match number {
+async fn replaced_endpoint_counts_as_crashed() {
+    let fleet = TestGateway::start(&[]).await;
+    for number in 0..QUARANTINE_CRASHES {
+        let replaced = TestEndpoint::start(|number, req| match number {
             0 => vec![Step::Reset],
             _ => vec![Step::Send(not_run(req, "421 Misdirected Request"))],
         })
         .await;
         let id = format!("replaced-{number}");
         for (path, status) in [("/once/x", 502), ("/once/y", 503)] {
-            let got = ask_only(&fleet, &id, &replaced, path).await;
-            assert_eq!(got.status, status);
+            let response = request_with_only(&fleet, &id, &replaced, path).await;
+            assert_eq!(response.status, status);
         }
     }
-    let well = Endpoint::start(|_, req| vec![Step::Send(answer(req, "ran"))]).await;
-    let got = ask_only(&fleet, "well", &well, "/once/x").await;
-    assert!(got.body.contains("crashes_endpoints"), "{got:?}");
+    let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
+    let response = request_with_only(&fleet, "well", &working, "/once/x").await;
+    assert!(response.body.contains("crashes_endpoints"), "{response:?}");
 }
--- a/crates/anvil_gateway/tests/direct/dialect.rs
+++ b/crates/anvil_gateway/tests/direct/dialect.rs
@@ -1,4 +1,4 @@
-//! A dialect of its own, so that nothing rests on one platform's names.
+//! A dialect with header names of its own, so that the crate depends on no platform's names.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 fn ask(head: &request::Parts) -> Result<Ask, BadAsk> {
     let headers = &head.headers;
     let id = text(headers, "x-id").ok_or(BadAsk { what: "the id" })?;
-    let patience = text(headers, "x-wait").and_then(|ms| ms.parse().ok());
+    let timeout_ms = text(headers, "x-wait").and_then(|ms| ms.parse().ok());
     let work = text(headers, "x-tokens").and_then(|tokens| {
         let (prompt, most_output) = tokens.split_once(',')?;
         let prompt = prompt.parse().ok()?;
@@ -38,7 +38,7 @@
     });
     Ok(Ask {
         id: id.into(),
-        patience: Duration::from_millis(patience.unwrap_or(3_000)),
+        patience: Duration::from_millis(timeout_ms.unwrap_or(3_000)),
         key: text(headers, "x-key").map(Into::into),
         work,
         after: text(headers, "x-after").and_then(|id| id.parse().ok()),
@@ -89,5 +89,5 @@
 }
 
 fn table(_: &str) -> Result<RouteTable, BadTable> {
-    unreachable!("tests put their tables in themselves")
+    unreachable!("tests set the table directly")
 }
--- a/crates/anvil_gateway/tests/direct/endpoint.rs
+++ b/crates/anvil_gateway/tests/direct/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that does byte for byte what a test tells it.
+//! An endpoint that sends exactly the bytes a test specifies.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -9,16 +9,16 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// A request as it came.
+/// A request as received.
 #[derive(Debug, Clone)]
-pub struct Received {
-    /// First line and headers, as text.
+pub struct ReceivedRequest {
+    /// Request line and headers, as text.
     pub head: String,
     /// Body.
     pub body: Vec<u8>,
 }
 
-impl Received {
+impl ReceivedRequest {
     /// A header's value.
     pub fn header(&self, name: &str) -> Option<&str> {
         let mut lines = self.head.lines().filter_map(|line| line.split_once(": "));
@@ -28,56 +28,56 @@
     }
 }
 
-/// One thing that an endpoint does.
+/// One action of an endpoint.
 #[derive(Debug, Clone)]
 pub enum Step {
     /// Sends these bytes.
     Send(Vec<u8>),
     /// Waits.
     Pause(Duration),
-    /// Closes the connection as if all were well.
+    /// Closes the connection normally.
     Close,
     /// Resets the connection.
     Reset,
-    /// Ends as a process does: all connections are reset, and nobody listens any more.
+    /// Ends like a crashed process: all connections are reset and nothing listens any more.
     Crash,
-    /// Does nothing until the other side closes, and notes when it did.
+    /// Waits until the other side closes the connection, and counts that.
     Hang,
 }
 
-type Behaviour = dyn Fn(usize, &Received) -> Vec<Step> + Send + Sync;
+type Behaviour = dyn Fn(usize, &ReceivedRequest) -> Vec<Step> + Send + Sync;
 
 /// A running endpoint.
 #[derive(Clone)]
-pub struct Endpoint {
+pub struct TestEndpoint {
     /// Where it listens.
     pub addr: SocketAddr,
-    received: Arc<Mutex<Vec<Received>>>,
-    left: Arc<Mutex<usize>>,
+    received: Arc<Mutex<Vec<ReceivedRequest>>>,
+    abandoned: Arc<Mutex<usize>>,
     crashed: watch::Sender<bool>,
 }
 
-impl Endpoint {
-    /// Starts one; `behave` is told the request's number, from 0, and the request.
+impl TestEndpoint {
+    /// Starts one; `behave` receives the request's number, from 0, and the request.
     pub async fn start(
-        behave: impl Fn(usize, &Received) -> Vec<Step> + Send + Sync + 'static,
+        behave: impl Fn(usize, &ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let endpoint = Self {
             addr: listener.local_addr().expect("an address"),
             received: Arc::default(),
-            left: Arc::default(),
+            abandoned: Arc::default(),
             crashed: watch::Sender::new(false),
         };
         let behave: Arc<Behaviour> = Arc::new(behave);
-        let own = endpoint.clone();
+        let server = endpoint.clone();
         tokio::spawn(async move {
-            let mut crashed = own.crashed.subscribe();
+            let mut crashed = server.crashed.subscribe();
             loop {
                 tokio::select! {
                     accepted = listener.accept() => {
                         let Ok((socket, _)) = accepted else { return };
-                        tokio::spawn(own.clone().serve_until_crash(socket, behave.clone()));
+                        tokio::spawn(server.clone().serve_until_crash(socket, behave.clone()));
                     }
                     _ = crashed.wait_for(|crashed| *crashed) => return,
                 }
@@ -98,13 +98,13 @@
     }
 
     /// All requests so far.
-    pub fn received(&self) -> Vec<Received> {
+    pub fn received(&self) -> Vec<ReceivedRequest> {
         self.received.lock().expect("a list").clone()
     }
 
-    /// How many requests were given up by the other side while the endpoint hung.
-    pub fn left(&self) -> usize {
-        *self.left.lock().expect("a number")
+    /// Number of requests that were abandoned by the other side during [`Step::Hang`].
+    pub fn abandoned(&self) -> usize {
+        *self.abandoned.lock().expect("a number")
     }
 
     async fn serve(&self, socket: &mut TcpStream, behave: Arc<Behaviour>) {
@@ -135,7 +135,7 @@
                     Step::Hang => {
                         let mut rest = [0; 64];
                         while matches!(socket.read(&mut rest).await, Ok(n) if n > 0) {}
-                        *self.left.lock().expect("a number") += 1;
+                        *self.abandoned.lock().expect("a number") += 1;
                         return;
                     }
                 }
@@ -144,11 +144,11 @@
     }
 }
 
-async fn read_request(socket: &mut TcpStream, buf: &mut Vec<u8>) -> Option<Received> {
+async fn read_request(socket: &mut TcpStream, buf: &mut Vec<u8>) -> Option<ReceivedRequest> {
     loop {
         if let Some(end) = buf.windows(4).position(|w| w == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&buf[..end]).into_owned();
-            let mut received = Received {
+            let mut received = ReceivedRequest {
                 head,
                 body: Vec::new(),
             };
@@ -166,28 +166,28 @@
     }
 }
 
-/// The endpoint's whole answer to a request, with its signature.
-pub fn answer(req: &Received, body: &str) -> Vec<u8> {
-    answer_with(req, "", body)
+/// A complete, signed response.
+pub fn response(req: &ReceivedRequest, body: &str) -> Vec<u8> {
+    response_with(req, "", body)
 }
 
-/// The same with further lines in its head.
-pub fn answer_with(req: &Received, lines: &str, body: &str) -> Vec<u8> {
+/// The same with additional header lines.
+pub fn response_with(req: &ReceivedRequest, lines: &str, body: &str) -> Vec<u8> {
     let id = req.header("x-id").unwrap_or_default();
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-seal: s\r\n{lines}content-length: {length}\r\n\r\n{body}")
         .into_bytes()
 }
 
-/// An answer that says that the request was not run.
-pub fn not_run(req: &Received, status: &str) -> Vec<u8> {
+/// A response that states that the request was not run.
+pub fn not_run(req: &ReceivedRequest, status: &str) -> Vec<u8> {
     let id = req.header("x-id").unwrap_or_default();
     format!("HTTP/1.1 {status}\r\nx-id: {id}\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n")
         .into_bytes()
 }
 
-/// The head of a stream in chunks.
-pub fn stream_head(req: &Received) -> Vec<u8> {
+/// The head of a chunked stream.
+pub fn stream_head(req: &ReceivedRequest) -> Vec<u8> {
     let id = req.header("x-id").unwrap_or_default();
     format!("HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-seal: s\r\ntransfer-encoding: chunked\r\n\r\n")
         .into_bytes()
@@ -203,7 +203,7 @@
     format!("id: {id}\ndata: piece {id}\n\n")
 }
 
-/// The end of a stream in chunks.
+/// The end of a chunked stream.
 pub fn stream_end() -> Vec<u8> {
     b"0\r\n\r\n".to_vec()
 }
--- a/crates/anvil_gateway/tests/direct/explained.rs
+++ b/crates/anvil_gateway/tests/direct/explanations.rs
@@ -1,5 +1,5 @@
-//! Three kinds of failed request, explained out of the log and the metrics alone, as
-//! docs/OPERATIONS.md shows it. Without one of the lines on that way these tests fail.
+//! Failed requests can be explained from the log and the metrics alone, as docs/OPERATIONS.md
+//! shows. The tests fail if a log line needed for that is missing.
 
 use std::io::Write;
 use std::sync::atomic::Ordering;
@@ -11,14 +11,14 @@
 use anvilreel::operator::{Explanation, explain};
 
 use crate::client::Client;
-use crate::endpoint::{Endpoint, Step, answer, answer_with, chunk, event, stream_head};
-use crate::fleet::Fleet;
+use crate::endpoint::{Step, TestEndpoint, chunk, event, response, response_with, stream_head};
+use crate::fleet::TestGateway;
 
-/// What was written so far.
+/// Everything written so far.
 #[derive(Clone, Default)]
-struct Written(Arc<Mutex<Vec<u8>>>);
+struct WrittenLog(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Written {
+impl Write for WrittenLog {
     fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
         self.0.lock().expect("a buffer").extend_from_slice(buf);
         Ok(buf.len())
@@ -29,9 +29,9 @@
     }
 }
 
-impl Written {
+impl WrittenLog {
     async fn explain(&self, request: &str) -> Explanation {
-        // Lines are gathered for a moment before they are written.
+        // The log buffers lines briefly before writing them.
         tokio::time::sleep(Duration::from_millis(300)).await;
         explain(request, [("gateway-1", &*self.text())].into_iter())
     }
@@ -42,27 +42,29 @@
     }
 }
 
-async fn logged(endpoints: &[(&str, &Endpoint)]) -> (Fleet, Written, impl Fn() -> String + use<>) {
-    let written = Written::default();
-    let (log, dropped) = to_writer(written.clone(), LogLimits::default());
+async fn start_logged(
+    endpoints: &[(&str, &TestEndpoint)],
+) -> (TestGateway, WrittenLog, impl Fn() -> String + use<>) {
+    let log_output = WrittenLog::default();
+    let (log, dropped) = to_writer(log_output.clone(), LogLimits::default());
     let (metrics, board) = Metrics::kept("gateway");
-    let fleet = Fleet::start_with(endpoints, log, metrics).await;
+    let fleet = TestGateway::start_with(endpoints, log, metrics).await;
     assert_eq!(dropped.count(), 0);
-    (fleet, written, move || board.text())
+    (fleet, log_output, move || board.text())
 }
 
-/// A clerk is refused although engines are idle. The request's line says that money lacked because
-/// the ledger could not be reached, and for how long it had not been.
+/// Guards against an unexplained refusal while engines are idle: the request's line shows that the
+/// ledger was unreachable, and for how long.
 #[tokio::test]
-async fn refused_though_there_was_room() {
-    let idle = Endpoint::start(|_, _| vec![Step::Hang]).await;
-    let (fleet, written, metrics) = logged(&[("engine-1", &idle)]).await;
+async fn refusal_with_idle_engines_is_explained() {
+    let idle = TestEndpoint::start(|_, _| vec![Step::Hang]).await;
+    let (fleet, log_output, metrics) = start_logged(&[("engine-1", &idle)]).await;
     let mut client = Client::connect(fleet.addr).await;
     let headers = "x-key: key\r\nx-tokens: 100,30\r\n";
-    let got = client.ask("/stream/x", "refused-1", headers).await;
-    assert!(matches!(got.status, 429 | 503), "{got:?}");
-    let told = written.explain("refused-1").await;
-    let line = told.lines.last().expect("the request's line");
+    let response = client.request("/stream/x", "refused-1", headers).await;
+    assert!(matches!(response.status, 429 | 503), "{response:?}");
+    let explanation = log_output.explain("refused-1").await;
+    let line = explanation.lines.last().expect("the request's line");
     assert_eq!(line.message, "gateway_request_failed");
     assert!(
         line.values["steps"].contains("LedgerUnreachable"),
@@ -75,11 +77,11 @@
     assert!(metrics().contains(&format!("anvilreel_gateway_requests_{outcome} 1")));
 }
 
-/// A stream breaks off at its reader. The request's lines name the endpoint that broke it off,
-/// after which event, and that nobody else might go on; a belief says that it is passed over.
+/// Guards against an unexplained broken stream: the log names the endpoint, the last event, and
+/// that the endpoint is on cooldown.
 #[tokio::test]
-async fn a_stream_that_broke_off() {
-    let broken = Endpoint::start(|_, req| {
+async fn broken_stream_is_explained() {
+    let broken = TestEndpoint::start(|_, req| {
         vec![
             Step::Send(stream_head(req)),
             Step::Send(chunk(&event(1))),
@@ -88,16 +90,19 @@
         ]
     })
     .await;
-    let (fleet, written, metrics) = logged(&[("engine-1", &broken)]).await;
+    let (fleet, log_output, metrics) = start_logged(&[("engine-1", &broken)]).await;
     let mut client = Client::connect(fleet.addr).await;
-    assert!(!client.ask("/stream/x", "broken-1", "").await.whole);
-    let told = written.explain("broken-1").await;
-    let shut = told
+    assert!(!client.request("/stream/x", "broken-1", "").await.complete);
+    let explanation = log_output.explain("broken-1").await;
+    let cooldown = explanation
         .lines
         .iter()
         .find(|l| l.message == "gateway_endpoint_shut");
-    assert_eq!(shut.expect("a belief").values["endpoint"], "engine-1");
-    let line = told.lines.last().expect("the request's line");
+    assert_eq!(
+        cooldown.expect("a cooldown line").values["endpoint"],
+        "engine-1"
+    );
+    let line = explanation.lines.last().expect("the request's line");
     assert_eq!(line.values["outcome"], "answer_lost");
     let steps = &line.values["steps"];
     assert!(
@@ -112,16 +117,16 @@
     assert!(metrics().contains("anvilreel_gateway_endpoints_shut") || broken.received().len() == 1);
 }
 
-/// A member asks whether an order was placed; its outcome is unknown. The line names the one
-/// endpoint that it was sent to, and why its answer is missing, so that the service can be asked.
+/// Guards against an unknown outcome that can't be followed up: the line names the only endpoint
+/// that received the request, and why its response is missing.
 #[tokio::test]
-async fn an_order_with_an_unknown_outcome() {
-    let lost = Endpoint::start(|_, _| vec![Step::Reset]).await;
-    let (fleet, written, metrics) = logged(&[("desk-1", &lost)]).await;
+async fn unknown_outcome_names_the_endpoint() {
+    let resetting = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
+    let (fleet, log_output, metrics) = start_logged(&[("desk-1", &resetting)]).await;
     let mut client = Client::connect(fleet.addr).await;
-    assert_eq!(client.ask("/once/x", "order-1", "").await.status, 502);
-    let told = written.explain("order-1").await;
-    let line = told.lines.last().expect("the request's line");
+    assert_eq!(client.request("/once/x", "order-1", "").await.status, 502);
+    let explanation = log_output.explain("order-1").await;
+    let line = explanation.lines.last().expect("the request's line");
     assert_eq!(line.values["outcome"], "answer_lost");
     assert_eq!(line.values["route"], "once");
     let steps = &line.values["steps"];
@@ -130,47 +135,48 @@
         "{steps}"
     );
     assert!(metrics().contains("anvilreel_gateway_tries_in_doubt 1"));
-    assert_eq!(told.unreadable, 0);
+    assert_eq!(explanation.unreadable, 0);
 }
 
-/// Guards against crashes that can't be told from lost connections, nor their request from its neighbours.
+/// Guards against a log that does not tell crashes from lost connections, or does not name the
+/// request.
 #[tokio::test]
-async fn a_request_under_which_an_endpoint_crashed() {
-    let crashing = Endpoint::start(|_, _| vec![Step::Crash]).await;
-    let (fleet, written, _) = logged(&[("engine-1", &crashing)]).await;
+async fn crash_is_logged_with_its_request() {
+    let crashing = TestEndpoint::start(|_, _| vec![Step::Crash]).await;
+    let (fleet, log_output, _) = start_logged(&[("engine-1", &crashing)]).await;
     let mut client = Client::connect(fleet.addr).await;
-    assert_eq!(client.ask("/once/x", "crash-1", "").await.status, 502);
-    let told = written.explain("crash-1").await;
-    let line = told.lines.last().expect("the request's line");
+    assert_eq!(client.request("/once/x", "crash-1", "").await.status, 502);
+    let explanation = log_output.explain("crash-1").await;
+    let line = explanation.lines.last().expect("the request's line");
     let content = &line.values["content"];
-    let text = written.text();
+    let text = log_output.text();
     let crash = text
         .lines()
         .find(|line| line.contains("gateway_endpoint_crashed"));
-    let crash = crash.expect("a line on the crash");
+    let crash = crash.expect("a crash line");
     assert!(crash.contains("engine-1"), "{crash}");
     assert!(crash.contains("Refused"), "{crash}");
     assert!(crash.contains(content), "{crash}");
 }
 
-/// Guards against a request whose refusal can't be explained: for which crashes, and who told of them.
+/// Guards against an unexplained quarantine: the line names the crashes and who observed them.
 #[tokio::test]
-async fn a_request_in_quarantine() {
-    let crashing = |_| Endpoint::start(|_, _| vec![Step::Crash]);
+async fn quarantine_is_explained() {
+    let crashing = |_| TestEndpoint::start(|_, _| vec![Step::Crash]);
     let endpoints = futures::future::join_all((0..4).map(crashing)).await;
     let names = ["engine-1", "engine-2", "engine-3", "engine-4"];
     let listed: Vec<_> = names.into_iter().zip(&endpoints).collect();
-    let (fleet, written, metrics) = logged(&listed).await;
+    let (fleet, log_output, metrics) = start_logged(&listed).await;
     for status in [502, 502, 502, 503] {
         let mut client = Client::connect(fleet.addr).await;
-        let got = client
-            .ask("/once/x", &format!("quarantine-{status}"), "")
+        let response = client
+            .request("/once/x", &format!("quarantine-{status}"), "")
             .await;
-        assert_eq!(got.status, status);
+        assert_eq!(response.status, status);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let told = written.explain("quarantine-503").await;
-    let line = told.lines.last().expect("the request's line");
+    let explanation = log_output.explain("quarantine-503").await;
+    let line = explanation.lines.last().expect("the request's line");
     assert_eq!(line.values["outcome"], "crashes_endpoints");
     let steps = &line.values["steps"];
     assert!(
@@ -181,42 +187,43 @@
     assert!(metrics().contains("anvilreel_gateway_endpoints_crashed 3"));
 }
 
-/// Guards against a lost connection that is told as a crash.
+/// Guards against a lost connection being logged as a crash.
 #[tokio::test]
-async fn a_lost_connection_is_no_crash() {
-    let lossy = Endpoint::start(|_, _| vec![Step::Reset]).await;
-    let (fleet, written, _) = logged(&[("desk-1", &lossy)]).await;
+async fn lost_connection_is_not_logged_as_a_crash() {
+    let lossy = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
+    let (fleet, log_output, _) = start_logged(&[("desk-1", &lossy)]).await;
     let mut client = Client::connect(fleet.addr).await;
-    assert_eq!(client.ask("/once/x", "lost-1", "").await.status, 502);
-    let told = written.explain("lost-1").await;
+    assert_eq!(client.request("/once/x", "lost-1", "").await.status, 502);
+    let explanation = log_output.explain("lost-1").await;
     assert!(
-        told.lines
+        explanation
+            .lines
             .last()
             .expect("a line")
             .values
             .contains_key("content")
     );
-    assert!(!written.text().contains("gateway_endpoint_crashed"));
+    assert!(!log_output.text().contains("gateway_endpoint_crashed"));
 }
 
-/// Guards against an endpoint's limit that can't be found in the logs, nor its end.
+/// Guards against an endpoint's limit, or its end, missing from the log.
 #[tokio::test]
-async fn an_endpoint_that_announces_a_limit() {
-    let endpoint = Endpoint::start(|number, req| {
+async fn endpoint_limit_and_its_end_are_logged() {
+    let endpoint = TestEndpoint::start(|number, req| {
         let limit = ["", "x-limit: 2500\r\n", "x-limit: 2500\r\n", ""][number];
-        vec![Step::Send(answer_with(req, limit, "ran"))]
+        vec![Step::Send(response_with(req, limit, "ran"))]
     })
     .await;
-    let (fleet, written, _) = logged(&[("engine-1", &endpoint)]).await;
+    let (fleet, log_output, _) = start_logged(&[("engine-1", &endpoint)]).await;
     fleet.gw.gateway_count.store(1, Ordering::Relaxed);
     let mut client = Client::connect(fleet.addr).await;
     for number in 0..4 {
         tokio::time::sleep(Duration::from_millis(450)).await;
-        let got = client.ask("/once/x", &format!("id-{number}"), "").await;
-        assert_eq!(got.status, 200);
+        let response = client.request("/once/x", &format!("id-{number}"), "").await;
+        assert_eq!(response.status, 200);
     }
-    written.explain("id-3").await;
-    let text = written.text();
+    log_output.explain("id-3").await;
+    let text = log_output.text();
     let lines = text
         .lines()
         .filter(|line| line.contains("gateway_endpoint_limit"));
@@ -228,12 +235,11 @@
     );
 }
 
-/// Standard output's reader has stopped. Requests are answered all the same, at once; what can't
-/// be kept is counted.
+/// Guards against requests being delayed when nobody reads the log; dropped lines are counted.
 #[tokio::test]
-async fn a_log_that_nobody_reads_delays_no_request() {
-    struct Stuck;
-    impl Write for Stuck {
+async fn unread_log_does_not_delay_requests() {
+    struct StuckWriter;
+    impl Write for StuckWriter {
         fn write(&mut self, _: &[u8]) -> std::io::Result<usize> {
             std::thread::sleep(Duration::from_hours(1));
             Ok(0)
@@ -242,35 +248,35 @@
             Ok(())
         }
     }
-    let good = Endpoint::start(|_, req| vec![Step::Send(answer(req, "ran"))]).await;
+    let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
     let limits = LogLimits {
         bytes_per_second: 1_000_000,
         lines_per_second: 10_000,
         waiting_bytes: 20_000,
     };
-    let (log, dropped) = to_writer(Stuck, limits);
-    let fleet = Fleet::start_with(&[("a", &good)], log, Metrics::silent("gateway")).await;
+    let (log, dropped) = to_writer(StuckWriter, limits);
+    let fleet = TestGateway::start_with(&[("a", &working)], log, Metrics::silent("gateway")).await;
     let mut client = Client::connect(fleet.addr).await;
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     for number in 0..200 {
-        let got = client.ask("/once/x", &format!("id-{number}"), "").await;
-        assert_eq!(got.status, 200);
+        let response = client.request("/once/x", &format!("id-{number}"), "").await;
+        assert_eq!(response.status, 200);
     }
-    assert!(begun.elapsed() < Duration::from_secs(5));
+    assert!(started_at.elapsed() < Duration::from_secs(5));
     assert!(dropped.count() > 0);
 }
 
-/// Far more is logged than is allowed. Lines on work that went well go first; those that explain a
-/// failure are written, and a line says how many are missing.
+/// Guards against failures being lost when far more is logged than allowed: informational lines are
+/// dropped first, and a line states how many were dropped.
 #[tokio::test]
-async fn under_a_flood_failures_are_still_logged() {
-    let written = Written::default();
+async fn failures_are_logged_when_the_byte_limit_is_exceeded() {
+    let log_output = WrittenLog::default();
     let limits = LogLimits {
         bytes_per_second: 20_000,
         lines_per_second: 10_000,
         waiting_bytes: 40_000,
     };
-    let (log, dropped) = to_writer(written.clone(), limits);
+    let (log, dropped) = to_writer(log_output.clone(), limits);
     for number in 0..500 {
         slog::info!(log, "fine"; "request" => number);
     }
@@ -278,7 +284,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     slog::warn!(log, "later"; "request" => "y");
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let text = written.text();
+    let text = log_output.text();
     assert!(text.contains("\"failed\"") && text.contains("\"later\""));
     let bytes = text
         .lines()
@@ -290,23 +296,23 @@
     assert!(dropped.count() > 100);
 }
 
-/// Lines are short and many; whoever reads the log pays for each. So lines are bounded as well, and
-/// one that explains a failure has room in the end.
+/// Guards against floods of short lines: the number of lines is limited as well, and a line that
+/// explains a failure still gets through.
 #[tokio::test]
-async fn lines_are_bounded_as_bytes_are() {
-    let written = Written::default();
+async fn log_line_rate_is_limited() {
+    let log_output = WrittenLog::default();
     let limits = LogLimits {
         bytes_per_second: 1_000_000,
         lines_per_second: 40,
         waiting_bytes: 1_000_000,
     };
-    let (log, dropped) = to_writer(written.clone(), limits);
+    let (log, dropped) = to_writer(log_output.clone(), limits);
     for number in 0..200 {
         slog::info!(log, "fine"; "request" => number);
     }
     slog::warn!(log, "failed"; "request" => "x");
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let text = written.text();
+    let text = log_output.text();
     let fine = text.lines().filter(|line| line.contains("fine")).count();
     assert!((15..=30).contains(&fine), "{fine}");
     assert!(text.contains("\"failed\""));
--- a/crates/anvil_gateway/tests/direct/fleet.rs
+++ b/crates/anvil_gateway/tests/direct/fleet.rs
@@ -1,4 +1,4 @@
-//! A gateway with a routing table and endpoints of a test's own.
+//! A gateway with a routing table and endpoints that are set by the test.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,22 +17,22 @@
 use tokio::net::TcpListener;
 
 use crate::dialect::DIALECT;
-use crate::endpoint::Endpoint;
+use crate::endpoint::TestEndpoint;
 
-/// The service that all routes of the tests lead to.
+/// The service of all routes in the tests.
 pub const SERVICE: &str = "desk";
 
 /// A running gateway.
-pub struct Fleet {
-    /// Its insides.
+pub struct TestGateway {
+    /// Its shared state.
     pub gw: Arc<Gateway>,
-    /// Where clients connect.
+    /// Address for clients.
     pub addr: SocketAddr,
-    /// Ends when the planned stop has finished.
+    /// Completes when the planned stop has finished.
     pub serving: tokio::task::JoinHandle<()>,
 }
 
-/// A route for each kind of repeating: `/idempotent/`, `/once/`, `/stream/` and `/resumed/`.
+/// One route for each retry mode: `/idempotent/`, `/once/`, `/stream/` and `/resumed/`.
 pub fn routes() -> Vec<Route> {
     let route = |name: &str, repeat| Route {
         name: name.into(),
@@ -55,7 +55,7 @@
     ]
 }
 
-/// A table of these routes, with one prepaid organisation whose key is `key`.
+/// A table with these routes and one prepaid organisation whose key is `key`.
 pub fn table(version: RoutingVersion, routes: Vec<Route>) -> RouteTable {
     let organisation = Organisation {
         id: "co-op".into(),
@@ -99,7 +99,7 @@
     }
 }
 
-/// Settings of a gateway that reaches nobody.
+/// Settings of a gateway that can't connect to anything.
 pub fn settings() -> GatewaySettings {
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
     GatewaySettings {
@@ -126,23 +126,23 @@
     }
 }
 
-impl Fleet {
-    /// A gateway before these endpoints, with the tests' routes. The first endpoint is tried first
-    /// while it is well.
-    pub async fn start(endpoints: &[(&str, &Endpoint)]) -> Self {
+impl TestGateway {
+    /// A gateway with these endpoints and the default routes. The first endpoint is preferred while
+    /// it works.
+    pub async fn start(endpoints: &[(&str, &TestEndpoint)]) -> Self {
         let log = Logger::root(Discard, o!());
         Self::start_with(endpoints, log, Metrics::silent("gateway")).await
     }
 
     /// The same with a log and metrics.
     pub async fn start_with(
-        endpoints: &[(&str, &Endpoint)],
+        endpoints: &[(&str, &TestEndpoint)],
         log: Logger,
         metrics: Metrics,
     ) -> Self {
-        let fleet = Self::knowing_nothing(settings(), log, metrics).await;
+        let fleet = Self::start_without_state(settings(), log, metrics).await;
         let mut list: Vec<_> = endpoints.iter().map(|(id, e)| listed(id, e.addr)).collect();
-        // The first one is near and the others are not, so that it is the first to be tried.
+        // Only the first one is in the gateway's zone, so it is tried first.
         for other in list.iter_mut().skip(1) {
             other.zone = "local-b".into();
         }
@@ -151,28 +151,28 @@
         fleet
     }
 
-    /// A gateway that knows nothing yet.
-    pub async fn empty() -> Self {
+    /// A gateway without routing table and endpoints.
+    pub async fn start_empty() -> Self {
         let log = Logger::root(Discard, o!());
-        Self::knowing_nothing(settings(), log, Metrics::silent("gateway")).await
+        Self::start_without_state(settings(), log, Metrics::silent("gateway")).await
     }
 
-    /// A gateway with the tests' routes that reads a list, now and then.
-    pub async fn reading(list: ListSource, list_within: Duration) -> Self {
+    /// A gateway with the default routes that reads a list of endpoints regularly.
+    pub async fn start_reading_list(list: ListSource, list_within: Duration) -> Self {
         let cfg = GatewaySettings {
             list,
             list_within,
             ..settings()
         };
         let log = Logger::root(Discard, o!());
-        let fleet = Self::knowing_nothing(cfg, log, Metrics::silent("gateway")).await;
+        let fleet = Self::start_without_state(cfg, log, Metrics::silent("gateway")).await;
         fleet.gw.table.store(Some(Arc::new(table(1, routes()))));
         let gw = fleet.gw.clone();
         tokio::spawn(async move { discovery::run(&gw).await });
         fleet
     }
 
-    async fn knowing_nothing(cfg: GatewaySettings, log: Logger, metrics: Metrics) -> Self {
+    async fn start_without_state(cfg: GatewaySettings, log: Logger, metrics: Metrics) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
         let gw = Arc::new(Gateway::new(cfg, log, metrics));
--- a/crates/anvil_gateway/tests/direct/leaving.rs
+++ b/crates/anvil_gateway/tests/direct/leaving.rs
@@ -1,18 +1,18 @@
-//! Planned work: endpoints that leave, and this process's own stop.
+//! Planned changes: endpoints that leave, and a stop of the gateway itself.
 
 use std::time::Duration;
 
 use crate::client::Client;
-use crate::endpoint::{Endpoint, Step, answer};
-use crate::fleet::{Fleet, listed};
+use crate::endpoint::{Step, TestEndpoint, response};
+use crate::fleet::{TestGateway, listed};
 
-/// The platform lists an endpoint as leaving, then not at all, then, from a list that lags, as
-/// ready again. From the first word on it gets nothing new.
+/// Guards against requests to a leaving endpoint: it is listed as leaving, then no longer, and
+/// then, by a list that lags, as ready again. It receives nothing once it was listed as leaving.
 #[tokio::test]
-async fn a_leaving_endpoint_gets_no_new_work() {
-    let leaving = Endpoint::start(|_, req| vec![Step::Send(answer(req, "ran"))]).await;
-    let staying = Endpoint::start(|_, req| vec![Step::Send(answer(req, "ran"))]).await;
-    let fleet = Fleet::start(&[("leaving", &leaving), ("staying", &staying)]).await;
+async fn leaving_endpoint_receives_no_new_requests() {
+    let leaving = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
+    let staying = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
+    let fleet = TestGateway::start(&[("leaving", &leaving), ("staying", &staying)]).await;
     let ready = [
         listed("leaving", leaving.addr),
         listed("staying", staying.addr),
@@ -29,25 +29,25 @@
         let before = leaving.received().len();
         for number in 0..10 {
             let mut client = Client::connect(fleet.addr).await;
-            let got = client.ask("/once/x", &format!("id-{number}"), "").await;
-            assert_eq!(got.status, 200);
+            let response = client.request("/once/x", &format!("id-{number}"), "").await;
+            assert_eq!(response.status, 200);
         }
         assert!(may_be_used || leaving.received().len() == before);
     }
 }
 
-/// A planned stop comes while an order runs. The order is answered whole, the client is asked to
-/// use another connection, the balancer hears that no more are wanted, and the process ends.
+/// Guards against a planned stop that cuts requests off: a running request is answered completely,
+/// the client is asked to reconnect elsewhere, the readiness check fails, and the process ends.
 #[tokio::test]
-async fn a_planned_stop_cuts_nothing() {
-    let slow = Endpoint::start(|_, req| {
+async fn planned_stop_completes_running_requests() {
+    let slow = TestEndpoint::start(|_, req| {
         vec![
             Step::Pause(Duration::from_millis(800)),
-            Step::Send(answer(req, "ran")),
+            Step::Send(response(req, "ran")),
         ]
     })
     .await;
-    let fleet = Fleet::start(&[("a", &slow)]).await;
+    let fleet = TestGateway::start(&[("a", &slow)]).await;
     let mut client = Client::connect(fleet.addr).await;
     client.send("/once/x", "id", "content-length: 0\r\n").await;
     while slow.received().is_empty() {
@@ -56,20 +56,20 @@
     assert!(fleet.gw.is_ready());
     fleet.gw.lifecycle.leave();
     assert!(!fleet.gw.is_ready());
-    let got = client.answer().await;
-    assert_eq!((got.status, &*got.body), (200, "ran"));
-    assert!(got.head.contains("connection: close"));
-    // The balancer still sends a client or two: they are served.
+    let response = client.read_response().await;
+    assert_eq!((response.status, &*response.body), (200, "ran"));
+    assert!(response.head.contains("connection: close"));
+    // The load balancer may still send a few clients; they are served.
     let mut late = Client::connect(fleet.addr).await;
-    assert_eq!(late.ask("/once/x", "late", "").await.status, 200);
+    assert_eq!(late.request("/once/x", "late", "").await.status, 200);
     let ended = tokio::time::timeout(Duration::from_secs(4), fleet.serving).await;
-    assert!(ended.is_ok(), "it goes on past its grace period");
+    assert!(ended.is_ok(), "still running after the grace period");
 }
 
-/// A stream is still running when the grace period ends. It is cut, and must look cut.
+/// Guards against a stream that looks complete when it is cut at the end of the grace period.
 #[tokio::test]
-async fn a_stream_beyond_the_grace_period_ends_visibly_broken() {
-    let endless = Endpoint::start(|_, req| {
+async fn stream_cut_at_the_end_of_the_grace_period_looks_incomplete() {
+    let endless = TestEndpoint::start(|_, req| {
         vec![
             Step::Send(crate::endpoint::stream_head(req)),
             Step::Send(crate::endpoint::chunk(&crate::endpoint::event(1))),
@@ -77,13 +77,13 @@
         ]
     })
     .await;
-    let fleet = Fleet::start(&[("a", &endless)]).await;
+    let fleet = TestGateway::start(&[("a", &endless)]).await;
     let mut client = Client::connect(fleet.addr).await;
     client
         .send("/stream/x", "id", "content-length: 0\r\nx-wait: 20000\r\n")
         .await;
-    while !client.some().await.contains("piece 1") {}
+    while !client.read_some().await.contains("piece 1") {}
     fleet.gw.lifecycle.leave();
-    let got = client.answer().await;
-    assert!(!got.whole, "{got:?}");
+    let response = client.read_response().await;
+    assert!(!response.complete, "{response:?}");
 }
--- a/crates/anvil_gateway/tests/direct/limits.rs
+++ b/crates/anvil_gateway/tests/direct/limits.rs
@@ -1,4 +1,4 @@
-//! Gateways before endpoints that take so many requests a second from all of them together.
+//! Gateways in front of endpoints that limit the rate of requests from all gateways together.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,44 +9,44 @@
 use tokio::time::{Instant, sleep};
 
 use crate::client::Client;
-use crate::endpoint::{Endpoint, Step, answer_with};
-use crate::fleet::Fleet;
-use crate::processes::{GATEWAYS, Processes, listing};
+use crate::endpoint::{Step, TestEndpoint, response_with};
+use crate::fleet::TestGateway;
+use crate::processes::{GATEWAYS, Processes, serve_list};
 
-/// Requests in a thousand seconds that a limited endpoint takes.
+/// Requests per thousand seconds that a limited endpoint accepts.
 const LIMIT: u64 = 1_000;
-/// Time after an endpoint first names its limit from which on it must be kept.
+/// The limit must hold from this time after an endpoint first announces it.
 const KNOWN_WITHIN: Duration = Duration::from_secs(3);
-/// Any span of this length counts.
-const SPAN: Duration = Duration::from_secs(4);
-/// Arrivals in such a span that are borne: one and a half times the limit, and five.
-const MOST_IN_A_SPAN: usize = 11;
-/// Time within which the ledger tells all gateways.
-const TOLD_WITHIN: Duration = Duration::from_secs(1);
-/// Time between two requests of all callers together.
-const EVERY: Duration = Duration::from_millis(25);
-
-/// An endpoint that may announce a limit, and when requests came to it.
+/// Length of the time windows in which requests are counted.
+const WINDOW: Duration = Duration::from_secs(4);
+/// Tolerated arrivals in such a window: one and a half times the limit, plus five.
+const MAX_IN_WINDOW: usize = 11;
+/// Time in which the ledger informs all gateways.
+const REPORTED_WITHIN: Duration = Duration::from_secs(1);
+/// Time between two requests, over all clients.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
+
+/// An endpoint that may announce a limit, with the arrival times of its requests.
 #[derive(Clone)]
-struct Limited {
-    endpoint: Endpoint,
+struct LimitedEndpoint {
+    endpoint: TestEndpoint,
     arrivals: Arc<Mutex<Vec<Instant>>>,
-    /// What it announces; 0 for nothing.
+    /// The limit that it announces; 0 for none.
     limit: Arc<AtomicU64>,
 }
 
-impl Limited {
+impl LimitedEndpoint {
     async fn start(limit: u64) -> Self {
         let arrivals = Arc::new(Mutex::new(Vec::new()));
         let limit = Arc::new(AtomicU64::new(limit));
-        let (came, announced) = (arrivals.clone(), limit.clone());
-        let endpoint = Endpoint::start(move |_, req| {
-            came.lock().expect("times").push(Instant::now());
+        let (arrived, announced) = (arrivals.clone(), limit.clone());
+        let endpoint = TestEndpoint::start(move |_, req| {
+            arrived.lock().expect("times").push(Instant::now());
             let lines = match announced.load(Ordering::Relaxed) {
                 0 => String::new(),
                 limit => format!("x-limit: {limit}\r\n"),
             };
-            vec![Step::Send(answer_with(req, &lines, "ran"))]
+            vec![Step::Send(response_with(req, &lines, "ran"))]
         })
         .await;
         Self {
@@ -60,122 +60,144 @@
         self.arrivals.lock().expect("times").clone()
     }
 
-    /// Most arrivals in any span since then.
-    fn most_in_a_span(&self, since: Instant) -> usize {
+    /// Maximum number of arrivals in any window since then.
+    fn max_in_window(&self, since: Instant) -> usize {
         let arrivals = self.arrivals();
-        let later: Vec<_> = arrivals.iter().filter(|at| **at >= since).collect();
+        let in_range: Vec<_> = arrivals.iter().filter(|at| **at >= since).collect();
         let in_span = |from: &Instant| {
-            let span = later
+            let count = in_range
                 .iter()
-                .filter(|at| ***at >= *from && ***at < *from + SPAN);
-            span.count()
+                .filter(|at| ***at >= *from && ***at < *from + WINDOW);
+            count.count()
         };
-        later.iter().map(|at| in_span(at)).max().unwrap_or(0)
+        in_range.iter().map(|at| in_span(at)).max().unwrap_or(0)
     }
 }
 
-async fn serve(endpoints: &[&Limited]) -> Processes {
+async fn start_processes(endpoints: &[&LimitedEndpoint]) -> Processes {
     let lines = endpoints.iter().enumerate();
     let lines = lines.map(|(number, e)| format!("e-{number} {}\n", e.endpoint.addr));
     let text: String = lines.collect();
     Processes::start(move || text.clone()).await
 }
 
-/// Before an endpoint with a limit that gateways hear of from each other.
-async fn serve_slowly(endpoint: &Limited) -> Processes {
+/// Gateways in front of an endpoint whose limit they learn through the ledger.
+async fn start_with_limit_from_ledger(endpoint: &LimitedEndpoint) -> Processes {
     let limit = endpoint.limit.swap(0, Ordering::Relaxed);
-    let processes = serve(&[endpoint]).await;
+    let processes = start_processes(&[endpoint]).await;
     endpoint.limit.store(limit, Ordering::Relaxed);
-    // It hears of the limit with the first one, and uses up its turn with the second.
+    // The gateway learns the limit with the first request, and uses up its share with the second.
     for status in [200, 200, 503] {
-        assert_eq!(processes.ask(0, "/once/x", "").await.status, status);
+        assert_eq!(
+            processes.send_request(0, "/once/x", "").await.status,
+            status
+        );
     }
-    sleep(TOLD_WITHIN).await;
+    sleep(REPORTED_WITHIN).await;
     processes
 }
 
-/// Requests at all gateways in turn, for so long; returns their statuses and the longest time one took.
-async fn load(processes: &Processes, lasts: Duration) -> (Vec<u16>, Duration) {
-    let begun = Instant::now();
+/// Sends requests to the gateways in turn for this time; returns the statuses and the longest
+/// duration of a request.
+async fn send_for(processes: &Processes, duration: Duration) -> (Vec<u16>, Duration) {
+    let started_at = Instant::now();
     let mut statuses = Vec::new();
     let mut longest = Duration::ZERO;
     for number in (0..GATEWAYS).cycle() {
-        if begun.elapsed() > lasts {
+        if started_at.elapsed() > duration {
             break;
         }
-        let asked = Instant::now();
-        statuses.push(processes.ask(number, "/once/x", "").await.status);
-        longest = longest.max(asked.elapsed());
-        sleep(EVERY.saturating_sub(asked.elapsed())).await;
+        let sent_at = Instant::now();
+        statuses.push(processes.send_request(number, "/once/x", "").await.status);
+        longest = longest.max(sent_at.elapsed());
+        sleep(REQUEST_INTERVAL.saturating_sub(sent_at.elapsed())).await;
     }
     (statuses, longest)
 }
 
-/// Guards against a limited endpoint that gets its limit from each gateway, or the load it had before.
+/// Guards against an endpoint receiving its limit from each gateway, or its previous load.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_endpoint_gets_its_limit_from_all_gateways_together() {
-    let (well, limited) = (Limited::start(0).await, Limited::start(LIMIT).await);
-    let processes = serve(&[&well, &limited]).await;
-    let begun = Instant::now();
-    let (statuses, _) = load(&processes, KNOWN_WITHIN + 2 * SPAN).await;
+async fn limit_holds_for_all_gateways_together() {
+    let (unlimited, limited) = (
+        LimitedEndpoint::start(0).await,
+        LimitedEndpoint::start(LIMIT).await,
+    );
+    let processes = start_processes(&[&unlimited, &limited]).await;
+    let started_at = Instant::now();
+    let (statuses, _) = send_for(&processes, KNOWN_WITHIN + 2 * WINDOW).await;
     assert!(statuses.iter().all(|status| *status == 200));
-    let most = limited.most_in_a_span(begun + KNOWN_WITHIN);
-    assert!(most <= MOST_IN_A_SPAN, "{most} requests in {SPAN:?}");
-    assert!(most > 0, "it gets some");
+    let arrivals = limited.max_in_window(started_at + KNOWN_WITHIN);
+    assert!(
+        arrivals <= MAX_IN_WINDOW,
+        "{arrivals} requests in {WINDOW:?}"
+    );
+    assert!(arrivals > 0, "no requests arrived");
 }
 
-/// Guards against requests that wait, or are sent nevertheless, where no endpoint has room.
+/// Guards against requests waiting, or being sent anyway, when all endpoints are at their limits.
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_are_refused_at_once_where_all_endpoints_are_at_their_limits() {
-    let (one, other) = (Limited::start(LIMIT).await, Limited::start(LIMIT).await);
-    let processes = serve(&[&one, &other]).await;
-    let begun = Instant::now();
-    load(&processes, KNOWN_WITHIN).await;
-    let (statuses, longest) = load(&processes, 2 * SPAN).await;
-    for endpoint in [&one, &other] {
-        let most = endpoint.most_in_a_span(begun + KNOWN_WITHIN);
-        assert!(most <= MOST_IN_A_SPAN, "{most} requests in {SPAN:?}");
+async fn requests_are_refused_at_once_when_all_endpoints_are_at_their_limits() {
+    let (first, second) = (
+        LimitedEndpoint::start(LIMIT).await,
+        LimitedEndpoint::start(LIMIT).await,
+    );
+    let processes = start_processes(&[&first, &second]).await;
+    let started_at = Instant::now();
+    send_for(&processes, KNOWN_WITHIN).await;
+    let (statuses, longest) = send_for(&processes, 2 * WINDOW).await;
+    for endpoint in [&first, &second] {
+        let arrivals = endpoint.max_in_window(started_at + KNOWN_WITHIN);
+        assert!(
+            arrivals <= MAX_IN_WINDOW,
+            "{arrivals} requests in {WINDOW:?}"
+        );
     }
     assert!(statuses.contains(&200) && statuses.contains(&503));
     assert!(longest < Duration::from_secs(1), "{longest:?}");
 }
 
-/// Guards against an endpoint that stays without work after its limit is over.
+/// Guards against an endpoint staying without requests after its limit has ended.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_endpoint_that_announces_no_limit_any_more_gets_its_share_again() {
-    let (well, limited) = (Limited::start(0).await, Limited::start(LIMIT).await);
-    let processes = serve(&[&well, &limited]).await;
-    load(&processes, KNOWN_WITHIN).await;
+async fn endpoint_receives_its_share_again_after_its_limit_ends() {
+    let (unlimited, limited) = (
+        LimitedEndpoint::start(0).await,
+        LimitedEndpoint::start(LIMIT).await,
+    );
+    let processes = start_processes(&[&unlimited, &limited]).await;
+    send_for(&processes, KNOWN_WITHIN).await;
     limited.limit.store(0, Ordering::Relaxed);
-    // Each gateway hears of it with its next request there.
-    load(&processes, 2 * SPAN).await;
+    // Each gateway learns of the end with its next request to the endpoint.
+    send_for(&processes, 2 * WINDOW).await;
     let since = Instant::now();
-    load(&processes, SPAN).await;
+    send_for(&processes, WINDOW).await;
     let arrivals = limited.arrivals();
-    let again = arrivals.iter().filter(|at| **at >= since).count();
-    assert!(again > MOST_IN_A_SPAN, "{again} requests in {SPAN:?}");
+    let requests = arrivals.iter().filter(|at| **at >= since).count();
+    assert!(
+        requests > MAX_IN_WINDOW,
+        "{requests} requests in {WINDOW:?}"
+    );
 }
 
-/// Guards against a gateway that learns of a limit, and of its end, only by requests of its own.
+/// Guards against a gateway learning of a limit and its end only from its own requests.
 #[tokio::test]
-async fn what_other_gateways_heard_holds_here() {
-    let endpoint = Limited::start(LIMIT).await;
-    let fleet = Fleet::start(&[("a", &endpoint.endpoint)]).await;
-    let mut told = BTreeMap::new();
+async fn limit_learned_by_another_gateway_is_applied() {
+    let endpoint = LimitedEndpoint::start(LIMIT).await;
+    let fleet = TestGateway::start(&[("a", &endpoint.endpoint)]).await;
+    let mut ledger_limits = BTreeMap::new();
     let limit = EndpointLimit {
         limit: LIMIT,
         at: SystemTime::now(),
     };
-    told.insert("a".into(), limit);
+    ledger_limits.insert("a".into(), limit);
     let ask = async |count| {
         let mut served = 0;
         for _ in 0..count {
             let mut client = Client::connect(fleet.addr).await;
-            served += usize::from(client.ask("/once/x", "id", "").await.status == 200);
+            served += usize::from(client.request("/once/x", "id", "").await.status == 200);
         }
         served
     };
-    fleet.gw.apply_ledger_limits(&told);
+    fleet.gw.apply_ledger_limits(&ledger_limits);
     let served = ask(10).await;
     assert!(served <= 1, "{served} at the limit");
     endpoint.limit.store(0, Ordering::Relaxed);
@@ -183,30 +205,32 @@
     assert_eq!(ask(10).await, 10, "after its end");
 }
 
-/// Guards against the end of a limit that each gateway hears of only with its next turn.
+/// Guards against the end of a limit reaching a gateway only when its share allows the next
+/// request.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_end_of_a_limit_is_known_to_all_gateways() {
-    // A gateway's turn comes once in a minute.
-    let endpoint = Limited::start(50).await;
-    let processes = serve_slowly(&endpoint).await;
+async fn end_of_a_limit_reaches_all_gateways() {
+    // A gateway's share is one request per minute.
+    let endpoint = LimitedEndpoint::start(50).await;
+    let processes = start_with_limit_from_ledger(&endpoint).await;
     endpoint.limit.store(0, Ordering::Relaxed);
-    let heard = processes.ask(2, "/once/x", "").await;
-    assert_eq!(heard.status, 200);
-    sleep(TOLD_WITHIN).await;
+    let response = processes.send_request(2, "/once/x", "").await;
+    assert_eq!(response.status, 200);
+    sleep(REPORTED_WITHIN).await;
     for _ in 0..5 {
-        assert_eq!(processes.ask(0, "/once/x", "").await.status, 200);
+        assert_eq!(processes.send_request(0, "/once/x", "").await.status, 200);
     }
 }
 
-/// Guards against an endpoint that is listed after the ledger told of its limit, and gets requests as if it had none.
+/// Guards against an endpoint being used without a limit because it was listed after the ledger
+/// reported its limit.
 #[tokio::test]
-async fn an_endpoint_that_is_listed_later_has_its_limit() {
-    let endpoint = Limited::start(LIMIT).await;
+async fn limit_is_applied_to_an_endpoint_listed_later() {
+    let endpoint = LimitedEndpoint::start(LIMIT).await;
     let line = format!("later {}\n", endpoint.endpoint.addr);
     let text = Arc::new(Mutex::new(String::new()));
-    let told = text.clone();
-    let list = listing(move || told.lock().expect("a text").clone()).await;
-    let fleet = Fleet::reading(list, Duration::from_millis(200)).await;
+    let list_text = text.clone();
+    let list = serve_list(move || list_text.lock().expect("the list text").clone()).await;
+    let fleet = TestGateway::start_reading_list(list, Duration::from_millis(200)).await;
     let limit = EndpointLimit {
         limit: LIMIT,
         at: SystemTime::now(),
@@ -214,7 +238,7 @@
     fleet
         .gw
         .apply_ledger_limits(&BTreeMap::from([("later".into(), limit)]));
-    *text.lock().expect("a text") = line;
+    *text.lock().expect("the list text") = line;
     let id = "later".into();
     while fleet.gw.directory.find(&id).is_none() {
         sleep(Duration::from_millis(5)).await;
--- a/crates/anvil_gateway/tests/direct/main.rs
+++ b/crates/anvil_gateway/tests/direct/main.rs
@@ -1,17 +1,17 @@
-//! A gateway over real sockets, before endpoints that misbehave in every way that can be seen.
+//! A gateway over real sockets, in front of endpoints that fail in every way that can be observed.
 
-mod answers;
+mod charging;
 mod client;
 mod crashing;
 mod dialect;
 mod endpoint;
-mod explained;
+mod explanations;
 mod fleet;
-mod gone;
 mod leaving;
 mod limits;
-mod money;
+mod missing_endpoints;
 mod processes;
+mod responses;
 mod siblings;
 mod starting;
 mod streams;
--- a/crates/anvil_gateway/tests/direct/processes.rs
+++ b/crates/anvil_gateway/tests/direct/processes.rs
@@ -1,4 +1,4 @@
-//! A ledger and gateways as processes are, each at an address of its own.
+//! A ledger and gateways as in production, each at an address of its own.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -21,19 +21,19 @@
 use tokio::task::spawn_blocking;
 use tokio::time::{sleep, timeout};
 
-use crate::client::{Client, Got};
+use crate::client::{Client, ClientResponse};
 use crate::dialect::DIALECT;
-use crate::endpoint::{Endpoint, Step};
+use crate::endpoint::{Step, TestEndpoint};
 use crate::fleet::{listed, routes, settings, table};
 
-/// Gateways that callers are spread over.
+/// Number of gateways.
 pub const GATEWAYS: u8 = 3;
 /// Longest wait for anything.
-const PATIENCE: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A list of the endpoints that the text names, one a line: id and address.
-pub async fn listing(text: impl Fn() -> String + Send + Sync + 'static) -> ListSource {
-    let list = Endpoint::start(move |_, _| {
+/// A list of the endpoints that the text names, one per line: id and address.
+pub async fn serve_list(text: impl Fn() -> String + Send + Sync + 'static) -> ListSource {
+    let list = TestEndpoint::start(move |_, _| {
         let body = text();
         let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
         vec![Step::Send((head + &body).into_bytes())]
@@ -61,14 +61,14 @@
     })
 }
 
-/// A gateway in a runtime of its own, which ends with all it has started.
-struct Running {
+/// A gateway in its own runtime, which ends together with all its tasks.
+struct GatewayProcess {
     runtime: Option<Runtime>,
 }
 
-impl Running {
+impl GatewayProcess {
     fn start(gw: Gateway) -> Self {
-        let runtime = Runtime::new().expect("threads");
+        let runtime = Runtime::new().expect("a runtime");
         runtime.spawn(async move {
             let never = std::future::pending();
             run(Arc::new(gw), never)
@@ -82,13 +82,13 @@
 
     /// Ends it without a planned stop.
     async fn kill(mut self) {
-        let runtime = self.runtime.take().expect("it runs");
-        let ending = spawn_blocking(|| runtime.shutdown_timeout(PATIENCE));
-        ending.await.expect("ended");
+        let runtime = self.runtime.take().expect("a running gateway");
+        let ending = spawn_blocking(|| runtime.shutdown_timeout(WAIT_TIMEOUT));
+        ending.await.expect("the runtime stopped");
     }
 }
 
-impl Drop for Running {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
@@ -98,43 +98,43 @@
 
 /// A ledger and its gateways, each at an address of its own.
 pub struct Processes {
-    net: u8,
+    subnet: u8,
     data: TempDir,
     list: ListSource,
     ledger: Option<(oneshot::Sender<()>, LedgerHandle)>,
-    gateways: Vec<Running>,
+    gateways: Vec<GatewayProcess>,
 }
 
 impl Processes {
-    /// Starts them before the endpoints that `list` names, one a line: id and address.
+    /// Starts them; `list` names the endpoints, one per line: id and address.
     pub async fn start(list: impl Fn() -> String + Send + Sync + 'static) -> Self {
         let mut processes = Self {
-            net: rand::random_range(1..=250),
+            subnet: rand::random_range(1..=250),
             data: tempfile::tempdir().expect("a folder"),
-            list: listing(list).await,
+            list: serve_list(list).await,
             ledger: None,
             gateways: Vec::new(),
         };
-        processes.begin().await;
-        processes.put_routes().await;
-        processes.serve().await;
+        processes.start_processes().await;
+        processes.store_routes().await;
+        processes.wait_until_serving().await;
         processes
     }
 
     fn ip(&self, number: u8) -> Ipv4Addr {
-        Ipv4Addr::new(127, self.net, 11, number)
+        Ipv4Addr::new(127, self.subnet, 11, number)
     }
 
     fn ledger_addr(&self) -> SocketAddr {
         (self.ip(200), 17_340).into()
     }
 
-    fn front(&self, gateway: u8) -> SocketAddr {
+    fn client_addr(&self, gateway: u8) -> SocketAddr {
         (self.ip(gateway), 18_227).into()
     }
 
-    /// Starts all processes, on whatever the ledger's disk holds.
-    async fn begin(&mut self) {
+    /// Starts all processes on the ledger's existing data.
+    async fn start_processes(&mut self) {
         let addr = self.ledger_addr();
         let id = InstanceId::from("ledger-1");
         let cfg = LedgerSettings {
@@ -153,15 +153,15 @@
         let ledger = ledger_service::start(cfg, Tuning::default(), silent(), stopped).await;
         self.ledger = Some((stop, ledger.expect("a ledger")));
         for number in 0..GATEWAYS {
-            let gateway = self.gateway(number);
+            let gateway = self.start_gateway(number);
             self.gateways.push(gateway);
         }
     }
 
-    fn gateway(&self, number: u8) -> Running {
+    fn start_gateway(&self, number: u8) -> GatewayProcess {
         let cfg = GatewaySettings {
             id: format!("gateway-{number}").into(),
-            listen: self.front(number),
+            listen: self.client_addr(number),
             ready_listen: (self.ip(number), 18_220).into(),
             siblings: (self.ip(number), 17_342).into(),
             ledger: vec![self.ledger_addr()],
@@ -172,10 +172,10 @@
             },
             ..settings()
         };
-        Running::start(Gateway::new(cfg, silent(), Metrics::silent("gateway")))
+        GatewayProcess::start(Gateway::new(cfg, silent(), Metrics::silent("gateway")))
     }
 
-    async fn put_routes(&self) {
+    async fn store_routes(&self) {
         let ledger = LedgerClient::new(&[self.ledger_addr()]);
         let routing = Command::ReplaceRouting(ReplaceRouting {
             operator: "wanjiru".into(),
@@ -184,22 +184,27 @@
             credits: BTreeMap::new(),
             at: std::time::UNIX_EPOCH,
         });
-        ledger.propose(routing, PATIENCE).await.expect("taken");
+        ledger
+            .propose(routing, WAIT_TIMEOUT)
+            .await
+            .expect("accepted");
     }
 
-    /// Waits until each gateway serves.
-    async fn serve(&self) {
+    /// Waits until each gateway serves requests.
+    async fn wait_until_serving(&self) {
         for number in 0..GATEWAYS {
             let served = async {
-                while self.ask(number, "/once/x", "fine").await.status != 200 {
+                while self.send_request(number, "/once/x", "fine").await.status != 200 {
                     sleep(Duration::from_millis(50)).await;
                 }
             };
-            timeout(PATIENCE, served).await.expect("a gateway serves");
+            timeout(WAIT_TIMEOUT, served)
+                .await
+                .expect("a gateway serves");
         }
     }
 
-    /// All processes lose power and begin again.
+    /// Ends all processes as in a power failure, and starts them again.
     pub async fn lose_power(&mut self) {
         for gateway in self.gateways.drain(..) {
             gateway.kill().await;
@@ -208,16 +213,16 @@
             let _ = stop.send(());
             ledger.stopped().await;
         }
-        self.begin().await;
-        self.serve().await;
+        self.start_processes().await;
+        self.wait_until_serving().await;
     }
 
-    /// Asks a gateway once; status 0 where nobody answers.
-    pub async fn ask(&self, gateway: u8, path: &str, body: &str) -> Got {
+    /// Sends one request to a gateway; status 0 if it does not answer.
+    pub async fn send_request(&self, gateway: u8, path: &str, body: &str) -> ClientResponse {
         let id = format!("id-{:x}", rand::random::<u64>());
-        let Ok(mut client) = Client::try_connect(self.front(gateway)).await else {
-            return Got::default();
+        let Ok(mut client) = Client::try_connect(self.client_addr(gateway)).await else {
+            return ClientResponse::default();
         };
-        client.ask_with(path, &id, body).await
+        client.request_with_body(path, &id, body).await
     }
 }
--- a/crates/anvil_gateway/tests/direct/siblings.rs
+++ b/crates/anvil_gateway/tests/direct/siblings.rs
@@ -15,18 +15,19 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep};
 
-use crate::endpoint::{Endpoint, Step};
+use crate::endpoint::{Step, TestEndpoint};
 use crate::fleet::{listed, settings};
 
-/// Port at which the gateways of one test answer each other, each at an address of its own.
+/// Ports for the gateways' requests to each other, one per test; each gateway has an address of its
+/// own.
 const PORTS: std::ops::Range<u16> = 7_900..7_950;
-/// Oldest that a list may grow.
-const WITHIN: Duration = Duration::from_millis(600);
-/// Time that a busy machine may take beyond it.
+/// Maximum age of a list.
+const MAX_LIST_AGE: Duration = Duration::from_millis(600);
+/// Additional time allowed for a busy machine.
 const SLACK: Duration = Duration::from_millis(700);
 
-/// A list of one endpoint that tests change, and how often it was read.
-struct List {
+/// A list of one endpoint that tests can change, and how often it was read.
+struct TestList {
     source: ListSource,
     leaving: Arc<Mutex<bool>>,
     reads: Arc<AtomicUsize>,
@@ -37,7 +38,7 @@
     one.leaving = match &bytes[..] {
         b"leaving" => true,
         b"staying" => false,
-        _ => return Err("no word on the endpoint".into()),
+        _ => return Err("unknown state of the endpoint".into()),
     };
     Ok(ListPage {
         listed: vec![one],
@@ -45,15 +46,15 @@
     })
 }
 
-impl List {
+impl TestList {
     async fn serve() -> Self {
         let leaving = Arc::new(Mutex::new(false));
         let reads = Arc::new(AtomicUsize::new(0));
-        let (said, counted) = (leaving.clone(), reads.clone());
-        let list = Endpoint::start(move |_, _| {
+        let (leaving_flag, counted) = (leaving.clone(), reads.clone());
+        let list = TestEndpoint::start(move |_, _| {
             counted.fetch_add(1, Ordering::Relaxed);
-            let leaves = *said.lock().expect("a word");
-            let body = if leaves { "leaving" } else { "staying" };
+            let leaving = *leaving_flag.lock().expect("the leaving flag");
+            let body = if leaving { "leaving" } else { "staying" };
             let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", body.len());
             vec![Step::Send((head + body).into_bytes())]
         })
@@ -72,37 +73,42 @@
         }
     }
 
-    fn leave(&self) {
-        *self.leaving.lock().expect("a word") = true;
+    fn mark_leaving(&self) {
+        *self.leaving.lock().expect("the leaving flag") = true;
     }
 }
 
-struct Running {
+struct RunningGateway {
     gw: Arc<Gateway>,
     tasks: Vec<JoinHandle<()>>,
 }
 
-impl Running {
-    /// Ends it without a word.
+impl RunningGateway {
+    /// Ends it without notifying the others.
     fn kill(&self) {
         for task in &self.tasks {
             task.abort();
         }
     }
 
-    fn knows_it_leaves(&self) -> bool {
+    fn knows_endpoint_is_leaving(&self) -> bool {
         let group = self.gw.directory.service_endpoints(crate::fleet::SERVICE);
         group.iter().all(|endpoint| endpoint.is_leaving())
     }
 }
 
-/// Gateways that know each other, in the order in which they read.
-async fn zone(list: &List, third: u8, count: u8) -> Vec<Running> {
-    zone_within(WITHIN, list, third, count).await
+/// Gateways that know each other, in the order in which they read the list.
+async fn start_zone(platform_list: &TestList, third: u8, count: u8) -> Vec<RunningGateway> {
+    start_zone_with_max_age(MAX_LIST_AGE, platform_list, third, count).await
 }
 
-/// The same with lists that may grow older.
-async fn zone_within(within: Duration, list: &List, third: u8, count: u8) -> Vec<Running> {
+/// The same with another maximum age of the list.
+async fn start_zone_with_max_age(
+    within: Duration,
+    platform_list: &TestList,
+    third: u8,
+    count: u8,
+) -> Vec<RunningGateway> {
     let port = PORTS.start + u16::from(third);
     let mut running = Vec::new();
     for number in 1..=count {
@@ -111,7 +117,7 @@
             id: format!("gateway-{number}").into(),
             listen: addr,
             siblings: addr,
-            list: list.source.clone(),
+            list: platform_list.source.clone(),
             list_within: within,
             ..settings()
         };
@@ -120,23 +126,27 @@
         let server = siblings::listen(&gw).await.expect("an address");
         let answering = tokio::spawn(siblings::serve_siblings(gw.clone(), server));
         let tasks = vec![answering];
-        running.push(Running { gw, tasks });
+        running.push(RunningGateway { gw, tasks });
     }
     let instances: Vec<Instance> = running.iter().map(|r| r.gw.instance()).collect();
-    for one in &mut running {
-        one.gw.siblings.update_members(instances.iter());
-        let gw = one.gw.clone();
-        one.tasks
+    for gateway in &mut running {
+        gateway.gw.siblings.update_members(instances.iter());
+        let gw = gateway.gw.clone();
+        gateway
+            .tasks
             .push(tokio::spawn(async move { discovery::run(&gw).await }));
     }
     running.sort_by_key(|r| reader_rank(&r.gw.cfg.id));
     running
 }
 
-async fn all_know(running: &[Running], within: Duration) -> bool {
+async fn all_know(running: &[RunningGateway], within: Duration) -> bool {
     let end = Instant::now() + within;
     while Instant::now() < end {
-        if running.iter().all(Running::knows_it_leaves) {
+        if running
+            .iter()
+            .all(RunningGateway::knows_endpoint_is_leaving)
+        {
             return true;
         }
         sleep(Duration::from_millis(10)).await;
@@ -145,93 +155,94 @@
 }
 
 #[tokio::test]
-async fn one_gateway_reads_for_all() {
-    let list = List::serve().await;
-    let zone = zone(&list, 1, 6).await;
+async fn only_one_gateway_reads_the_list() {
+    let platform_list = TestList::serve().await;
+    let gateways = start_zone(&platform_list, 1, 6).await;
     sleep(Duration::from_secs(3)).await;
-    let reads = list.reads.load(Ordering::Relaxed);
-    // All six read once at their start; alone, each would have read five times or more.
+    let reads = platform_list.reads.load(Ordering::Relaxed);
+    // All six read once at the start; without sharing, each would have read five times or more.
     assert!(reads < 6 + 12, "{reads} readings");
-    list.leave();
-    assert!(all_know(&zone, WITHIN + SLACK).await);
+    platform_list.mark_leaving();
+    assert!(all_know(&gateways, MAX_LIST_AGE + SLACK).await);
 }
 
-/// Guards against work for a leaving endpoint because the gateway that reads the list has died.
+/// Guards against requests to a leaving endpoint because the gateway that reads the list has died.
 #[tokio::test]
-async fn a_leaving_endpoint_is_heard_of_after_the_reader_died() {
-    let list = List::serve().await;
-    let zone = zone(&list, 2, 4).await;
-    sleep(2 * WITHIN).await;
-    zone[0].kill();
-    list.leave();
-    assert!(all_know(&zone[1..], WITHIN + SLACK).await);
+async fn leaving_endpoint_is_noticed_after_the_reader_died() {
+    let platform_list = TestList::serve().await;
+    let gateways = start_zone(&platform_list, 2, 4).await;
+    sleep(2 * MAX_LIST_AGE).await;
+    gateways[0].kill();
+    platform_list.mark_leaving();
+    assert!(all_know(&gateways[1..], MAX_LIST_AGE + SLACK).await);
 }
 
-/// Guards against a list that grows too old because its gateway doubts it late, and waits anew for a
-/// sibling that answers and doesn't read.
+/// Guards against a list growing too old because a gateway that finds it wrong late starts to wait
+/// anew for a sibling that answers but does not read.
 #[tokio::test]
-async fn a_doubt_does_not_prolong_the_wait_for_a_sibling() {
+async fn list_mismatch_does_not_prolong_the_wait_for_a_sibling() {
     let within = Duration::from_secs(4);
-    let list = List::serve().await;
-    let begun = Instant::now();
-    let zone = zone_within(within, &list, 7, 2).await;
+    let platform_list = TestList::serve().await;
+    let started_at = Instant::now();
+    let gateways = start_zone_with_max_age(within, &platform_list, 7, 2).await;
     sleep(within / 8).await;
-    for task in &zone[0].tasks[1..] {
+    for task in &gateways[0].tasks[1..] {
         task.abort();
     }
-    list.leave();
+    platform_list.mark_leaving();
     sleep(within * 3 / 4).await;
-    zone[1].gw.list_mismatch.notify_one();
-    let left = within.saturating_sub(begun.elapsed());
-    assert!(all_know(&zone[1..], left + SLACK).await);
+    gateways[1].gw.list_mismatch.notify_one();
+    let time_left = within.saturating_sub(started_at.elapsed());
+    assert!(all_know(&gateways[1..], time_left + SLACK).await);
 }
 
-/// Guards against a dead reader in whose place every gateway reads.
+/// Guards against every gateway reading the list after the reader has died.
 #[tokio::test]
-async fn one_gateway_reads_in_a_dead_readers_place() {
-    let list = List::serve().await;
-    let zone = zone(&list, 6, 8).await;
-    sleep(2 * WITHIN).await;
-    zone[0].kill();
-    sleep(2 * WITHIN).await;
-    let before = list.reads.load(Ordering::Relaxed);
-    sleep(4 * WITHIN).await;
-    let reads = list.reads.load(Ordering::Relaxed) - before;
-    // One alone reads five to six times in this time, seven of them would 28 times or more.
+async fn only_one_gateway_replaces_a_dead_reader() {
+    let platform_list = TestList::serve().await;
+    let gateways = start_zone(&platform_list, 6, 8).await;
+    sleep(2 * MAX_LIST_AGE).await;
+    gateways[0].kill();
+    sleep(2 * MAX_LIST_AGE).await;
+    let before = platform_list.reads.load(Ordering::Relaxed);
+    sleep(4 * MAX_LIST_AGE).await;
+    let reads = platform_list.reads.load(Ordering::Relaxed) - before;
+    // A single reader reads five to six times in this time; seven readers would read 28 times or
+    // more.
     assert!(reads <= 12, "{reads} readings");
 }
 
-/// Guards against work for a leaving endpoint because reader after reader dies.
+/// Guards against requests to a leaving endpoint because two readers die one after the other.
 #[tokio::test]
-async fn a_leaving_endpoint_is_heard_of_after_two_readers_died() {
-    let list = List::serve().await;
-    let zone = zone(&list, 3, 4).await;
-    sleep(2 * WITHIN).await;
-    zone[0].kill();
-    sleep(WITHIN / 2).await;
-    zone[1].kill();
-    list.leave();
-    assert!(all_know(&zone[2..], WITHIN + SLACK).await);
+async fn leaving_endpoint_is_noticed_after_two_readers_died() {
+    let platform_list = TestList::serve().await;
+    let gateways = start_zone(&platform_list, 3, 4).await;
+    sleep(2 * MAX_LIST_AGE).await;
+    gateways[0].kill();
+    sleep(MAX_LIST_AGE / 2).await;
+    gateways[1].kill();
+    platform_list.mark_leaving();
+    assert!(all_know(&gateways[2..], MAX_LIST_AGE + SLACK).await);
 }
 
-/// Guards against work for a leaving endpoint because the reader answers and doesn't read any more.
+/// Guards against requests to a leaving endpoint because the reader answers but no longer reads.
 #[tokio::test]
-async fn a_leaving_endpoint_is_heard_of_while_the_reader_only_answers() {
-    let list = List::serve().await;
-    let zone = zone(&list, 4, 4).await;
-    sleep(2 * WITHIN).await;
-    zone[0].tasks[1].abort();
-    list.leave();
-    assert!(all_know(&zone[1..], WITHIN + SLACK).await);
+async fn leaving_endpoint_is_noticed_when_the_reader_stops_reading() {
+    let platform_list = TestList::serve().await;
+    let gateways = start_zone(&platform_list, 4, 4).await;
+    sleep(2 * MAX_LIST_AGE).await;
+    gateways[0].tasks[1].abort();
+    platform_list.mark_leaving();
+    assert!(all_know(&gateways[1..], MAX_LIST_AGE + SLACK).await);
 }
 
-/// Guards against a list that one gateway has found wrong and that its reader takes for right.
+/// Guards against a list that one gateway has found wrong and that its reader takes for correct.
 #[tokio::test]
-async fn a_gateway_that_doubts_the_list_has_it_read_again() {
-    let list = List::serve().await;
-    let zone = zone_within(20 * WITHIN, &list, 5, 3).await;
-    sleep(2 * WITHIN).await;
-    list.leave();
-    zone[2].gw.list_mismatch.notify_one();
-    assert!(all_know(&zone, 3 * WITHIN + SLACK).await);
+async fn list_found_wrong_by_one_gateway_is_read_again() {
+    let platform_list = TestList::serve().await;
+    let gateways = start_zone_with_max_age(20 * MAX_LIST_AGE, &platform_list, 5, 3).await;
+    sleep(2 * MAX_LIST_AGE).await;
+    platform_list.mark_leaving();
+    gateways[2].gw.list_mismatch.notify_one();
+    assert!(all_know(&gateways, 3 * MAX_LIST_AGE + SLACK).await);
 }
--- a/crates/anvil_gateway/tests/direct/streams.rs
+++ b/crates/anvil_gateway/tests/direct/streams.rs
@@ -1,75 +1,76 @@
-//! Streams: whole events at once, continued without a gap, never complete in part.
+//! Streams: events are forwarded at once and complete, resumed without a gap, never cut unnoticed.
 
 use std::time::Duration;
 
 use crate::client::Client;
-use crate::endpoint::{Endpoint, Received, Step, chunk, event, stream_end, stream_head};
-use crate::fleet::Fleet;
+use crate::endpoint::{ReceivedRequest, Step, TestEndpoint, chunk, event, stream_end, stream_head};
+use crate::fleet::TestGateway;
 
-fn events(req: &Received, upto: u64) -> Vec<Step> {
+fn events(req: &ReceivedRequest, last: u64) -> Vec<Step> {
     let after = req.header("x-after").and_then(|id| id.parse().ok());
     let first = after.map_or(1, |after: u64| after + 1);
     let mut steps = vec![Step::Send(stream_head(req))];
-    steps.extend((first..=upto).map(|id| Step::Send(chunk(&event(id)))));
+    steps.extend((first..=last).map(|id| Step::Send(chunk(&event(id)))));
     steps
 }
 
-fn whole(upto: u64) -> String {
-    (1..=upto).map(event).collect()
+fn events_text(last: u64) -> String {
+    (1..=last).map(event).collect()
 }
 
-/// An endpoint is lost in the middle of an event. Another one goes on after the last whole event;
-/// the client sees each event once, in order, within one answer.
+/// Guards against gaps, repeats or partial events when an endpoint is lost in the middle of an
+/// event and another one resumes the stream.
 #[tokio::test]
-async fn a_broken_stream_goes_on_elsewhere_without_a_gap() {
-    let broken = Endpoint::start(|_, req| {
+async fn broken_stream_resumes_without_a_gap() {
+    let broken = TestEndpoint::start(|_, req| {
         let mut steps = events(req, 3);
         steps.push(Step::Send(chunk("id: 4\ndata: pie")));
         steps.push(Step::Reset);
         steps
     })
     .await;
-    let good = Endpoint::start(|_, req| {
+    let working = TestEndpoint::start(|_, req| {
         let mut steps = events(req, 6);
         steps.push(Step::Send(stream_end()));
         steps
     })
     .await;
-    let fleet = Fleet::start(&[("broken", &broken), ("good", &good)]).await;
+    let fleet = TestGateway::start(&[("broken", &broken), ("good", &working)]).await;
     for number in 0..10 {
         let mut client = Client::connect(fleet.addr).await;
-        let got = client.ask("/resumed/x", &format!("id-{number}"), "").await;
-        assert!(got.whole, "{got:?}");
-        assert_eq!((got.status, got.body), (200, whole(6)));
+        let received = client
+            .request("/resumed/x", &format!("id-{number}"), "")
+            .await;
+        assert!(received.complete, "{received:?}");
+        assert_eq!((received.status, received.body), (200, events_text(6)));
     }
     assert!(!broken.received().is_empty());
 }
 
-/// A stream that may not be continued breaks off. The client must see that it did: an end that
-/// looks complete would pass for a whole answer.
+/// Guards against a broken stream that can't be resumed looking complete.
 #[tokio::test]
-async fn a_stream_that_cannot_go_on_ends_visibly_broken() {
-    let broken = Endpoint::start(|_, req| {
+async fn stream_that_cannot_be_resumed_looks_incomplete() {
+    let broken = TestEndpoint::start(|_, req| {
         let mut steps = events(req, 3);
-        // Time to be read: a reset throws away what has not been.
+        // Time for the events to be read: a reset discards unread data.
         steps.push(Step::Pause(Duration::from_millis(100)));
         steps.push(Step::Reset);
         steps
     })
     .await;
-    let fleet = Fleet::start(&[("a", &broken), ("b", &broken)]).await;
+    let fleet = TestGateway::start(&[("a", &broken), ("b", &broken)]).await;
     let mut client = Client::connect(fleet.addr).await;
-    let got = client.ask("/stream/x", "id", "").await;
-    assert!(!got.whole, "{got:?}");
-    assert_eq!((got.status, got.body), (200, whole(3)));
+    let received = client.request("/stream/x", "id", "").await;
+    assert!(!received.complete, "{received:?}");
+    assert_eq!((received.status, received.body), (200, events_text(3)));
     assert_eq!(broken.received().len(), 1);
 }
 
-/// An endpoint that continues a stream begins at the wrong event. What does not follow is not
-/// delivered, or the client would see a piece twice.
+/// Guards against repeated events being delivered when an endpoint resumes a stream at the wrong
+/// one.
 #[tokio::test]
-async fn events_that_do_not_follow_are_not_delivered() {
-    let wrong = Endpoint::start(|_, req| {
+async fn out_of_order_events_are_not_delivered() {
+    let misnumbering = TestEndpoint::start(|_, req| {
         let mut steps = vec![Step::Send(stream_head(req))];
         for id in [1, 2, 2, 3] {
             steps.push(Step::Send(chunk(&event(id))));
@@ -78,17 +79,17 @@
         steps
     })
     .await;
-    let fleet = Fleet::start(&[("a", &wrong)]).await;
+    let fleet = TestGateway::start(&[("a", &misnumbering)]).await;
     let mut client = Client::connect(fleet.addr).await;
-    let got = client.ask("/stream/x", "id", "").await;
-    assert!(!got.whole, "{got:?}");
-    assert_eq!(got.body, whole(2));
+    let received = client.request("/stream/x", "id", "").await;
+    assert!(!received.complete, "{received:?}");
+    assert_eq!(received.body, events_text(2));
 }
 
-/// Events come one by one. Each is passed on as it comes, not with the next one.
+/// Guards against an event being held back until the next one arrives.
 #[tokio::test]
-async fn events_are_passed_on_as_they_come() {
-    let slow = Endpoint::start(|_, req| {
+async fn events_are_forwarded_immediately() {
+    let slow = TestEndpoint::start(|_, req| {
         vec![
             Step::Send(stream_head(req)),
             Step::Send(chunk(&event(1))),
@@ -98,47 +99,49 @@
         ]
     })
     .await;
-    let fleet = Fleet::start(&[("a", &slow)]).await;
+    let fleet = TestGateway::start(&[("a", &slow)]).await;
     let mut client = Client::connect(fleet.addr).await;
     client
         .send("/stream/x", "id", "content-length: 0\r\n")
         .await;
-    let begun = std::time::Instant::now();
-    let mut seen = client.some().await;
+    let started_at = std::time::Instant::now();
+    let mut seen = client.read_some().await;
     while !seen.contains("piece 1") {
-        seen = client.some().await;
+        seen = client.read_some().await;
     }
-    assert!(begun.elapsed() < Duration::from_millis(400));
+    assert!(started_at.elapsed() < Duration::from_millis(400));
     assert!(!seen.contains("piece 2"));
-    assert!(client.answer().await.whole);
+    assert!(client.read_response().await.complete);
 }
 
-/// A resumable stream falls silent in the middle. Another endpoint goes on before the client
-/// leaves, and the silent one is told to stop.
+/// Guards against a stalled stream: another endpoint resumes it before the client gives up, and the
+/// stalled endpoint's connection is closed.
 #[tokio::test]
-async fn a_silent_stream_goes_on_elsewhere() {
-    let silent = Endpoint::start(|_, req| {
+async fn stalled_stream_is_resumed_elsewhere() {
+    let stalled = TestEndpoint::start(|_, req| {
         let mut steps = events(req, 2);
         steps.push(Step::Hang);
         steps
     })
     .await;
-    let good = Endpoint::start(|_, req| {
+    let working = TestEndpoint::start(|_, req| {
         let mut steps = events(req, 4);
         steps.push(Step::Send(stream_end()));
         steps
     })
     .await;
-    let fleet = Fleet::start(&[("silent", &silent), ("good", &good)]).await;
+    let fleet = TestGateway::start(&[("silent", &stalled), ("good", &working)]).await;
     let mut continued = 0;
     for number in 0..6 {
         let mut client = Client::connect(fleet.addr).await;
-        let got = client.ask("/resumed/x", &format!("id-{number}"), "").await;
-        assert!(got.whole, "{got:?}");
-        assert_eq!(got.body, whole(4));
-        continued += silent.received().len();
+        let received = client
+            .request("/resumed/x", &format!("id-{number}"), "")
+            .await;
+        assert!(received.complete, "{received:?}");
+        assert_eq!(received.body, events_text(4));
+        continued += stalled.received().len();
     }
     assert!(continued > 0);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    assert_eq!(silent.left(), silent.received().len());
+    assert_eq!(stalled.abandoned(), stalled.received().len());
 }
