--- a/crates/anvil_gateway/src/attempt_counter.rs
+++ b/crates/anvil_gateway/src/attempt_counter.rs
@@ -61,7 +61,7 @@
         self.missing = 0;
     }
 
-    /// Whether another attempt is allowed if `attempts` endpoints may receive the request.
+    /// Whether another attempt is allowed if `max_attempts` endpoints may receive the request.
     pub fn may_continue(&self, max_attempts: u32) -> bool {
         self.counted < max_attempts && self.missing < MAX_MISSING_ENDPOINTS
     }
--- a/crates/anvil_gateway/src/discovery.rs
+++ b/crates/anvil_gateway/src/discovery.rs
@@ -172,11 +172,11 @@
     Ok(gw.list_cache.apply_reply(asked_at, reply))
 }
 
-fn skip_sibling(gw: &Gateway, sibling: &InstanceId, why: &str) {
+fn skip_sibling(gw: &Gateway, sibling: &InstanceId, reason: &str) {
     gw.siblings.mark_skipped(sibling, gw.lifecycle.now());
     event!(
         gw.log, events::GATEWAY_SIBLING_PASSED_OVER,
-        "sibling" => sibling.to_string(), "why" => why
+        "sibling" => sibling.to_string(), "why" => reason
     );
 }
 
--- a/crates/anvil_gateway/src/endpoint.rs
+++ b/crates/anvil_gateway/src/endpoint.rs
@@ -73,15 +73,15 @@
         self.rate_share().limit()
     }
 
-    /// Applies the limit announced in the response to a request sent at `sent`, or its absence.
+    /// Applies the limit announced in the response to a request sent at `sent_at`, or its absence.
     pub fn apply_announced_limit(
         &self,
         now: Now,
-        sent: Now,
+        sent_at: Now,
         limit: Option<RateLimit>,
         log: &Logger,
     ) {
-        if self.rate_share().heard(now, sent, limit) {
+        if self.rate_share().heard(now, sent_at, limit) {
             self.log_limit("heard", log);
         }
     }
@@ -124,14 +124,14 @@
     }
 
     /// Records a failed request and puts the endpoint on cooldown.
-    pub fn record_failure(&self, now: Now, log: &Logger, why: &str) {
+    pub fn record_failure(&self, now: Now, log: &Logger, reason: &str) {
         let mut load = self.load();
         let was_on_cooldown = load.is_shut(now);
         load.failed(now);
         if !was_on_cooldown {
             event!(
                 log, events::GATEWAY_ENDPOINT_SHUT,
-                "endpoint" => &*self.id, "why" => why, "failures" => load.failures()
+                "endpoint" => &*self.id, "why" => reason, "failures" => load.failures()
             );
         }
     }
--- a/crates/anvil_gateway/src/endpoint_limits.rs
+++ b/crates/anvil_gateway/src/endpoint_limits.rs
@@ -76,15 +76,20 @@
 }
 
 impl Gateway {
-    /// Applies the limit in a response to a request that was sent at `sent`.
-    pub fn apply_announced_limit(&self, endpoint: &Endpoint, sent: Now, announced: AnnouncedLimit) {
+    /// Applies the limit in a response to a request that was sent at `sent_at`.
+    pub fn apply_announced_limit(
+        &self,
+        endpoint: &Endpoint,
+        sent_at: Now,
+        announced: AnnouncedLimit,
+    ) {
         let announced = match announced {
             AnnouncedLimit::None => None,
             AnnouncedLimit::Rate(limit) => Some(limit),
             // The previous limit stays in force.
             AnnouncedLimit::Unreadable => return self.metrics.count(metrics::LIMITS_UNREADABLE),
         };
-        endpoint.apply_announced_limit(self.lifecycle.now(), sent, announced, &self.log);
+        endpoint.apply_announced_limit(self.lifecycle.now(), sent_at, announced, &self.log);
         let limit = endpoint.limit();
         let is_in_force = limit == announced;
         if is_in_force && !self.endpoint_limits.is_known_to_ledger(&endpoint.id, limit) {
--- a/crates/anvil_gateway/src/list_cache.rs
+++ b/crates/anvil_gateway/src/list_cache.rs
@@ -128,7 +128,7 @@
         self.replace_newest(ListSnapshot::new(entries, started));
     }
 
-    /// Applies a sibling's reply to a request sent at `asked`. Returns whether it is newer than the
+    /// Applies a sibling's reply to a request sent at `asked_at`. Returns whether it is newer than the
     /// cached list.
     pub fn apply_reply(&self, asked_at: Moment, reply: ListReply) -> bool {
         let Some(as_of) = asked_at.shifted(reply.held_for, reply.age) else {
--- a/crates/anvil_gateway/src/list_reader.rs
+++ b/crates/anvil_gateway/src/list_reader.rs
@@ -28,10 +28,10 @@
     #[snafu(display("reading the endpoint list failed: no response within {PAGE_TIMEOUT:?}"))]
     Timeout,
     /// The connection failed, or a page can't be parsed.
-    #[snafu(display("reading the endpoint list failed: {why}"))]
+    #[snafu(display("reading the endpoint list failed: {details}"))]
     Failed {
         /// Details.
-        why: String,
+        details: String,
     },
     /// The platform returned an error.
     #[snafu(display("reading the endpoint list failed: status {status}"))]
@@ -81,7 +81,7 @@
     }
 
     async fn read_page(&mut self, source: &ListSource, path: &str) -> Result<ListPage, ListError> {
-        let failed = |why: String| ListError::Failed { why };
+        let failed = |details: String| ListError::Failed { details };
         let mut sender = match self.sender.take().filter(SendRequest::is_ready) {
             Some(sender) => sender,
             None => connect(source).await?,
@@ -107,7 +107,7 @@
 }
 
 async fn connect(source: &ListSource) -> Result<SendRequest<Full<Bytes>>, ListError> {
-    let failed = |why: String| ListError::Failed { why };
+    let failed = |details: String| ListError::Failed { details };
     let socket = TcpStream::connect(source.addr).await;
     let socket = socket.map_err(|e| failed(e.to_string()))?;
     let handshake = Builder::new().handshake(TokioIo::new(socket)).await;
--- a/crates/anvil_gateway/src/run.rs
+++ b/crates/anvil_gateway/src/run.rs
@@ -47,19 +47,19 @@
         log, events::GATEWAY_LISTENING,
         "addr" => cfg.listen.to_string(), "zone" => cfg.zone.id.to_string()
     );
-    let own = gw.clone();
+    let task_gw = gw.clone();
     let background = tokio::spawn(async move {
-        let instance = own.instance();
-        let ready = serve::serve_readiness(ready, own.log.clone(), || own.is_ready());
+        let instance = task_gw.instance();
+        let ready = serve::serve_readiness(ready, task_gw.log.clone(), || task_gw.is_ready());
         tokio::join!(
             ready,
-            ledger_updates::run(&own),
-            announce::run(&own.ledger, &own.lifecycle, &instance),
-            discovery::run(&own),
-            siblings::serve_siblings(own.clone(), siblings),
-            grant_loop::run(&own),
-            suspects::run(&own),
-            endpoint_limits::run(&own),
+            ledger_updates::run(&task_gw),
+            announce::run(&task_gw.ledger, &task_gw.lifecycle, &instance),
+            discovery::run(&task_gw),
+            siblings::serve_siblings(task_gw.clone(), siblings),
+            grant_loop::run(&task_gw),
+            suspects::run(&task_gw),
+            endpoint_limits::run(&task_gw),
         );
     });
     let serving = serve::serve_clients(gw.clone(), clients);
--- a/crates/anvil_gateway/tests/direct/charging.rs
+++ b/crates/anvil_gateway/tests/direct/charging.rs
@@ -7,14 +7,14 @@
 
 use crate::client::Client;
 use crate::endpoint::{Step, TestEndpoint, chunk, event, stream_end, stream_head};
-use crate::fleet::TestGateway;
+use crate::gateway::TestGateway;
 
 const KEY: &str = "x-key: key\r\n";
 
 /// Grants this amount to the co-op, as the ledger would.
-fn add_grant(fleet: &TestGateway, id: GrantId, amount: Tokens) {
-    let purse = &fleet.gw.grant_account;
-    let batch = purse.batch(fleet.gw.lifecycle.now()).expect("a batch");
+fn add_grant(gateway: &TestGateway, id: GrantId, amount: Tokens) {
+    let purse = &gateway.gw.grant_account;
+    let batch = purse.batch(gateway.gw.lifecycle.now()).expect("a batch");
     let grant = Grant {
         id,
         budget: "co-op".into(),
@@ -31,18 +31,18 @@
         ..GrantBatchAnswer::default()
     };
     purse
-        .answered(fleet.gw.lifecycle.now(), &answer)
+        .answered(gateway.gw.lifecycle.now(), &answer)
         .expect("a grant");
 }
 
 async fn start_with_grant(endpoint: &TestEndpoint, amount: Tokens) -> TestGateway {
-    let fleet = TestGateway::start(&[("a", endpoint)]).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway = TestGateway::start(&[("a", endpoint)]).await;
+    let mut client = Client::connect(gateway.addr).await;
     let headers = format!("{KEY}x-tokens: 10,10\r\n");
     // The first request finds no grant and makes the gateway ask for one.
     assert!(client.request("/stream/x", "first", &headers).await.status >= 400);
-    add_grant(&fleet, 1, amount);
-    fleet
+    add_grant(&gateway, 1, amount);
+    gateway
 }
 
 fn endpoint_with_three_events() -> impl std::future::Future<Output = TestEndpoint> {
@@ -59,10 +59,10 @@
 #[tokio::test]
 async fn spending_never_exceeds_the_grant() {
     let endpoint = endpoint_with_three_events().await;
-    let fleet = start_with_grant(&endpoint, 500).await;
+    let gateway = start_with_grant(&endpoint, 500).await;
     let mut served = 0;
     for number in 0..20 {
-        let mut client = Client::connect(fleet.addr).await;
+        let mut client = Client::connect(gateway.addr).await;
         let headers = format!("{KEY}x-tokens: 100,30\r\n");
         let response = client
             .request("/stream/x", &format!("id-{number}"), &headers)
@@ -79,7 +79,7 @@
         (1..=4).contains(&served),
         "{served} served out of 500 tokens"
     );
-    let view = fleet.gw.grant_account.view("co-op");
+    let view = gateway.gw.grant_account.view("co-op");
     assert_eq!(view.free + view.reserved, 500 - served * 109);
 }
 
@@ -88,8 +88,8 @@
 #[tokio::test]
 async fn request_abandoned_before_it_began_is_not_charged() {
     let unresponsive = TestEndpoint::start(|_, _| vec![Step::Hang]).await;
-    let fleet = start_with_grant(&unresponsive, 500).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway = start_with_grant(&unresponsive, 500).await;
+    let mut client = Client::connect(gateway.addr).await;
     let headers = format!("content-length: 0\r\n{KEY}x-tokens: 100,30\r\n");
     client.send("/stream/x", "id", &headers).await;
     while unresponsive.received().is_empty() {
@@ -97,7 +97,7 @@
     }
     drop(client);
     tokio::time::sleep(Duration::from_millis(400)).await;
-    let view = fleet.gw.grant_account.view("co-op");
+    let view = gateway.gw.grant_account.view("co-op");
     assert_eq!((view.free, view.reserved), (500, 0));
 }
 
@@ -113,14 +113,14 @@
         ]
     })
     .await;
-    let fleet = start_with_grant(&endless, 500).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway = start_with_grant(&endless, 500).await;
+    let mut client = Client::connect(gateway.addr).await;
     let headers = format!("content-length: 0\r\n{KEY}x-tokens: 100,30\r\n");
     client.send("/stream/x", "id", &headers).await;
     while !client.read_some().await.contains("piece 1") {}
     drop(client);
     tokio::time::sleep(Duration::from_millis(400)).await;
-    let view = fleet.gw.grant_account.view("co-op");
+    let view = gateway.gw.grant_account.view("co-op");
     assert_eq!((view.free, view.reserved), (500 - 103, 0));
 }
 
@@ -130,14 +130,14 @@
     let full =
         TestEndpoint::start(|_, req| vec![Step::Send(crate::endpoint::not_run(req, "503 Full"))])
             .await;
-    let fleet = start_with_grant(&full, 500).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway = start_with_grant(&full, 500).await;
+    let mut client = Client::connect(gateway.addr).await;
     let headers = format!("{KEY}x-tokens: 100,30\r\n");
     assert_eq!(
         client.request("/stream/x", "id", &headers).await.status,
         503
     );
-    let view = fleet.gw.grant_account.view("co-op");
+    let view = gateway.gw.grant_account.view("co-op");
     assert_eq!((view.free, view.reserved), (500, 0));
 }
 
@@ -146,14 +146,14 @@
 #[tokio::test]
 async fn gateway_without_a_ledger_is_not_ready() {
     let endpoint = endpoint_with_three_events().await;
-    let fleet = TestGateway::start(&[("a", &endpoint)]).await;
-    fleet.gw.mark_starved();
-    assert!(!fleet.gw.is_ready());
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway = TestGateway::start(&[("a", &endpoint)]).await;
+    gateway.gw.mark_starved();
+    assert!(!gateway.gw.is_ready());
+    let mut client = Client::connect(gateway.addr).await;
     let response = client.request("/idempotent/x", "id", "").await;
     assert!(response.head.contains("connection: close"));
-    fleet.gw.clear_starved();
-    assert!(fleet.gw.is_ready());
+    gateway.gw.clear_starved();
+    assert!(gateway.gw.is_ready());
 }
 
 /// Guards against clients being sent from gateway to gateway during a leader election until they
@@ -161,10 +161,10 @@
 #[tokio::test]
 async fn clients_are_sent_elsewhere_only_after_election_time() {
     let endpoint = endpoint_with_three_events().await;
-    let fleet = start_with_grant(&endpoint, 10).await;
+    let gateway = start_with_grant(&endpoint, 10).await;
     let headers = format!("{KEY}x-tokens: 100,30\r\n");
     let retry_after = async |id: &str| {
-        let mut client = Client::connect(fleet.addr).await;
+        let mut client = Client::connect(gateway.addr).await;
         let response = client.request("/stream/x", id, &headers).await;
         assert_eq!(response.status, 503);
         let retry_after = response.head.lines();
@@ -175,18 +175,18 @@
             .parse::<f64>()
             .expect("seconds")
     };
-    fleet
+    gateway
         .gw
         .grant_account
-        .batch(fleet.gw.lifecycle.now() + Duration::from_secs(1));
-    let batch_sent_at = fleet.gw.lifecycle.now();
+        .batch(gateway.gw.lifecycle.now() + Duration::from_secs(1));
+    let batch_sent_at = gateway.gw.lifecycle.now();
     tokio::time::sleep(Duration::from_millis(600)).await;
     let first = retry_after("early").await;
-    if fleet.gw.lifecycle.now() < batch_sent_at + Duration::from_secs(1) {
+    if gateway.gw.lifecycle.now() < batch_sent_at + Duration::from_secs(1) {
         assert!(first >= 0.2, "{first}");
-        assert!(!fleet.gw.is_starved());
+        assert!(!gateway.gw.is_starved());
     }
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert!(retry_after("late").await < 0.1);
-    assert!(fleet.gw.is_starved());
+    assert!(gateway.gw.is_starved());
 }
--- a/crates/anvil_gateway/tests/direct/crashing.rs
+++ b/crates/anvil_gateway/tests/direct/crashing.rs
@@ -14,7 +14,7 @@
 use crate::endpoint::{
     ReceivedRequest, Step, TestEndpoint, chunk, event, not_run, response, stream_end, stream_head,
 };
-use crate::fleet::{TestGateway, listed};
+use crate::gateway::{TestGateway, listed};
 use crate::processes::{GATEWAYS, Processes, serve_list};
 
 /// Endpoints that run concurrently.
@@ -150,13 +150,16 @@
 
 /// Sends one request while only this endpoint is listed, and waits until a crash would be detected.
 async fn request_with_only(
-    fleet: &TestGateway,
+    gateway: &TestGateway,
     id: &str,
     endpoint: &TestEndpoint,
     path: &str,
 ) -> ClientResponse {
-    fleet.gw.directory.apply_list(&[listed(id, endpoint.addr)]);
-    let mut client = Client::connect(fleet.addr).await;
+    gateway
+        .gw
+        .directory
+        .apply_list(&[listed(id, endpoint.addr)]);
+    let mut client = Client::connect(gateway.addr).await;
     let response = client.request(path, "id", "").await;
     sleep(Duration::from_millis(50)).await;
     response
@@ -166,15 +169,15 @@
 #[tokio::test]
 async fn lost_responses_without_a_crash_cause_no_quarantine() {
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    let fleet = TestGateway::start(&[]).await;
+    let gateway = TestGateway::start(&[]).await;
     for number in 0..2 * QUARANTINE_CRASHES {
         let lossy = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
         let response =
-            request_with_only(&fleet, &format!("lossy-{number}"), &lossy, "/once/x").await;
+            request_with_only(&gateway, &format!("lossy-{number}"), &lossy, "/once/x").await;
         assert_eq!(response.status, 502);
     }
     assert_eq!(
-        request_with_only(&fleet, "well", &working, "/once/x")
+        request_with_only(&gateway, "well", &working, "/once/x")
             .await
             .status,
         200
@@ -190,7 +193,7 @@
         vec![Step::Send(answer.concat())]
     })
     .await;
-    let fleet = TestGateway::start(&[]).await;
+    let gateway = TestGateway::start(&[]).await;
     for number in 0..QUARANTINE_CRASHES {
         let crashing = TestEndpoint::start(|_, req| {
             vec![
@@ -203,13 +206,13 @@
         .await;
         let id = format!("crashing-{number}");
         assert!(
-            !request_with_only(&fleet, &id, &crashing, "/stream/x")
+            !request_with_only(&gateway, &id, &crashing, "/stream/x")
                 .await
                 .complete
         );
     }
     assert_eq!(
-        request_with_only(&fleet, "well", &working, "/stream/x")
+        request_with_only(&gateway, "well", &working, "/stream/x")
             .await
             .status,
         200
@@ -229,16 +232,16 @@
         crashing.push(TestEndpoint::start(behave).await);
     }
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    let fleet = TestGateway::start(&[("well", &working)]).await;
+    let gateway = TestGateway::start(&[("well", &working)]).await;
     for (number, endpoint) in crashing.iter().enumerate() {
         let id = format!("lost-{number}");
         for status in [200, 502] {
-            let response = request_with_only(&fleet, &id, endpoint, "/once/x").await;
+            let response = request_with_only(&gateway, &id, endpoint, "/once/x").await;
             assert_eq!(response.status, status);
         }
     }
     assert_eq!(
-        request_with_only(&fleet, "well", &working, "/once/x")
+        request_with_only(&gateway, "well", &working, "/once/x")
             .await
             .status,
         200
@@ -254,13 +257,13 @@
     }
     let names = ["a", "b", "c", "d", "e"];
     let listed: Vec<_> = names.into_iter().zip(&crashing).collect();
-    let fleet = TestGateway::start(&listed).await;
+    let gateway = TestGateway::start(&listed).await;
     for _ in 0..QUARANTINE_CRASHES {
-        let mut client = Client::connect(fleet.addr).await;
+        let mut client = Client::connect(gateway.addr).await;
         assert_eq!(client.request("/once/x", "id", "").await.status, 502);
         sleep(Duration::from_millis(50)).await;
     }
-    let mut client = Client::connect(fleet.addr).await;
+    let mut client = Client::connect(gateway.addr).await;
     let response = client.request("/once/x", "id", "").await;
     assert_eq!(response.status, 503);
     assert!(
@@ -273,11 +276,11 @@
 
 /// The ledger's report on a request under which three endpoints crashed.
 fn ledger_suspects(
-    fleet: &TestGateway,
+    gateway: &TestGateway,
     path: &str,
     key: Option<&str>,
 ) -> BTreeMap<RequestDigest, Suspect> {
-    let table = fleet.gw.table.load_full().expect("a table");
+    let table = gateway.gw.table.load_full().expect("a table");
     let route = table.route("shop", path).expect("a route").clone();
     let organisation = key.and_then(|key| table.organisation(key).cloned());
     let uri = path.parse().expect("a path");
@@ -300,12 +303,12 @@
 #[tokio::test]
 async fn quarantined_request_is_refused_without_waiting_for_grants() {
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    let fleet = TestGateway::start(&[("well", &working)]).await;
-    fleet
+    let gateway = TestGateway::start(&[("well", &working)]).await;
+    gateway
         .gw
-        .apply_ledger_suspects(&ledger_suspects(&fleet, "/stream/x", Some("key")));
+        .apply_ledger_suspects(&ledger_suspects(&gateway, "/stream/x", Some("key")));
     let started_at = Instant::now();
-    let mut client = Client::connect(fleet.addr).await;
+    let mut client = Client::connect(gateway.addr).await;
     let headers = "x-key: key\r\nx-tokens: 100,30\r\n";
     let response = client.request("/stream/x", "id", headers).await;
     assert_eq!(response.status, 503);
@@ -327,13 +330,13 @@
     })
     .await;
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    let fleet = TestGateway::start(&[("failing", &failing), ("well", &working)]).await;
-    let suspects = ledger_suspects(&fleet, "/idempotent/x", None);
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway = TestGateway::start(&[("failing", &failing), ("well", &working)]).await;
+    let suspects = ledger_suspects(&gateway, "/idempotent/x", None);
+    let mut client = Client::connect(gateway.addr).await;
     let asking = client.request("/idempotent/x", "id", "");
     let reporting = async {
         sleep(Duration::from_millis(100)).await;
-        fleet.gw.apply_ledger_suspects(&suspects);
+        gateway.gw.apply_ledger_suspects(&suspects);
     };
     let (response, ()) = tokio::join!(asking, reporting);
     assert_eq!((response.status, &*response.body), (500, "why."));
@@ -345,15 +348,15 @@
 #[tokio::test]
 async fn request_answered_here_is_not_quarantined_by_the_ledger() {
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    let fleet = TestGateway::start(&[("well", &working)]).await;
-    let suspects = ledger_suspects(&fleet, "/once/x", None);
+    let gateway = TestGateway::start(&[("well", &working)]).await;
+    let suspects = ledger_suspects(&gateway, "/once/x", None);
     for (answered, status) in [(false, 503), (true, 200)] {
-        fleet.gw.apply_ledger_suspects(&BTreeMap::new());
-        let mut client = Client::connect(fleet.addr).await;
+        gateway.gw.apply_ledger_suspects(&BTreeMap::new());
+        let mut client = Client::connect(gateway.addr).await;
         if answered {
             assert_eq!(client.request("/once/x", "id", "").await.status, 200);
         }
-        fleet.gw.apply_ledger_suspects(&suspects);
+        gateway.gw.apply_ledger_suspects(&suspects);
         assert_eq!(client.request("/once/x", "id", "").await.status, status);
     }
 }
@@ -363,24 +366,30 @@
 async fn leaving_endpoint_that_stops_causes_no_quarantine() {
     let ends = |_, _: &ReceivedRequest| vec![Step::Pause(Duration::from_millis(100)), Step::Crash];
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    let fleet = TestGateway::start(&[]).await;
+    let gateway = TestGateway::start(&[]).await;
     for number in 0..QUARANTINE_CRASHES {
         let leaving = TestEndpoint::start(ends).await;
         let mut listed = listed(&format!("leaving-{number}"), leaving.addr);
-        fleet.gw.directory.apply_list(std::slice::from_ref(&listed));
-        let mut client = Client::connect(fleet.addr).await;
+        gateway
+            .gw
+            .directory
+            .apply_list(std::slice::from_ref(&listed));
+        let mut client = Client::connect(gateway.addr).await;
         let asking = client.request("/once/x", "id", "");
         let leave = async {
             sleep(Duration::from_millis(50)).await;
             listed.leaving = true;
-            fleet.gw.directory.apply_list(std::slice::from_ref(&listed));
+            gateway
+                .gw
+                .directory
+                .apply_list(std::slice::from_ref(&listed));
         };
         let (response, ()) = tokio::join!(asking, leave);
         assert_eq!(response.status, 502);
         sleep(Duration::from_millis(50)).await;
     }
     assert_eq!(
-        request_with_only(&fleet, "well", &working, "/once/x")
+        request_with_only(&gateway, "well", &working, "/once/x")
             .await
             .status,
         200
@@ -399,9 +408,9 @@
 }
 
 /// Lists only this endpoint, and waits until the gateway has read the list.
-async fn list_only(fleet: &TestGateway, text: &Mutex<String>, id: &str, addr: SocketAddr) {
+async fn list_only(gateway: &TestGateway, text: &Mutex<String>, id: &str, addr: SocketAddr) {
     *text.lock().expect("the list text") = format!("{id} {addr}\n");
-    while fleet.gw.directory.find(&id.into()).is_none() {
+    while gateway.gw.directory.find(&id.into()).is_none() {
         sleep(Duration::from_millis(5)).await;
     }
 }
@@ -410,15 +419,15 @@
 /// refused.
 #[tokio::test]
 async fn endpoint_missing_from_the_list_counts_as_crashed() {
-    let (fleet, text) = start_reading_list().await;
-    let mut client = Client::connect(fleet.addr).await;
+    let (gateway, text) = start_reading_list().await;
+    let mut client = Client::connect(gateway.addr).await;
     for number in 0..QUARANTINE_CRASHES {
         let lossy = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
-        list_only(&fleet, &text, &format!("lost-{number}"), lossy.addr).await;
+        list_only(&gateway, &text, &format!("lost-{number}"), lossy.addr).await;
         assert_eq!(client.request("/once/x", "id", "").await.status, 502);
     }
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    list_only(&fleet, &text, "well", working.addr).await;
+    list_only(&gateway, &text, "well", working.addr).await;
     let response = client.request("/once/x", "id", "").await;
     assert!(response.body.contains("crashes_endpoints"), "{response:?}");
 }
@@ -426,7 +435,7 @@
 /// Guards against crashes not being counted if another endpoint takes over the address at once.
 #[tokio::test]
 async fn replaced_endpoint_counts_as_crashed() {
-    let fleet = TestGateway::start(&[]).await;
+    let gateway = TestGateway::start(&[]).await;
     for number in 0..QUARANTINE_CRASHES {
         let replaced = TestEndpoint::start(|number, req| match number {
             0 => vec![Step::Reset],
@@ -435,11 +444,11 @@
         .await;
         let id = format!("replaced-{number}");
         for (path, status) in [("/once/x", 502), ("/once/y", 503)] {
-            let response = request_with_only(&fleet, &id, &replaced, path).await;
+            let response = request_with_only(&gateway, &id, &replaced, path).await;
             assert_eq!(response.status, status);
         }
     }
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    let response = request_with_only(&fleet, "well", &working, "/once/x").await;
+    let response = request_with_only(&gateway, "well", &working, "/once/x").await;
     assert!(response.body.contains("crashes_endpoints"), "{response:?}");
 }
--- a/crates/anvil_gateway/tests/direct/explanations.rs
+++ b/crates/anvil_gateway/tests/direct/explanations.rs
@@ -12,7 +12,7 @@
 
 use crate::client::Client;
 use crate::endpoint::{Step, TestEndpoint, chunk, event, response, response_with, stream_head};
-use crate::fleet::TestGateway;
+use crate::gateway::TestGateway;
 
 /// Everything written so far.
 #[derive(Clone, Default)]
@@ -48,9 +48,9 @@
     let log_output = WrittenLog::default();
     let (log, dropped) = to_writer(log_output.clone(), LogLimits::default());
     let (metrics, board) = Metrics::kept("gateway");
-    let fleet = TestGateway::start_with(endpoints, log, metrics).await;
+    let gateway = TestGateway::start_with(endpoints, log, metrics).await;
     assert_eq!(dropped.count(), 0);
-    (fleet, log_output, move || board.text())
+    (gateway, log_output, move || board.text())
 }
 
 /// Guards against an unexplained refusal while engines are idle: the request's line shows that the
@@ -58,8 +58,8 @@
 #[tokio::test]
 async fn refusal_with_idle_engines_is_explained() {
     let idle = TestEndpoint::start(|_, _| vec![Step::Hang]).await;
-    let (fleet, log_output, metrics) = start_logged(&[("engine-1", &idle)]).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let (gateway, log_output, metrics) = start_logged(&[("engine-1", &idle)]).await;
+    let mut client = Client::connect(gateway.addr).await;
     let headers = "x-key: key\r\nx-tokens: 100,30\r\n";
     let response = client.request("/stream/x", "refused-1", headers).await;
     assert!(matches!(response.status, 429 | 503), "{response:?}");
@@ -90,8 +90,8 @@
         ]
     })
     .await;
-    let (fleet, log_output, metrics) = start_logged(&[("engine-1", &broken)]).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let (gateway, log_output, metrics) = start_logged(&[("engine-1", &broken)]).await;
+    let mut client = Client::connect(gateway.addr).await;
     assert!(!client.request("/stream/x", "broken-1", "").await.complete);
     let explanation = log_output.explain("broken-1").await;
     let cooldown = explanation
@@ -122,8 +122,8 @@
 #[tokio::test]
 async fn unknown_outcome_names_the_endpoint() {
     let resetting = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
-    let (fleet, log_output, metrics) = start_logged(&[("desk-1", &resetting)]).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let (gateway, log_output, metrics) = start_logged(&[("desk-1", &resetting)]).await;
+    let mut client = Client::connect(gateway.addr).await;
     assert_eq!(client.request("/once/x", "order-1", "").await.status, 502);
     let explanation = log_output.explain("order-1").await;
     let line = explanation.lines.last().expect("the request's line");
@@ -143,8 +143,8 @@
 #[tokio::test]
 async fn crash_is_logged_with_its_request() {
     let crashing = TestEndpoint::start(|_, _| vec![Step::Crash]).await;
-    let (fleet, log_output, _) = start_logged(&[("engine-1", &crashing)]).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let (gateway, log_output, _) = start_logged(&[("engine-1", &crashing)]).await;
+    let mut client = Client::connect(gateway.addr).await;
     assert_eq!(client.request("/once/x", "crash-1", "").await.status, 502);
     let explanation = log_output.explain("crash-1").await;
     let line = explanation.lines.last().expect("the request's line");
@@ -166,9 +166,9 @@
     let endpoints = futures::future::join_all((0..4).map(crashing)).await;
     let names = ["engine-1", "engine-2", "engine-3", "engine-4"];
     let listed: Vec<_> = names.into_iter().zip(&endpoints).collect();
-    let (fleet, log_output, metrics) = start_logged(&listed).await;
+    let (gateway, log_output, metrics) = start_logged(&listed).await;
     for status in [502, 502, 502, 503] {
-        let mut client = Client::connect(fleet.addr).await;
+        let mut client = Client::connect(gateway.addr).await;
         let response = client
             .request("/once/x", &format!("quarantine-{status}"), "")
             .await;
@@ -191,8 +191,8 @@
 #[tokio::test]
 async fn lost_connection_is_not_logged_as_a_crash() {
     let lossy = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
-    let (fleet, log_output, _) = start_logged(&[("desk-1", &lossy)]).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let (gateway, log_output, _) = start_logged(&[("desk-1", &lossy)]).await;
+    let mut client = Client::connect(gateway.addr).await;
     assert_eq!(client.request("/once/x", "lost-1", "").await.status, 502);
     let explanation = log_output.explain("lost-1").await;
     assert!(
@@ -214,9 +214,9 @@
         vec![Step::Send(response_with(req, limit, "ran"))]
     })
     .await;
-    let (fleet, log_output, _) = start_logged(&[("engine-1", &endpoint)]).await;
-    fleet.gw.gateway_count.store(1, Ordering::Relaxed);
-    let mut client = Client::connect(fleet.addr).await;
+    let (gateway, log_output, _) = start_logged(&[("engine-1", &endpoint)]).await;
+    gateway.gw.gateway_count.store(1, Ordering::Relaxed);
+    let mut client = Client::connect(gateway.addr).await;
     for number in 0..4 {
         tokio::time::sleep(Duration::from_millis(450)).await;
         let response = client.request("/once/x", &format!("id-{number}"), "").await;
@@ -255,8 +255,9 @@
         waiting_bytes: 20_000,
     };
     let (log, dropped) = to_writer(StuckWriter, limits);
-    let fleet = TestGateway::start_with(&[("a", &working)], log, Metrics::silent("gateway")).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway =
+        TestGateway::start_with(&[("a", &working)], log, Metrics::silent("gateway")).await;
+    let mut client = Client::connect(gateway.addr).await;
     let started_at = std::time::Instant::now();
     for number in 0..200 {
         let response = client.request("/once/x", &format!("id-{number}"), "").await;
--- a/crates/anvil_gateway/tests/direct/fleet.rs
+++ b/crates/anvil_gateway/tests/direct/gateway.rs
@@ -140,15 +140,15 @@
         log: Logger,
         metrics: Metrics,
     ) -> Self {
-        let fleet = Self::start_without_state(settings(), log, metrics).await;
+        let gateway = Self::start_without_state(settings(), log, metrics).await;
         let mut list: Vec<_> = endpoints.iter().map(|(id, e)| listed(id, e.addr)).collect();
         // Only the first one is in the gateway's zone, so it is tried first.
         for other in list.iter_mut().skip(1) {
             other.zone = "local-b".into();
         }
-        fleet.gw.directory.apply_list(&list);
-        fleet.gw.table.store(Some(Arc::new(table(1, routes()))));
-        fleet
+        gateway.gw.directory.apply_list(&list);
+        gateway.gw.table.store(Some(Arc::new(table(1, routes()))));
+        gateway
     }
 
     /// A gateway without routing table and endpoints.
@@ -165,11 +165,11 @@
             ..settings()
         };
         let log = Logger::root(Discard, o!());
-        let fleet = Self::start_without_state(cfg, log, Metrics::silent("gateway")).await;
-        fleet.gw.table.store(Some(Arc::new(table(1, routes()))));
-        let gw = fleet.gw.clone();
+        let gateway = Self::start_without_state(cfg, log, Metrics::silent("gateway")).await;
+        gateway.gw.table.store(Some(Arc::new(table(1, routes()))));
+        let gw = gateway.gw.clone();
         tokio::spawn(async move { discovery::run(&gw).await });
-        fleet
+        gateway
     }
 
     async fn start_without_state(cfg: GatewaySettings, log: Logger, metrics: Metrics) -> Self {
--- a/crates/anvil_gateway/tests/direct/leaving.rs
+++ b/crates/anvil_gateway/tests/direct/leaving.rs
@@ -4,7 +4,7 @@
 
 use crate::client::Client;
 use crate::endpoint::{Step, TestEndpoint, response};
-use crate::fleet::{TestGateway, listed};
+use crate::gateway::{TestGateway, listed};
 
 /// Guards against requests to a leaving endpoint: it is listed as leaving, then no longer, and
 /// then, by a list that lags, as ready again. It receives nothing once it was listed as leaving.
@@ -12,7 +12,7 @@
 async fn leaving_endpoint_receives_no_new_requests() {
     let leaving = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
     let staying = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    let fleet = TestGateway::start(&[("leaving", &leaving), ("staying", &staying)]).await;
+    let gateway = TestGateway::start(&[("leaving", &leaving), ("staying", &staying)]).await;
     let ready = [
         listed("leaving", leaving.addr),
         listed("staying", staying.addr),
@@ -25,10 +25,10 @@
         (&ready[1..], false),
         (&ready[..], false),
     ] {
-        fleet.gw.directory.apply_list(list);
+        gateway.gw.directory.apply_list(list);
         let before = leaving.received().len();
         for number in 0..10 {
-            let mut client = Client::connect(fleet.addr).await;
+            let mut client = Client::connect(gateway.addr).await;
             let response = client.request("/once/x", &format!("id-{number}"), "").await;
             assert_eq!(response.status, 200);
         }
@@ -47,22 +47,22 @@
         ]
     })
     .await;
-    let fleet = TestGateway::start(&[("a", &slow)]).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway = TestGateway::start(&[("a", &slow)]).await;
+    let mut client = Client::connect(gateway.addr).await;
     client.send("/once/x", "id", "content-length: 0\r\n").await;
     while slow.received().is_empty() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    assert!(fleet.gw.is_ready());
-    fleet.gw.lifecycle.leave();
-    assert!(!fleet.gw.is_ready());
+    assert!(gateway.gw.is_ready());
+    gateway.gw.lifecycle.leave();
+    assert!(!gateway.gw.is_ready());
     let response = client.read_response().await;
     assert_eq!((response.status, &*response.body), (200, "ran"));
     assert!(response.head.contains("connection: close"));
     // The load balancer may still send a few clients; they are served.
-    let mut late = Client::connect(fleet.addr).await;
+    let mut late = Client::connect(gateway.addr).await;
     assert_eq!(late.request("/once/x", "late", "").await.status, 200);
-    let ended = tokio::time::timeout(Duration::from_secs(4), fleet.serving).await;
+    let ended = tokio::time::timeout(Duration::from_secs(4), gateway.serving).await;
     assert!(ended.is_ok(), "still running after the grace period");
 }
 
@@ -77,13 +77,13 @@
         ]
     })
     .await;
-    let fleet = TestGateway::start(&[("a", &endless)]).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway = TestGateway::start(&[("a", &endless)]).await;
+    let mut client = Client::connect(gateway.addr).await;
     client
         .send("/stream/x", "id", "content-length: 0\r\nx-wait: 20000\r\n")
         .await;
     while !client.read_some().await.contains("piece 1") {}
-    fleet.gw.lifecycle.leave();
+    gateway.gw.lifecycle.leave();
     let response = client.read_response().await;
     assert!(!response.complete, "{response:?}");
 }
--- a/crates/anvil_gateway/tests/direct/limits.rs
+++ b/crates/anvil_gateway/tests/direct/limits.rs
@@ -10,7 +10,7 @@
 
 use crate::client::Client;
 use crate::endpoint::{Step, TestEndpoint, response_with};
-use crate::fleet::TestGateway;
+use crate::gateway::TestGateway;
 use crate::processes::{GATEWAYS, Processes, serve_list};
 
 /// Requests per thousand seconds that a limited endpoint accepts.
@@ -182,7 +182,7 @@
 #[tokio::test]
 async fn limit_learned_by_another_gateway_is_applied() {
     let endpoint = LimitedEndpoint::start(LIMIT).await;
-    let fleet = TestGateway::start(&[("a", &endpoint.endpoint)]).await;
+    let gateway = TestGateway::start(&[("a", &endpoint.endpoint)]).await;
     let mut ledger_limits = BTreeMap::new();
     let limit = EndpointLimit {
         limit: LIMIT,
@@ -192,16 +192,16 @@
     let ask = async |count| {
         let mut served = 0;
         for _ in 0..count {
-            let mut client = Client::connect(fleet.addr).await;
+            let mut client = Client::connect(gateway.addr).await;
             served += usize::from(client.request("/once/x", "id", "").await.status == 200);
         }
         served
     };
-    fleet.gw.apply_ledger_limits(&ledger_limits);
+    gateway.gw.apply_ledger_limits(&ledger_limits);
     let served = ask(10).await;
     assert!(served <= 1, "{served} at the limit");
     endpoint.limit.store(0, Ordering::Relaxed);
-    fleet.gw.apply_ledger_limits(&BTreeMap::new());
+    gateway.gw.apply_ledger_limits(&BTreeMap::new());
     assert_eq!(ask(10).await, 10, "after its end");
 }
 
@@ -230,20 +230,20 @@
     let text = Arc::new(Mutex::new(String::new()));
     let list_text = text.clone();
     let list = serve_list(move || list_text.lock().expect("the list text").clone()).await;
-    let fleet = TestGateway::start_reading_list(list, Duration::from_millis(200)).await;
+    let gateway = TestGateway::start_reading_list(list, Duration::from_millis(200)).await;
     let limit = EndpointLimit {
         limit: LIMIT,
         at: SystemTime::now(),
     };
-    fleet
+    gateway
         .gw
         .apply_ledger_limits(&BTreeMap::from([("later".into(), limit)]));
     *text.lock().expect("the list text") = line;
     let id = "later".into();
-    while fleet.gw.directory.find(&id).is_none() {
+    while gateway.gw.directory.find(&id).is_none() {
         sleep(Duration::from_millis(5)).await;
     }
-    let listed = fleet.gw.directory.find(&id).expect("an endpoint");
+    let listed = gateway.gw.directory.find(&id).expect("an endpoint");
     sleep(Duration::from_millis(50)).await;
     assert_eq!(listed.limit(), Some(LIMIT));
 }
--- a/crates/anvil_gateway/tests/direct/main.rs
+++ b/crates/anvil_gateway/tests/direct/main.rs
@@ -6,7 +6,7 @@
 mod dialect;
 mod endpoint;
 mod explanations;
-mod fleet;
+mod gateway;
 mod leaving;
 mod limits;
 mod missing_endpoints;
--- a/crates/anvil_gateway/tests/direct/missing_endpoints.rs
+++ b/crates/anvil_gateway/tests/direct/missing_endpoints.rs
@@ -11,7 +11,7 @@
 
 use crate::client::Client;
 use crate::endpoint::{Step, TestEndpoint, not_run, response};
-use crate::fleet::{TestGateway, listed, routes, table};
+use crate::gateway::{TestGateway, listed, routes, table};
 
 /// An address at which nothing listens.
 async fn unused_addr() -> SocketAddr {
@@ -25,7 +25,7 @@
     same_zone: &[(&str, SocketAddr)],
     working: &TestEndpoint,
 ) -> TestGateway {
-    let fleet = TestGateway::start(&[]).await;
+    let gateway = TestGateway::start(&[]).await;
     let mut list: Vec<_> = same_zone
         .iter()
         .map(|(id, addr)| listed(id, *addr))
@@ -33,13 +33,13 @@
     let mut other_zone = listed("well", working.addr);
     other_zone.zone = "local-b".into();
     list.push(other_zone);
-    fleet.gw.directory.apply_list(&list);
+    gateway.gw.directory.apply_list(&list);
     let mut routes = routes();
     for route in &mut routes {
         route.attempts = 1;
     }
-    fleet.gw.table.store(Some(Arc::new(table(2, routes))));
-    fleet
+    gateway.gw.table.store(Some(Arc::new(table(2, routes))));
+    gateway
 }
 
 /// Guards against refusals while dead endpoints are still listed. Nothing was sent to them, so they
@@ -52,8 +52,8 @@
         ("d2", unused_addr().await),
         ("d3", unused_addr().await),
     ];
-    let fleet = start_with_one_attempt(&dead, &working).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway = start_with_one_attempt(&dead, &working).await;
+    let mut client = Client::connect(gateway.addr).await;
     let response = client.request("/once/x", "id-1", "").await;
     assert_eq!((response.status, &*response.body), (200, "ran"));
     assert_eq!(working.received().len(), 1);
@@ -67,8 +67,8 @@
         TestEndpoint::start(|_, req| vec![Step::Send(not_run(req, "421 Misdirected Request"))])
             .await;
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    let fleet = start_with_one_attempt(&[("was-here", replacement.addr)], &working).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway = start_with_one_attempt(&[("was-here", replacement.addr)], &working).await;
+    let mut client = Client::connect(gateway.addr).await;
     let response = client.request("/once/x", "id-1", "").await;
     assert_eq!((response.status, &*response.body), (200, "ran"));
 }
@@ -81,8 +81,8 @@
         TestEndpoint::start(|_, req| vec![Step::Send(not_run(req, "503 Service Unavailable"))])
             .await;
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    let fleet = start_with_one_attempt(&[("full", full.addr)], &working).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway = start_with_one_attempt(&[("full", full.addr)], &working).await;
+    let mut client = Client::connect(gateway.addr).await;
     let response = client.request("/once/x", "id-1", "").await;
     assert_eq!(response.status, 503);
     assert!(working.received().is_empty());
@@ -94,13 +94,13 @@
 async fn request_in_doubt_is_not_retried_when_other_endpoints_are_gone() {
     let resetting = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    let fleet = start_with_one_attempt(
+    let gateway = start_with_one_attempt(
         &[("gone", unused_addr().await), ("lost", resetting.addr)],
         &working,
     )
     .await;
     for number in 0..6 {
-        let mut client = Client::connect(fleet.addr).await;
+        let mut client = Client::connect(gateway.addr).await;
         let response = client.request("/once/x", &format!("id-{number}"), "").await;
         assert!(
             response.status == 502 || response.status == 200,
@@ -146,14 +146,14 @@
         calls_per_second: 50.0,
         page,
     };
-    let fleet = TestGateway::start_reading_list(source, Duration::from_mins(10)).await;
-    while fleet.gw.directory.is_empty() {
+    let gateway = TestGateway::start_reading_list(source, Duration::from_mins(10)).await;
+    while gateway.gw.directory.is_empty() {
         sleep(Duration::from_millis(5)).await;
     }
     *listed.lock().expect("the list text") = format!("after {}", working.addr);
     let until_served = async {
         for number in 0.. {
-            let mut client = Client::connect(fleet.addr).await;
+            let mut client = Client::connect(gateway.addr).await;
             let response = client.request("/once/x", &format!("id-{number}"), "").await;
             if response.status == 200 {
                 return;
--- a/crates/anvil_gateway/tests/direct/processes.rs
+++ b/crates/anvil_gateway/tests/direct/processes.rs
@@ -24,7 +24,7 @@
 use crate::client::{Client, ClientResponse};
 use crate::dialect::DIALECT;
 use crate::endpoint::{Step, TestEndpoint};
-use crate::fleet::{listed, routes, settings, table};
+use crate::gateway::{listed, routes, settings, table};
 
 /// Number of gateways.
 pub const GATEWAYS: u8 = 3;
--- a/crates/anvil_gateway/tests/direct/responses.rs
+++ b/crates/anvil_gateway/tests/direct/responses.rs
@@ -4,7 +4,7 @@
 
 use crate::client::Client;
 use crate::endpoint::{Step, TestEndpoint, not_run, response};
-use crate::fleet::TestGateway;
+use crate::gateway::TestGateway;
 
 /// Guards against a second, late response on a kept connection being delivered as the response to
 /// the next request, from another client. Only the id tells them apart.
@@ -19,8 +19,8 @@
         steps
     })
     .await;
-    let fleet = TestGateway::start(&[("a", &duplicating)]).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway = TestGateway::start(&[("a", &duplicating)]).await;
+    let mut client = Client::connect(gateway.addr).await;
     for number in 0..20 {
         let id = format!("id-{number}");
         let received = client.request("/idempotent/x", &id, "").await;
@@ -37,10 +37,10 @@
 async fn non_idempotent_request_in_doubt_is_not_retried() {
     let resetting = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    let fleet = TestGateway::start(&[("lost", &resetting), ("other", &working)]).await;
+    let gateway = TestGateway::start(&[("lost", &resetting), ("other", &working)]).await;
     let mut sent = 0;
     for number in 0..30 {
-        let mut client = Client::connect(fleet.addr).await;
+        let mut client = Client::connect(gateway.addr).await;
         let received = client.request("/once/x", &format!("id-{number}"), "").await;
         assert!(
             received.status == 502 || received.status == 200,
@@ -64,9 +64,9 @@
     })
     .await;
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "whole"))]).await;
-    let fleet = TestGateway::start(&[("cut", &truncating), ("whole", &working)]).await;
+    let gateway = TestGateway::start(&[("cut", &truncating), ("whole", &working)]).await;
     for number in 0..10 {
-        let mut client = Client::connect(fleet.addr).await;
+        let mut client = Client::connect(gateway.addr).await;
         let id = format!("id-{number}");
         let received = client.request("/idempotent/x", &id, "").await;
         assert_eq!((received.status, &*received.body), (200, "whole"));
@@ -86,8 +86,8 @@
             vec![Step::Send(text.into_bytes())]
         })
         .await;
-        let fleet = TestGateway::start(&[("a", &endpoint)]).await;
-        let mut client = Client::connect(fleet.addr).await;
+        let gateway = TestGateway::start(&[("a", &endpoint)]).await;
+        let mut client = Client::connect(gateway.addr).await;
         assert_eq!(client.request("/once/x", "id", "").await.status, 502);
     }
 }
@@ -97,9 +97,9 @@
 #[tokio::test]
 async fn refusal_by_all_endpoints_is_immediate_and_names_a_retry_time() {
     let full = TestEndpoint::start(|_, req| vec![Step::Send(not_run(req, "503 Full"))]).await;
-    let fleet = TestGateway::start(&[("a", &full), ("b", &full)]).await;
+    let gateway = TestGateway::start(&[("a", &full), ("b", &full)]).await;
     let started_at = Instant::now();
-    let mut client = Client::connect(fleet.addr).await;
+    let mut client = Client::connect(gateway.addr).await;
     let received = client.request("/once/x", "id", "").await;
     assert_eq!(received.status, 503);
     assert!(
@@ -116,9 +116,9 @@
 async fn request_that_was_not_run_is_sent_to_another_endpoint() {
     let full = TestEndpoint::start(|_, req| vec![Step::Send(not_run(req, "503 Full"))]).await;
     let free = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    let fleet = TestGateway::start(&[("full", &full), ("free", &free)]).await;
+    let gateway = TestGateway::start(&[("full", &full), ("free", &free)]).await;
     for number in 0..10 {
-        let mut client = Client::connect(fleet.addr).await;
+        let mut client = Client::connect(gateway.addr).await;
         let received = client.request("/once/x", &format!("id-{number}"), "").await;
         assert_eq!((received.status, &*received.body), (200, "ran"));
     }
@@ -133,9 +133,9 @@
         TestEndpoint::start(|_, req| vec![Step::Send(not_run(req, "421 Misdirected Request"))])
             .await;
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    let fleet = TestGateway::start(&[("taken", &replaced), ("right", &working)]).await;
+    let gateway = TestGateway::start(&[("taken", &replaced), ("right", &working)]).await;
     for number in 0..10 {
-        let mut client = Client::connect(fleet.addr).await;
+        let mut client = Client::connect(gateway.addr).await;
         let received = client.request("/once/x", &format!("id-{number}"), "").await;
         assert_eq!(received.status, 200);
     }
@@ -153,8 +153,8 @@
 #[tokio::test]
 async fn request_to_an_unresponsive_endpoint_ends_at_its_timeout() {
     let unresponsive = TestEndpoint::start(|_, _| vec![Step::Hang]).await;
-    let fleet = TestGateway::start(&[("a", &unresponsive)]).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway = TestGateway::start(&[("a", &unresponsive)]).await;
+    let mut client = Client::connect(gateway.addr).await;
     let started_at = Instant::now();
     let received = client.request("/once/x", "id", "x-wait: 700\r\n").await;
     assert_eq!(received.status, 504);
@@ -168,9 +168,9 @@
 async fn idempotent_request_does_not_wait_for_an_unresponsive_endpoint() {
     let unresponsive = TestEndpoint::start(|_, _| vec![Step::Hang]).await;
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "found"))]).await;
-    let fleet = TestGateway::start(&[("silent", &unresponsive), ("good", &working)]).await;
+    let gateway = TestGateway::start(&[("silent", &unresponsive), ("good", &working)]).await;
     for number in 0..10 {
-        let mut client = Client::connect(fleet.addr).await;
+        let mut client = Client::connect(gateway.addr).await;
         let id = format!("id-{number}");
         let received = client
             .request("/idempotent/x", &id, "x-wait: 2000\r\n")
@@ -189,8 +189,8 @@
 #[tokio::test]
 async fn disconnected_client_closes_the_endpoint_connection() {
     let unresponsive = TestEndpoint::start(|_, _| vec![Step::Hang]).await;
-    let fleet = TestGateway::start(&[("a", &unresponsive)]).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway = TestGateway::start(&[("a", &unresponsive)]).await;
+    let mut client = Client::connect(gateway.addr).await;
     client
         .send("/idempotent/x", "id", "content-length: 0\r\n")
         .await;
@@ -207,10 +207,10 @@
 #[tokio::test]
 async fn retries_stay_within_the_shared_budget() {
     let broken = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
-    let fleet = TestGateway::start(&[("a", &broken), ("b", &broken)]).await;
+    let gateway = TestGateway::start(&[("a", &broken), ("b", &broken)]).await;
     let requests = 200;
     for number in 0..requests {
-        let mut client = Client::connect(fleet.addr).await;
+        let mut client = Client::connect(gateway.addr).await;
         let received = client
             .request("/idempotent/x", &format!("id-{number}"), "")
             .await;
@@ -226,13 +226,13 @@
 #[tokio::test]
 async fn refusals_name_the_correct_cause() {
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    let fleet = TestGateway::start(&[("a", &working)]).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway = TestGateway::start(&[("a", &working)]).await;
+    let mut client = Client::connect(gateway.addr).await;
     assert_eq!(client.request("/nowhere/x", "1", "").await.status, 404);
-    let mut routes = crate::fleet::routes();
+    let mut routes = crate::gateway::routes();
     routes[0].public = false;
-    let table = crate::fleet::table(2, routes);
-    fleet.gw.table.store(Some(table.into()));
+    let table = crate::gateway::table(2, routes);
+    gateway.gw.table.store(Some(table.into()));
     assert_eq!(
         client
             .request("/idempotent/x", "2", "x-key: no\r\n")
@@ -277,10 +277,10 @@
     .await;
     let full = TestEndpoint::start(|_, req| vec![Step::Send(not_run(req, "503 Full"))]).await;
     for endpoints in [&[("a", &failing)][..], &[("a", &failing), ("b", &full)][..]] {
-        let fleet = TestGateway::start(endpoints).await;
+        let gateway = TestGateway::start(endpoints).await;
         let mut delivered = 0;
         for number in 0..8 {
-            let mut client = Client::connect(fleet.addr).await;
+            let mut client = Client::connect(gateway.addr).await;
             let received = client
                 .request("/idempotent/x", &format!("id-{number}"), "")
                 .await;
--- a/crates/anvil_gateway/tests/direct/siblings.rs
+++ b/crates/anvil_gateway/tests/direct/siblings.rs
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::endpoint::{Step, TestEndpoint};
-use crate::fleet::{listed, settings};
+use crate::gateway::{listed, settings};
 
 /// Ports for the gateways' requests to each other, one per test; each gateway has an address of its
 /// own.
@@ -92,7 +92,7 @@
     }
 
     fn knows_endpoint_is_leaving(&self) -> bool {
-        let group = self.gw.directory.service_endpoints(crate::fleet::SERVICE);
+        let group = self.gw.directory.service_endpoints(crate::gateway::SERVICE);
         group.iter().all(|endpoint| endpoint.is_leaving())
     }
 }
--- a/crates/anvil_gateway/tests/direct/starting.rs
+++ b/crates/anvil_gateway/tests/direct/starting.rs
@@ -7,25 +7,25 @@
 
 use crate::client::Client;
 use crate::endpoint::{Step, TestEndpoint, not_run, response};
-use crate::fleet::{TestGateway, listed, routes, table};
+use crate::gateway::{TestGateway, listed, routes, table};
 
 /// Guards against a lost request after a power failure: a client with no retry left arrives before
 /// the ledger has a leader, and the routing table follows a tenth of a second later.
 #[tokio::test]
 async fn request_waits_for_the_first_routing_table() {
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    let fleet = TestGateway::start_empty().await;
-    fleet
+    let gateway = TestGateway::start_empty().await;
+    gateway
         .gw
         .directory
         .apply_list(&[listed("well", working.addr)]);
-    let gw = fleet.gw.clone();
+    let gw = gateway.gw.clone();
     tokio::spawn(async move {
         sleep(Duration::from_millis(100)).await;
         gw.table.store(Some(Arc::new(table(1, routes()))));
         gw.state_changed.notify_waiters();
     });
-    let mut client = Client::connect(fleet.addr).await;
+    let mut client = Client::connect(gateway.addr).await;
     let response = client.request("/once/x", "id-1", "").await;
     assert_eq!((response.status, &*response.body), (200, "ran"));
 }
@@ -34,10 +34,10 @@
 /// startup time the gateway refuses at once, so that the client can go elsewhere.
 #[tokio::test]
 async fn request_is_refused_at_once_when_no_table_is_expected() {
-    let fleet = TestGateway::start_empty().await;
+    let gateway = TestGateway::start_empty().await;
     sleep(Duration::from_millis(1_050)).await;
     let requested_at = Instant::now();
-    let mut client = Client::connect(fleet.addr).await;
+    let mut client = Client::connect(gateway.addr).await;
     let response = client.request("/once/x", "id-1", "").await;
     assert_eq!(response.status, 503);
     assert!(requested_at.elapsed() < Duration::from_millis(200));
@@ -51,15 +51,15 @@
         TestEndpoint::start(|_, req| vec![Step::Send(not_run(req, "421 Misdirected Request"))])
             .await;
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    let fleet = TestGateway::start(&[("before", &replacement)]).await;
-    let gw = fleet.gw.clone();
+    let gateway = TestGateway::start(&[("before", &replacement)]).await;
+    let gw = gateway.gw.clone();
     let addr = working.addr;
     tokio::spawn(async move {
         sleep(Duration::from_millis(200)).await;
         gw.directory.apply_list(&[listed("after", addr)]);
         gw.state_changed.notify_waiters();
     });
-    let mut client = Client::connect(fleet.addr).await;
+    let mut client = Client::connect(gateway.addr).await;
     let response = client.request("/once/x", "id-1", "").await;
     assert_eq!((response.status, &*response.body), (200, "ran"));
     assert_eq!(working.received().len(), 1);
@@ -72,9 +72,9 @@
     let replacement =
         TestEndpoint::start(|_, req| vec![Step::Send(not_run(req, "421 Misdirected Request"))])
             .await;
-    let fleet = TestGateway::start(&[("before", &replacement)]).await;
+    let gateway = TestGateway::start(&[("before", &replacement)]).await;
     let requested_at = Instant::now();
-    let mut client = Client::connect(fleet.addr).await;
+    let mut client = Client::connect(gateway.addr).await;
     let response = client.request("/once/x", "id-1", "").await;
     assert_eq!(response.status, 503);
     assert!(requested_at.elapsed() < Duration::from_millis(1_200));
@@ -89,8 +89,8 @@
             .await;
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
     let ids = ["b1", "b2", "b3", "b4", "b5", "b6"];
-    let fleet = TestGateway::start(&ids.map(|id| (id, &replacement))).await;
-    let gw = fleet.gw.clone();
+    let gateway = TestGateway::start(&ids.map(|id| (id, &replacement))).await;
+    let gw = gateway.gw.clone();
     let addr = working.addr;
     tokio::spawn(async move {
         sleep(Duration::from_millis(300)).await;
@@ -98,7 +98,7 @@
         gw.state_changed.notify_waiters();
     });
     for number in 0..4 {
-        let mut client = Client::connect(fleet.addr).await;
+        let mut client = Client::connect(gateway.addr).await;
         let response = client.request("/once/x", &format!("id-{number}"), "").await;
         assert_eq!((response.status, &*response.body), (200, "ran"));
     }
@@ -113,11 +113,11 @@
         TestEndpoint::start(|_, req| vec![Step::Send(not_run(req, "421 Misdirected Request"))])
             .await;
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
-    let fleet =
+    let gateway =
         TestGateway::start(&[("gone", &replacement), ("w1", &working), ("w2", &working)]).await;
     let requested_at = Instant::now();
     for number in 0..4 {
-        let mut client = Client::connect(fleet.addr).await;
+        let mut client = Client::connect(gateway.addr).await;
         let response = client.request("/once/x", &format!("id-{number}"), "").await;
         assert_eq!((response.status, &*response.body), (200, "ran"));
     }
--- a/crates/anvil_gateway/tests/direct/streams.rs
+++ b/crates/anvil_gateway/tests/direct/streams.rs
@@ -4,7 +4,7 @@
 
 use crate::client::Client;
 use crate::endpoint::{ReceivedRequest, Step, TestEndpoint, chunk, event, stream_end, stream_head};
-use crate::fleet::TestGateway;
+use crate::gateway::TestGateway;
 
 fn events(req: &ReceivedRequest, last: u64) -> Vec<Step> {
     let after = req.header("x-after").and_then(|id| id.parse().ok());
@@ -35,9 +35,9 @@
         steps
     })
     .await;
-    let fleet = TestGateway::start(&[("broken", &broken), ("good", &working)]).await;
+    let gateway = TestGateway::start(&[("broken", &broken), ("good", &working)]).await;
     for number in 0..10 {
-        let mut client = Client::connect(fleet.addr).await;
+        let mut client = Client::connect(gateway.addr).await;
         let received = client
             .request("/resumed/x", &format!("id-{number}"), "")
             .await;
@@ -58,8 +58,8 @@
         steps
     })
     .await;
-    let fleet = TestGateway::start(&[("a", &broken), ("b", &broken)]).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway = TestGateway::start(&[("a", &broken), ("b", &broken)]).await;
+    let mut client = Client::connect(gateway.addr).await;
     let received = client.request("/stream/x", "id", "").await;
     assert!(!received.complete, "{received:?}");
     assert_eq!((received.status, received.body), (200, events_text(3)));
@@ -79,8 +79,8 @@
         steps
     })
     .await;
-    let fleet = TestGateway::start(&[("a", &misnumbering)]).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway = TestGateway::start(&[("a", &misnumbering)]).await;
+    let mut client = Client::connect(gateway.addr).await;
     let received = client.request("/stream/x", "id", "").await;
     assert!(!received.complete, "{received:?}");
     assert_eq!(received.body, events_text(2));
@@ -99,8 +99,8 @@
         ]
     })
     .await;
-    let fleet = TestGateway::start(&[("a", &slow)]).await;
-    let mut client = Client::connect(fleet.addr).await;
+    let gateway = TestGateway::start(&[("a", &slow)]).await;
+    let mut client = Client::connect(gateway.addr).await;
     client
         .send("/stream/x", "id", "content-length: 0\r\n")
         .await;
@@ -130,10 +130,10 @@
         steps
     })
     .await;
-    let fleet = TestGateway::start(&[("silent", &stalled), ("good", &working)]).await;
+    let gateway = TestGateway::start(&[("silent", &stalled), ("good", &working)]).await;
     let mut continued = 0;
     for number in 0..6 {
-        let mut client = Client::connect(fleet.addr).await;
+        let mut client = Client::connect(gateway.addr).await;
         let received = client
             .request("/resumed/x", &format!("id-{number}"), "")
             .await;
