--- a/crates/anvil_gateway/tests/direct/crashing.rs
+++ b/crates/anvil_gateway/tests/direct/crashing.rs
@@ -121,10 +121,10 @@
     for path in ["/once/x", "/idempotent/x"] {
         endpoints.crashes.lock().expect("times").clear();
         send_repeatedly(&processes, path, KNOWN_WITHIN + KNOWN_WITHIN).await;
-        let strays = late_crashes(&endpoints);
+        let late = late_crashes(&endpoints);
         assert!(
-            strays <= TOLERATED_LATE_CRASHES,
-            "{path}: {strays} more endpoints crashed"
+            late <= TOLERATED_LATE_CRASHES,
+            "{path}: {late} more endpoints crashed"
         );
         let response = processes.send_request(0, path, CRASHING_BODY).await;
         assert_eq!(response.status, 503, "{response:?}");
@@ -141,10 +141,10 @@
     send_repeatedly(&processes, "/once/x", KNOWN_WITHIN).await;
     processes.lose_power().await;
     send_repeatedly(&processes, "/once/x", KNOWN_WITHIN).await;
-    let strays = late_crashes(&endpoints);
+    let late = late_crashes(&endpoints);
     assert!(
-        strays <= TOLERATED_LATE_CRASHES,
-        "{strays} more endpoints crashed"
+        late <= TOLERATED_LATE_CRASHES,
+        "{late} more endpoints crashed"
     );
 }
 
