--- a/crates/anvil_gateway/tests/direct/crashing.rs
+++ b/crates/anvil_gateway/tests/direct/crashing.rs
@@ -171,9 +171,9 @@
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
     let gateway = TestGateway::start(&[]).await;
     for number in 0..2 * QUARANTINE_CRASHES {
-        let lossy = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
+        let resetting = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
         let response =
-            request_with_only(&gateway, &format!("lossy-{number}"), &lossy, "/once/x").await;
+            request_with_only(&gateway, &format!("lossy-{number}"), &resetting, "/once/x").await;
         assert_eq!(response.status, 502);
     }
     assert_eq!(
@@ -333,12 +333,12 @@
     let gateway = TestGateway::start(&[("failing", &failing), ("well", &working)]).await;
     let suspects = ledger_suspects(&gateway, "/idempotent/x", None);
     let mut client = Client::connect(gateway.addr).await;
-    let asking = client.request("/idempotent/x", "id", "");
+    let sending = client.request("/idempotent/x", "id", "");
     let reporting = async {
         sleep(Duration::from_millis(100)).await;
         gateway.gw.apply_ledger_suspects(&suspects);
     };
-    let (response, ()) = tokio::join!(asking, reporting);
+    let (response, ()) = tokio::join!(sending, reporting);
     assert_eq!((response.status, &*response.body), (500, "why."));
     assert!(working.received().is_empty());
 }
@@ -375,7 +375,7 @@
             .directory
             .apply_list(std::slice::from_ref(&listed));
         let mut client = Client::connect(gateway.addr).await;
-        let asking = client.request("/once/x", "id", "");
+        let sending = client.request("/once/x", "id", "");
         let leave = async {
             sleep(Duration::from_millis(50)).await;
             listed.leaving = true;
@@ -384,7 +384,7 @@
                 .directory
                 .apply_list(std::slice::from_ref(&listed));
         };
-        let (response, ()) = tokio::join!(asking, leave);
+        let (response, ()) = tokio::join!(sending, leave);
         assert_eq!(response.status, 502);
         sleep(Duration::from_millis(50)).await;
     }
@@ -422,8 +422,8 @@
     let (gateway, text) = start_reading_list().await;
     let mut client = Client::connect(gateway.addr).await;
     for number in 0..QUARANTINE_CRASHES {
-        let lossy = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
-        list_only(&gateway, &text, &format!("lost-{number}"), lossy.addr).await;
+        let resetting = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
+        list_only(&gateway, &text, &format!("lost-{number}"), resetting.addr).await;
         assert_eq!(client.request("/once/x", "id", "").await.status, 502);
     }
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
--- a/crates/anvil_gateway/tests/direct/explanations.rs
+++ b/crates/anvil_gateway/tests/direct/explanations.rs
@@ -190,8 +190,8 @@
 /// Guards against a lost connection being logged as a crash.
 #[tokio::test]
 async fn lost_connection_is_not_logged_as_a_crash() {
-    let lossy = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
-    let (gateway, log_output, _) = start_logged(&[("desk-1", &lossy)]).await;
+    let resetting = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
+    let (gateway, log_output, _) = start_logged(&[("desk-1", &resetting)]).await;
     let mut client = Client::connect(gateway.addr).await;
     assert_eq!(client.request("/once/x", "lost-1", "").await.status, 502);
     let explanation = log_output.explain("lost-1").await;
--- a/crates/anvil_gateway/tests/direct/limits.rs
+++ b/crates/anvil_gateway/tests/direct/limits.rs
@@ -189,7 +189,7 @@
         at: SystemTime::now(),
     };
     ledger_limits.insert("a".into(), limit);
-    let ask = async |count| {
+    let count_served = async |count| {
         let mut served = 0;
         for _ in 0..count {
             let mut client = Client::connect(gateway.addr).await;
@@ -198,11 +198,11 @@
         served
     };
     gateway.gw.apply_ledger_limits(&ledger_limits);
-    let served = ask(10).await;
+    let served = count_served(10).await;
     assert!(served <= 1, "{served} at the limit");
     endpoint.limit.store(0, Ordering::Relaxed);
     gateway.gw.apply_ledger_limits(&BTreeMap::new());
-    assert_eq!(ask(10).await, 10, "after its end");
+    assert_eq!(count_served(10).await, 10, "after its end");
 }
 
 /// Guards against the end of a limit reaching a gateway only when its share allows the next
--- a/crates/anvil_gateway/tests/direct/siblings.rs
+++ b/crates/anvil_gateway/tests/direct/siblings.rs
@@ -34,14 +34,14 @@
 }
 
 fn page(bytes: &Bytes) -> Result<ListPage, String> {
-    let mut one = listed("one", ([127, 0, 0, 1], 9).into());
-    one.leaving = match &bytes[..] {
+    let mut entry = listed("one", ([127, 0, 0, 1], 9).into());
+    entry.leaving = match &bytes[..] {
         b"leaving" => true,
         b"staying" => false,
         _ => return Err("unknown state of the endpoint".into()),
     };
     Ok(ListPage {
-        listed: vec![one],
+        listed: vec![entry],
         ..ListPage::default()
     })
 }
@@ -98,27 +98,27 @@
 }
 
 /// Gateways that know each other, in the order in which they read the list.
-async fn start_zone(platform_list: &TestList, third: u8, count: u8) -> Vec<RunningGateway> {
-    start_zone_with_max_age(MAX_LIST_AGE, platform_list, third, count).await
+async fn start_zone(platform_list: &TestList, subnet: u8, count: u8) -> Vec<RunningGateway> {
+    start_zone_with_max_age(MAX_LIST_AGE, platform_list, subnet, count).await
 }
 
 /// The same with another maximum age of the list.
 async fn start_zone_with_max_age(
-    within: Duration,
+    max_age: Duration,
     platform_list: &TestList,
-    third: u8,
+    subnet: u8,
     count: u8,
 ) -> Vec<RunningGateway> {
-    let port = PORTS.start + u16::from(third);
+    let port = PORTS.start + u16::from(subnet);
     let mut running = Vec::new();
     for number in 1..=count {
-        let addr = SocketAddr::from((Ipv4Addr::new(127, 77, third, number), port));
+        let addr = SocketAddr::from((Ipv4Addr::new(127, 77, subnet, number), port));
         let cfg = GatewaySettings {
             id: format!("gateway-{number}").into(),
             listen: addr,
             siblings: addr,
             list: platform_list.source.clone(),
-            list_within: within,
+            list_within: max_age,
             ..settings()
         };
         let log = Logger::root(Discard, o!());
@@ -181,18 +181,18 @@
 /// anew for a sibling that answers but does not read.
 #[tokio::test]
 async fn list_mismatch_does_not_prolong_the_wait_for_a_sibling() {
-    let within = Duration::from_secs(4);
+    let max_age = Duration::from_secs(4);
     let platform_list = TestList::serve().await;
     let started_at = Instant::now();
-    let gateways = start_zone_with_max_age(within, &platform_list, 7, 2).await;
-    sleep(within / 8).await;
+    let gateways = start_zone_with_max_age(max_age, &platform_list, 7, 2).await;
+    sleep(max_age / 8).await;
     for task in &gateways[0].tasks[1..] {
         task.abort();
     }
     platform_list.mark_leaving();
-    sleep(within * 3 / 4).await;
+    sleep(max_age * 3 / 4).await;
     gateways[1].gw.list_mismatch.notify_one();
-    let time_left = within.saturating_sub(started_at.elapsed());
+    let time_left = max_age.saturating_sub(started_at.elapsed());
     assert!(all_know(&gateways[1..], time_left + SLACK).await);
 }
 
