--- a/crates/anvil_gateway/tests/direct/charging.rs
+++ b/crates/anvil_gateway/tests/direct/charging.rs
@@ -13,8 +13,10 @@
 
 /// Grants this amount to the co-op, as the ledger would.
 fn add_grant(gateway: &TestGateway, id: GrantId, amount: Tokens) {
-    let purse = &gateway.gw.grant_account;
-    let batch = purse.batch(gateway.gw.lifecycle.now()).expect("a batch");
+    let grant_account = &gateway.gw.grant_account;
+    let batch = grant_account
+        .batch(gateway.gw.lifecycle.now())
+        .expect("a batch");
     let grant = Grant {
         id,
         budget: "co-op".into(),
@@ -30,7 +32,7 @@
         opened: vec![grant],
         ..GrantBatchAnswer::default()
     };
-    purse
+    grant_account
         .answered(gateway.gw.lifecycle.now(), &answer)
         .expect("a grant");
 }
