--- a/crates/anvil_gateway/src/admit.rs
+++ b/crates/anvil_gateway/src/admit.rs
@@ -1,7 +1,6 @@
-//! Admits requests: who sends it, where it may go, whether it is paid for.
+//! Admission of requests: identifies the sender, finds the route, reserves tokens.
 //!
-//! Everything here is said before an endpoint has seen anything of the request, so each refusal
-//! is true by itself.
+//! Admission ends before anything is sent to an endpoint, so a request refused here has not run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,83 +13,84 @@
 use hyper::body::{Body, Incoming};
 use tokio::time::{Instant, timeout_at};
 
-use crate::arrival;
-use crate::content;
+use crate::attempt_counter::AttemptCounter;
+use crate::availability;
 use crate::dialect::Ask;
-use crate::exchange::{Exchange, Refused, SOON};
+use crate::exchange::{DEFAULT_RETRY_AFTER, Exchange, RequestRefusal};
 use crate::gateway::Gateway;
 use crate::metrics;
-use crate::money::Spend;
 use crate::reply::{Cause, Reply, refusal};
+use crate::request_charge::RequestCharge;
+use crate::request_digest;
 use crate::table::{Organisation, Route, RouteTable};
 use crate::trace::Trace;
-use crate::tries::Tries;
 
-/// When to come back where another gateway may serve the request: at once.
-const ELSEWHERE: Duration = Duration::from_millis(20);
-/// Time within which a ledger that has lost its leader has another one, and gateways have found it.
-const LEADER_WITHIN: Duration = Duration::from_secs(1);
+/// Retry-after time if another gateway may serve the request: at once.
+const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_millis(20);
+/// Time in which a ledger without a leader elects one and gateways find it.
+const LEADER_ELECTION_TIME: Duration = Duration::from_secs(1);
 
 /// Answers one request.
-pub async fn answer(gw: &Arc<Gateway>, req: Request<Incoming>) -> Reply {
-    let begun = Instant::now();
-    let (parts, body) = req.into_parts();
-    let ask = match (gw.cfg.dialect.ask)(&parts) {
-        Ok(ask) => ask,
+pub async fn handle_request(gw: &Arc<Gateway>, req: Request<Incoming>) -> Reply {
+    let received_at = Instant::now();
+    let (head, body) = req.into_parts();
+    let request = match (gw.cfg.dialect.ask)(&head) {
+        Ok(request) => request,
         Err(e) => {
-            let mut trace = Trace::new(gw.clone(), "unknown".into(), begun);
+            let mut trace = Trace::new(gw.clone(), "unknown".into(), received_at);
             trace.step(format_args!("{e}"));
-            trace.ended(Cause::BadHead.text());
+            trace.record_outcome(Cause::BadHead.text());
             return refusal(Cause::BadHead, None);
         }
     };
-    let mut trace = Trace::new(gw.clone(), ask.id.clone(), begun);
-    match admit(gw, parts, body, ask, begun, &mut trace).await {
+    let mut trace = Trace::new(gw.clone(), request.id.clone(), received_at);
+    match admit(gw, head, body, request, received_at, &mut trace).await {
         Ok(admitted) => admitted.into_exchange(gw.clone(), trace).run().await,
-        Err((cause, again)) => {
-            trace.ended(cause.text());
-            refusal(cause, Some(again))
+        Err((cause, retry_after)) => {
+            trace.record_outcome(cause.text());
+            refusal(cause, Some(retry_after))
         }
     }
 }
 
 struct Admitted {
-    ask: Ask,
+    request: Ask,
     route: Arc<Route>,
     organisation: Option<Arc<Organisation>>,
     service: ServiceId,
-    per_event: Tokens,
+    tokens_per_event: Tokens,
     deadline: Instant,
-    spend: Option<Spend>,
+    charge: Option<RequestCharge>,
     head: request::Parts,
     body: Bytes,
-    content: RequestDigest,
+    request_digest: RequestDigest,
 }
 
 impl Admitted {
     fn into_exchange(self, gw: Arc<Gateway>, trace: Trace) -> Exchange {
-        let parts = self.ask.work.as_ref();
-        let parts = parts.map(|work| work.parts.iter().map(|p| (p.id, p.tokens)).collect());
+        let prompt_parts = self.request.work.as_ref();
+        let prompt_parts =
+            prompt_parts.map(|work| work.parts.iter().map(|p| (p.id, p.tokens)).collect());
         Exchange {
             gw,
-            parts: parts.unwrap_or_default(),
-            ask: self.ask,
+            prompt_parts: prompt_parts.unwrap_or_default(),
+            request: self.request,
             route: self.route,
             organisation: self.organisation,
             service: self.service,
-            per_event: self.per_event,
-            tries: Tries::default(),
+            tokens_per_event: self.tokens_per_event,
+            attempt_counter: AttemptCounter::default(),
             deadline: self.deadline,
-            spend: self.spend,
+            charge: self.charge,
             trace,
             in_doubt: false,
-            has_waited: false,
-            waits_on: None,
+            has_waited_for_endpoints: false,
+            awaited_connection: None,
             method: self.head.method,
             uri: self.head.uri,
             headers: self.head.headers,
             body: self.body,
-            content: self.content,
+            request_digest: self.request_digest,
         }
     }
 }
@@ -99,157 +99,171 @@
     gw: &Arc<Gateway>,
     head: request::Parts,
     body: Incoming,
-    ask: Ask,
-    begun: Instant,
+    request: Ask,
+    received_at: Instant,
     trace: &mut Trace,
-) -> Result<Admitted, Refused> {
-    let table = first_table(gw, &ask, trace).await?;
-    let route = route_of(&table, &head).ok_or((Cause::NoRoute, SOON))?;
-    trace.routed(&route.name, table.version);
-    let organisation = sender(&table, &route, &ask)?;
+) -> Result<Admitted, RequestRefusal> {
+    let table = wait_for_table(gw, &request, trace).await?;
+    let route = find_route(&table, &head).ok_or((Cause::NoRoute, DEFAULT_RETRY_AFTER))?;
+    trace.record_route(&route.name, table.version);
+    let organisation = identify_sender(&table, &route, &request)?;
     if let Some(organisation) = &organisation {
-        trace.sent_by(&organisation.id);
+        trace.record_organisation(&organisation.id);
     }
-    let deadline = begun + ask.patience.min(route.timeout);
+    let deadline = received_at + request.patience.min(route.timeout);
     let body = read_body(body, table.limits.body_bytes, deadline).await?;
     let payer = organisation.as_deref();
-    let content = content::digest(payer, &route, &head.method, &head.uri, &body);
-    if let Some(quarantine) = gw.suspects.quarantine(content) {
+    let request_digest = request_digest::digest(payer, &route, &head.method, &head.uri, &body);
+    if let Some(quarantine) = gw.suspects.quarantine(request_digest) {
         trace.step(format_args!("in quarantine: {quarantine}"));
-        return Err((Cause::CrashesEndpoints, quarantine.left));
+        return Err((Cause::CrashesEndpoints, quarantine.time_left));
     }
-    let service = gw.draw_service(&route).ok_or((Cause::NoEndpoint, SOON))?;
+    let service = gw
+        .pick_service(&route)
+        .ok_or((Cause::NoEndpoint, DEFAULT_RETRY_AFTER))?;
     let engine = table.services.get(&service).and_then(|s| s.engine);
-    let per_event = engine.map_or(1, |engine| engine.tokens_per_event.max(1));
-    let spend = reserve(gw, organisation.as_deref(), &ask, deadline, trace).await?;
+    let tokens_per_event = engine.map_or(1, |engine| engine.tokens_per_event.max(1));
+    let charge = reserve(gw, organisation.as_deref(), &request, deadline, trace).await?;
     Ok(Admitted {
-        ask,
+        request,
         route,
         organisation,
         service,
-        per_event,
+        tokens_per_event,
         deadline,
-        spend,
+        charge,
         head,
         body,
-        content,
+        request_digest,
     })
 }
 
-/// The routing table; a process that has just started waits for its first one.
-async fn first_table(
+/// The routing table. A process that has just started waits for its first one.
+async fn wait_for_table(
     gw: &Gateway,
-    ask: &Ask,
+    request: &Ask,
     trace: &mut Trace,
-) -> Result<Arc<RouteTable>, Refused> {
-    let most = arrival::for_start(gw.life.now(), ask.patience);
-    let table = arrival::wait(gw, most, || gw.table.load_full()).await;
+) -> Result<Arc<RouteTable>, RequestRefusal> {
+    let max_wait = availability::startup_wait(gw.lifecycle.now(), request.patience);
+    let table = availability::wait_until_available(gw, max_wait, || gw.table.load_full()).await;
     if table.is_none() {
         trace.step(format_args!("no routing table"));
     }
-    table.ok_or((Cause::NotReady, SOON))
+    table.ok_or((Cause::NotReady, DEFAULT_RETRY_AFTER))
 }
 
-fn route_of(table: &RouteTable, head: &request::Parts) -> Option<Arc<Route>> {
+fn find_route(table: &RouteTable, head: &request::Parts) -> Option<Arc<Route>> {
     let host = head.headers.get(http::header::HOST)?.to_str().ok()?;
-    let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
-    table.route(name, head.uri.path()).cloned()
+    let host_name = host
+        .rsplit_once(':')
+        .map_or(host, |(host_name, _)| host_name);
+    table.route(host_name, head.uri.path()).cloned()
 }
 
-fn sender(
+fn identify_sender(
     table: &RouteTable,
     route: &Route,
-    ask: &Ask,
-) -> Result<Option<Arc<Organisation>>, Refused> {
-    let known = ask.key.as_deref().and_then(|key| table.organisation(key));
-    if known.is_none() && table.asks_for_keys() && !route.public {
-        return Err((Cause::UnknownKey, SOON));
+    request: &Ask,
+) -> Result<Option<Arc<Organisation>>, RequestRefusal> {
+    let organisation = request
+        .key
+        .as_deref()
+        .and_then(|key| table.organisation(key));
+    if organisation.is_none() && table.requires_keys() && !route.public {
+        return Err((Cause::UnknownKey, DEFAULT_RETRY_AFTER));
     }
-    Ok(known.cloned())
+    Ok(organisation.cloned())
 }
 
-async fn read_body(body: Incoming, most: usize, until: Instant) -> Result<Bytes, Refused> {
-    // What is announced as too long is not waited for.
-    if body.size_hint().lower() > most as u64 {
-        return Err((Cause::BodyTooLong, SOON));
+async fn read_body(
+    body: Incoming,
+    max_bytes: usize,
+    deadline: Instant,
+) -> Result<Bytes, RequestRefusal> {
+    // A declared length over the limit is refused without reading the body.
+    if body.size_hint().lower() > max_bytes as u64 {
+        return Err((Cause::BodyTooLong, DEFAULT_RETRY_AFTER));
     }
-    let reading = Limited::new(body, most).collect();
-    match timeout_at(until, reading).await {
-        Err(_) => Err((Cause::BodyLate, SOON)),
+    let reading = Limited::new(body, max_bytes).collect();
+    match timeout_at(deadline, reading).await {
+        Err(_) => Err((Cause::BodyTimeout, DEFAULT_RETRY_AFTER)),
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => Err((Cause::BodyTooLong, SOON)),
-        Ok(Err(_)) => Err((Cause::BadHead, SOON)),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err((Cause::BodyTooLong, DEFAULT_RETRY_AFTER)),
+        Ok(Err(_)) => Err((Cause::BadHead, DEFAULT_RETRY_AFTER)),
     }
 }
 
-/// Sets aside what the request costs at its most.
+/// Reserves the most that the request can cost.
 async fn reserve(
     gw: &Arc<Gateway>,
     organisation: Option<&Organisation>,
-    ask: &Ask,
+    request: &Ask,
     deadline: Instant,
     trace: &mut Trace,
-) -> Result<Option<Spend>, Refused> {
+) -> Result<Option<RequestCharge>, RequestRefusal> {
     let Some(organisation) = organisation.filter(|organisation| organisation.prepaid) else {
         return Ok(None);
     };
-    let Some(work) = &ask.work else {
+    let Some(work) = &request.work else {
         return Ok(None);
     };
     let split = Split::whole(organisation.id.clone());
-    let bound = work.prompt.saturating_add(work.most_output);
-    let mut give_up: Option<Now> = None;
-    let asked = Instant::now();
+    let max_cost = work.prompt.saturating_add(work.most_output);
+    let mut give_up_at: Option<Now> = None;
+    let wait_started = Instant::now();
     loop {
-        let changed = gw.purse.changed();
-        let shortage = match gw.purse.reserve(gw.life.now(), &split, bound) {
+        let changed = gw.grant_account.changed();
+        let shortage = match gw
+            .grant_account
+            .reserve(gw.lifecycle.now(), &split, max_cost)
+        {
             Ok(reservation) => {
-                if give_up.is_some() {
-                    gw.metrics.time(metrics::MONEY_WAIT, asked.elapsed());
+                if give_up_at.is_some() {
+                    gw.metrics.time(metrics::GRANT_WAIT, wait_started.elapsed());
                 }
-                let spend = Spend::new(gw.purse.clone(), reservation, work.prompt);
-                return Ok(Some(spend));
+                let charge = RequestCharge::new(gw.grant_account.clone(), reservation, work.prompt);
+                return Ok(Some(charge));
             }
             Err(shortage) => shortage,
         };
         let (until, otherwise) = match shortage {
             Shortage::Refused(refusal) => {
                 trace.step(format_args!("no money: {:?}", refusal.reason));
-                return Err(broke(gw, &refusal.reason));
+                return Err(shortage_refusal(gw, &refusal.reason));
             }
             Shortage::WaitFor { until, otherwise } => (until, otherwise),
         };
-        let until = *give_up.get_or_insert(until);
-        let left = until.saturating_sub(gw.life.now());
-        gw.money_wanted.notify_one();
-        let ends = (Instant::now() + left).min(deadline);
-        if left.is_zero() || timeout_at(ends, changed).await.is_err() {
+        let until = *give_up_at.get_or_insert(until);
+        let time_left = until.saturating_sub(gw.lifecycle.now());
+        gw.grants_wanted.notify_one();
+        let wait_until = (Instant::now() + time_left).min(deadline);
+        if time_left.is_zero() || timeout_at(wait_until, changed).await.is_err() {
             trace.step(format_args!("money did not come: {:?}", otherwise.reason));
             return Err(match otherwise.reason {
-                Reason::BudgetExhausted(_) => (Cause::BudgetBusy, SOON),
-                reason => broke(gw, &reason),
+                Reason::BudgetExhausted(_) => (Cause::BudgetBusy, DEFAULT_RETRY_AFTER),
+                reason => shortage_refusal(gw, &reason),
             });
         }
     }
 }
 
-/// When to come back while the ledger doesn't answer.
+/// Retry-after time while the ledger does not answer.
 ///
-/// Failure: the ledger loses its leader. Every gateway's clients are sent elsewhere at once, are refused
-/// there as well, and give up while the next leader is being elected. So only a gateway that stays
-/// without an answer for longer than that sends its clients away.
-fn unreachable(gw: &Gateway) -> Duration {
-    if gw.purse.unanswered_for(gw.life.now()) < LEADER_WITHIN {
-        return SOON;
+/// Failure: during a leader election no gateway can obtain grants. Clients that are sent to another
+/// gateway at once are refused there too and give up before the election ends. So clients are sent
+/// elsewhere only after this gateway has been without an answer for longer than an election takes.
+fn unreachable_retry_after(gw: &Gateway) -> Duration {
+    if gw.grant_account.unanswered_for(gw.lifecycle.now()) < LEADER_ELECTION_TIME {
+        return DEFAULT_RETRY_AFTER;
     }
-    gw.starve();
-    ELSEWHERE
+    gw.mark_starved();
+    RETRY_ELSEWHERE_AFTER
 }
 
-fn broke(gw: &Gateway, reason: &Reason) -> Refused {
+fn shortage_refusal(gw: &Gateway, reason: &Reason) -> RequestRefusal {
     match reason {
-        Reason::BudgetExhausted(_) => (Cause::BudgetExhausted, SOON),
-        Reason::LedgerUnreachable => (Cause::LedgerUnreachable, unreachable(gw)),
-        _ => (Cause::BudgetBusy, SOON),
+        Reason::BudgetExhausted(_) => (Cause::BudgetExhausted, DEFAULT_RETRY_AFTER),
+        Reason::LedgerUnreachable => (Cause::LedgerUnreachable, unreachable_retry_after(gw)),
+        _ => (Cause::BudgetBusy, DEFAULT_RETRY_AFTER),
     }
 }
--- a/crates/anvil_gateway/src/attempt.rs
+++ b/crates/anvil_gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One request sent to one endpoint, and what can be said of it afterwards.
+//! One attempt: a request sent to one endpoint, and whether it ran there.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,54 +12,55 @@
 
 use crate::connection_watch::ConnectionWatch;
 use crate::dialect::AnswerHead;
-use crate::endpoint::{Endpoint, Place};
+use crate::endpoint::{Endpoint, EndpointSlot};
 use crate::gateway::Gateway;
 use crate::pool::Connection;
 
-/// Why nothing has run.
+/// Why a request has not run at an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NotRun {
-    /// No connection could be made.
+    /// No connection could be made, or nothing was sent on it.
     Unreachable(String),
-    /// The endpoint said so: it is full, leaving, or another life has its address.
+    /// The endpoint said so: it is full, leaving, or another incarnation has its address.
     Refused(u16),
 }
 
-/// Status by which the address of an endpoint that is gone says that another one has it.
-pub const ANOTHER_HAS_IT: u16 = 421;
+/// Status that an endpoint returns if the request names another incarnation: 421 Misdirected
+/// Request.
+pub const MISDIRECTED_STATUS: u16 = 421;
 
-/// Why nobody can say whether it has run.
+/// Why it is unknown whether a request has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Doubt {
-    /// The connection was lost after bytes had left.
+    /// The connection was lost after part of the request was sent.
     Lost,
-    /// No answer came in time.
+    /// No response came in time.
     Silent,
-    /// The answer belongs to another request.
+    /// The response belongs to another request.
     Misfit,
-    /// What came is not the endpoint's whole answer.
+    /// The response is not the endpoint's complete, signed response.
     Spoiled,
 }
 
-/// An answer whose body is still to come.
-pub struct Answer {
+/// A response whose body has not been read yet.
+pub struct EndpointResponse {
     /// Status and headers as the endpoint sent them.
     pub parts: response::Parts,
-    /// What the head tells.
+    /// The parsed response head.
     pub head: AnswerHead,
     /// The body.
     pub body: Incoming,
-    /// The connection, to be put back once the body has ended well.
+    /// The connection, to be returned to the pool after the complete body.
     pub sender: SendRequest<Full<Bytes>>,
-    /// What is known of the connection.
+    /// What was observed on the connection.
     pub watch: Arc<ConnectionWatch>,
-    /// The place that the request holds.
-    pub place: Place,
+    /// The slot that the request holds.
+    pub slot: EndpointSlot,
 }
 
-impl Answer {
-    /// The body has ended well: the connection may carry the next request.
-    pub fn put_back(
+impl EndpointResponse {
+    /// Returns the connection to the pool; the body must have been read to its end.
+    pub fn release_connection(
         sender: SendRequest<Full<Bytes>>,
         watch: Arc<ConnectionWatch>,
         endpoint: &Endpoint,
@@ -69,121 +70,130 @@
     }
 }
 
-/// What came of one try.
-pub enum Tried {
-    /// It did not run there and never will.
+/// Outcome of one attempt.
+pub enum AttemptOutcome {
+    /// The request did not run there and never will.
     NotRun(NotRun),
-    /// It may have run.
+    /// The request may have run.
     Doubt(Doubt),
-    /// An answer begins.
-    Answer(Box<Answer>),
+    /// A response has begun.
+    Response(Box<EndpointResponse>),
 }
 
-/// What is sent.
-pub struct Outgoing<'a> {
+/// What is sent to an endpoint.
+pub struct OutgoingRequest<'a> {
     /// Method.
     pub method: &'a Method,
     /// Path and query.
     pub uri: &'a Uri,
     /// Headers for this endpoint.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// Id that the answer must bear.
+    /// Id that the response must carry.
     pub id: &'a str,
-    /// No answer is waited for after this.
-    pub until: Instant,
-    /// Where to note the connection on which it is sent.
+    /// The response head is awaited until then.
+    pub response_deadline: Instant,
+    /// Set to the connection on which the request is sent.
     pub watch: &'a mut Option<Arc<ConnectionWatch>>,
 }
 
-/// Sends one request to the endpoint at whose place it is, and waits for the answer's head.
-pub async fn send(gw: &Gateway, place: Place, out: Outgoing<'_>) -> Tried {
-    let endpoint = place.endpoint.clone();
-    let mut fresh = false;
+/// Sends one request to the endpoint of `slot` and waits for the response head.
+pub async fn send(
+    gw: &Gateway,
+    slot: EndpointSlot,
+    outgoing: OutgoingRequest<'_>,
+) -> AttemptOutcome {
+    let endpoint = slot.endpoint.clone();
+    let mut force_new = false;
     loop {
-        let taking = async {
-            if fresh {
+        let connecting = async {
+            if force_new {
                 endpoint.pool.connect().await
             } else {
                 endpoint.pool.take().await
             }
         };
-        let Ok(taken) = timeout_at(out.until, taking).await else {
-            return Tried::NotRun(NotRun::Unreachable("no time left to connect".into()));
+        let Ok(connected) = timeout_at(outgoing.response_deadline, connecting).await else {
+            return AttemptOutcome::NotRun(NotRun::Unreachable("no time left to connect".into()));
         };
-        let mut connection = match taken {
+        let mut connection = match connected {
             Ok(connection) => connection,
-            Err(e) => return Tried::NotRun(NotRun::Unreachable(e.to_string())),
+            Err(e) => return AttemptOutcome::NotRun(NotRun::Unreachable(e.to_string())),
         };
-        connection.watch.sent();
-        let sent = gw.life.now();
-        *out.watch = Some(connection.watch.clone());
-        let sending = connection.sender.try_send_request(request(&out));
-        let answer = match timeout_at(out.until, sending).await {
-            Err(_) => return Tried::Doubt(Doubt::Silent),
-            Ok(Ok(answer)) => answer,
+        connection.watch.request_sent();
+        let sent_at = gw.lifecycle.now();
+        *outgoing.watch = Some(connection.watch.clone());
+        let sending = connection.sender.try_send_request(build_request(&outgoing));
+        let response = match timeout_at(outgoing.response_deadline, sending).await {
+            Err(_) => return AttemptOutcome::Doubt(Doubt::Silent),
+            Ok(Ok(response)) => response,
             Ok(Err(mut e)) => {
-                // Given back whole: not a byte of it has left, so a new connection may carry it.
+                // The request came back unsent, so it may be sent on a new connection.
                 let unsent = e.take_message().is_some();
-                if unsent && connection.used && !fresh {
-                    fresh = true;
+                if unsent && connection.reused && !force_new {
+                    force_new = true;
                     continue;
                 }
                 if unsent {
-                    return Tried::NotRun(NotRun::Unreachable(e.into_error().to_string()));
+                    return AttemptOutcome::NotRun(NotRun::Unreachable(e.into_error().to_string()));
                 }
-                return Tried::Doubt(Doubt::Lost);
+                return AttemptOutcome::Doubt(Doubt::Lost);
             }
         };
-        connection.watch.answered();
-        let (parts, body) = answer.into_parts();
+        connection.watch.response_started();
+        let (parts, body) = response.into_parts();
         let head = (gw.cfg.dialect.answer)(parts.status, &parts.headers);
-        // Failure: an endpoint sends a second answer, late, where the next request's answer is
-        // due. Only the id tells them apart; taken for the answer, it reaches another caller.
-        if head.id.as_deref().is_some_and(|id| id != out.id) {
-            return Tried::Doubt(Doubt::Misfit);
+        // Failure: an endpoint sends a second, late response on the connection, and it is taken for
+        // the response to the next request, from another client. Only the id tells them apart.
+        if head.id.as_deref().is_some_and(|id| id != outgoing.id) {
+            return AttemptOutcome::Doubt(Doubt::Misfit);
         }
-        gw.limit_heard(&endpoint, sent, head.limit);
+        gw.apply_announced_limit(&endpoint, sent_at, head.limit);
         if head.not_run {
             let status = parts.status.as_u16();
-            finish(connection, &endpoint, &head, body).await;
-            return Tried::NotRun(NotRun::Refused(status));
+            drain_refusal(connection, &endpoint, &head, body).await;
+            return AttemptOutcome::NotRun(NotRun::Refused(status));
         }
-        let sound = head.sealed && !head.encoded && head.id.is_some();
-        if parts.status.is_success() && !sound {
-            return Tried::Doubt(Doubt::Spoiled);
+        let is_complete_head = head.sealed && !head.encoded && head.id.is_some();
+        if parts.status.is_success() && !is_complete_head {
+            return AttemptOutcome::Doubt(Doubt::Spoiled);
         }
-        return Tried::Answer(Box::new(Answer {
+        return AttemptOutcome::Response(Box::new(EndpointResponse {
             parts,
             head,
             body,
             sender: connection.sender,
             watch: connection.watch,
-            place,
+            slot,
         }));
     }
 }
 
-fn request(out: &Outgoing<'_>) -> Request<Full<Bytes>> {
-    let mut req = Request::new(Full::new(out.body.clone()));
-    *req.method_mut() = out.method.clone();
-    *req.uri_mut() = out.uri.clone();
-    *req.headers_mut() = out.headers.clone();
+fn build_request(outgoing: &OutgoingRequest<'_>) -> Request<Full<Bytes>> {
+    let mut req = Request::new(Full::new(outgoing.body.clone()));
+    *req.method_mut() = outgoing.method.clone();
+    *req.uri_mut() = outgoing.uri.clone();
+    *req.headers_mut() = outgoing.headers.clone();
     req
 }
 
-/// Longest wait for the rest of a refusal whose connection would be kept.
-const REFUSAL_REST: Duration = Duration::from_millis(20);
+/// Longest wait for the rest of a refusal before its connection is dropped.
+const REFUSAL_READ_TIMEOUT: Duration = Duration::from_millis(20);
 /// Longest body of a refusal that is read, in bytes.
-const REFUSAL_BYTES: usize = 4_096;
+const MAX_REFUSAL_BYTES: usize = 4_096;
 
-/// Reads the rest of a refusal, so that its connection can be used again.
-async fn finish(connection: Connection, endpoint: &Endpoint, head: &AnswerHead, body: Incoming) {
+/// Reads the rest of a refusal, so that its connection can be reused.
+async fn drain_refusal(
+    connection: Connection,
+    endpoint: &Endpoint,
+    head: &AnswerHead,
+    body: Incoming,
+) {
     use http_body_util::{BodyExt, Limited};
-    let reading = Limited::new(body, REFUSAL_BYTES).collect();
-    let until = Instant::now() + REFUSAL_REST;
-    if let Ok(Ok(_)) = timeout_at(until, reading).await {
-        Answer::put_back(connection.sender, connection.watch, endpoint, head);
+    let reading = Limited::new(body, MAX_REFUSAL_BYTES).collect();
+    let deadline = Instant::now() + REFUSAL_READ_TIMEOUT;
+    if let Ok(Ok(_)) = timeout_at(deadline, reading).await {
+        EndpointResponse::release_connection(connection.sender, connection.watch, endpoint, head);
     }
 }
--- /dev/null
+++ b/crates/anvil_gateway/src/attempt_counter.rs
@@ -0,0 +1,73 @@
+//! Counts the attempts of one request.
+//!
+//! Failure: endpoints die and stay on the platform's list for seconds. A request whose route allows
+//! one attempt would be sent to one of them, be refused, come back and find the next one, while all
+//! others are free. An endpoint that is unreachable, or whose address belongs to another
+//! incarnation by now, has not received the request, so it does not count against the route's
+//! limit.
+
+use anvil_world::prelude::*;
+
+use crate::attempt::{AttemptOutcome, MISDIRECTED_STATUS, NotRun};
+
+/// Maximum number of missing endpoints per request. Each takes up to the connect timeout; after
+/// four in a row the client's own retry is the better choice.
+const MAX_MISSING_ENDPOINTS: u32 = 4;
+
+/// The attempts of one request so far.
+#[derive(Debug, Default)]
+pub struct AttemptCounter {
+    endpoints: Vec<InstanceId>,
+    counted: u32,
+    missing: u32,
+    was_received: bool,
+}
+
+impl AttemptCounter {
+    /// Records the outcome of an attempt at an endpoint.
+    pub fn record(&mut self, endpoint: InstanceId, outcome: &AttemptOutcome) {
+        self.endpoints.push(endpoint);
+        match outcome {
+            AttemptOutcome::NotRun(NotRun::Unreachable(_)) => self.missing += 1,
+            AttemptOutcome::NotRun(NotRun::Refused(MISDIRECTED_STATUS)) => {
+                self.missing += 1;
+                self.was_received = true;
+            }
+            AttemptOutcome::NotRun(_) | AttemptOutcome::Doubt(_) | AttemptOutcome::Response(_) => {
+                self.counted += 1;
+                self.was_received = true;
+            }
+        }
+    }
+
+    /// Endpoints that are not tried again.
+    pub fn endpoints(&self) -> &[InstanceId] {
+        &self.endpoints
+    }
+
+    /// Whether any endpoint has received the request; further ones then count against the retry
+    /// budget.
+    pub fn was_received(&self) -> bool {
+        self.was_received
+    }
+
+    /// Whether no attempt has reached the endpoint it was meant for.
+    pub fn reached_none(&self) -> bool {
+        self.counted == 0
+    }
+
+    /// Resets the count of missing endpoints after the list has been updated.
+    pub fn reset_missing(&mut self) {
+        self.missing = 0;
+    }
+
+    /// Whether another attempt is allowed if `max_attempts` endpoints may receive the request.
+    pub fn may_continue(&self, max_attempts: u32) -> bool {
+        self.counted < max_attempts && self.missing < MAX_MISSING_ENDPOINTS
+    }
+
+    /// Whether the next attempt is the last one allowed.
+    pub fn is_last(&self, max_attempts: u32) -> bool {
+        self.counted + 1 >= max_attempts
+    }
+}
--- a/crates/anvil_gateway/src/choose.rs
+++ b/crates/anvil_gateway/src/choose.rs
@@ -1,4 +1,4 @@
-//! Chooses an endpoint for a request, out of what this gateway knows.
+//! Selects an endpoint for a request, by expected time to the first token.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,220 +9,235 @@
 use anvil_policy::rate_share::Clocks;
 use anvil_world::prelude::*;
 
-use crate::endpoint::{Endpoint, Place};
+use crate::endpoint::{Endpoint, EndpointSlot};
 use crate::gateway::Gateway;
 use crate::table::Route;
 
-/// What was chosen, and on which grounds.
-pub struct Chosen {
-    /// The place taken.
-    pub place: Place,
+/// The selected endpoint, and the data behind the decision.
+pub struct Selection {
+    /// The slot taken at the endpoint.
+    pub slot: EndpointSlot,
     /// Expected time to the first token.
     pub expected: Duration,
-    /// Tokens of the prompt that have to be read there.
-    pub missing: Tokens,
-    /// The engine from which it is to copy what that one has read.
+    /// Prompt tokens that the endpoint has to process.
+    pub missing_tokens: Tokens,
+    /// The engine from which it copies the prompt's cached prefix.
     pub copy_from: Option<SocketAddr>,
-    /// What is known of its load, and how old that is.
-    pub grounds: String,
+    /// The endpoint's known load and its age, for the trace.
+    pub load_summary: String,
 }
 
-/// Why nothing was chosen.
+/// Why no endpoint was selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unplaced {
-    /// No endpoint takes work.
+    /// No endpoint accepts work.
     Nobody,
-    /// The best one would answer too late: after this time.
+    /// The best endpoint would respond too late: after this time.
     TooLate(Duration),
-    /// All of them take fewer requests than come; the first one takes another after this time.
+    /// All endpoints are at their announced limits; the first one accepts another request after
+    /// this time.
     AtLimit(Duration),
 }
 
-/// Expected time that one more request waits at a plain endpoint with no place left.
-const WHEN_FULL: Duration = Duration::from_millis(30);
+/// Expected wait for one more request at a non-engine endpoint whose slots are all in use.
+const FULL_ENDPOINT_WAIT: Duration = Duration::from_millis(30);
 
-/// What it costs to try another endpoint after a bad answer: about one answer of a plain service.
-const NEXT_TRY: Duration = Duration::from_millis(40);
+/// Cost of a retry after a bad response: about the duration of a non-engine request.
+const RETRY_COST: Duration = Duration::from_millis(40);
 
 impl Gateway {
-    /// Draws one of a route's services by weight.
-    pub fn draw_service(&self, route: &Route) -> Option<ServiceId> {
+    /// Selects one of a route's services at random, by weight.
+    pub fn pick_service(&self, route: &Route) -> Option<ServiceId> {
         let total: u32 = route.services.iter().map(|(_, weight)| *weight).sum();
         if total == 0 {
             return None;
         }
-        let mut drawn = rand::random_range(0..total);
+        let mut remaining = rand::random_range(0..total);
         let found = route.services.iter().find(|(_, weight)| {
-            let here = drawn < *weight;
-            drawn = drawn.saturating_sub(*weight);
-            here
+            let is_selected = remaining < *weight;
+            remaining = remaining.saturating_sub(*weight);
+            is_selected
         });
         found.map(|(service, _)| service.clone())
     }
 
-    /// Chooses among the endpoints of a service that have not been tried.
+    /// Selects among the endpoints of a service that have not been tried.
     ///
-    /// Endpoints that failed lately are passed over while others are there. When all have failed,
-    /// they are tried all the same: a request that is turned away is surely not answered. Those that
-    /// announced a limit get no more than this gateway's part of it.
-    pub fn choose(
+    /// Endpoints that failed recently are used only if no others are left: an attempt there may
+    /// still succeed, a refusal can't. Endpoints that announced a limit receive at most this
+    /// gateway's share of it.
+    pub fn select_endpoint(
         &self,
         service: &str,
         prompt: &Prompt<'_>,
         tried: &[InstanceId],
         within: Duration,
-    ) -> Result<Chosen, Unplaced> {
-        let now = self.life.now();
-        let open = self.directory.open(service, tried);
-        let home = home_of(prompt, &open);
-        let weighed = |endpoint| self.weigh(now, prompt, home, endpoint);
-        let all: Vec<Weighed<'_>> = open.iter().map(weighed).collect();
-        let best = self.take_best(now, &all, within)?;
-        let source = self.source(service, prompt, best, &all);
-        let missing = source
+    ) -> Result<Selection, Unplaced> {
+        let now = self.lifecycle.now();
+        let available = self.directory.available(service, tried);
+        let home = home_of(prompt, &available);
+        let candidate = |endpoint| self.estimate(now, prompt, home, endpoint);
+        let candidates: Vec<Candidate<'_>> = available.iter().map(candidate).collect();
+        let best = self.reserve_best(now, &candidates, within)?;
+        let source = self.copy_source(service, prompt, best, &candidates);
+        let missing_tokens = source
             .as_ref()
-            .map_or(best.lacking.believed, |source| source.left);
-        let grounds = best.endpoint.load().grounds(now);
-        let place = Place::take(best.endpoint.clone(), now, &self.rule, prompt, missing);
-        Ok(Chosen {
-            place,
+            .map_or(best.lacking.believed, |source| source.equivalent_tokens);
+        let load_summary = best.endpoint.load().grounds(now);
+        let slot = EndpointSlot::take(
+            best.endpoint.clone(),
+            now,
+            &self.engine_rule,
+            prompt,
+            missing_tokens,
+        );
+        Ok(Selection {
+            slot,
             expected: best.expected,
-            missing,
+            missing_tokens,
             copy_from: source.map(|source| source.addr),
-            grounds,
+            load_summary,
         })
     }
 
-    /// The best of these that takes a request now; the request is counted there.
-    fn take_best<'a>(
+    /// Selects the best candidate that accepts a request now, and counts the request against its
+    /// limit.
+    fn reserve_best<'a>(
         &self,
         now: Now,
-        all: &'a [Weighed<'a>],
+        candidates: &'a [Candidate<'a>],
         within: Duration,
-    ) -> Result<&'a Weighed<'a>, Unplaced> {
-        // A time of day before the epoch has windows all the same.
+    ) -> Result<&'a Candidate<'a>, Unplaced> {
+        // A clock before the epoch still yields valid time windows.
         let time_of_day = SystemTime::now().duration_since(UNIX_EPOCH);
         let at = Clocks {
             now,
             time_of_day: time_of_day.unwrap_or_default(),
         };
-        let turn = self.turn();
-        let mut taking = Vec::new();
-        let mut soonest = None;
-        for weighed in all {
-            let wait = weighed.endpoint.opens_in(at, turn);
-            soonest = Some(soonest.map_or(wait, |soonest: Duration| soonest.min(wait)));
+        let position = self.share_position();
+        let mut accepting = Vec::new();
+        let mut shortest_wait = None;
+        for candidate in candidates {
+            let wait = candidate.endpoint.rate_limit_wait(at, position);
+            shortest_wait =
+                Some(shortest_wait.map_or(wait, |shortest_wait: Duration| shortest_wait.min(wait)));
             if wait.is_zero() {
-                taking.push(weighed);
+                accepting.push(candidate);
             }
         }
-        let by_rank = |weighed: &&Weighed<'_>| (weighed.shut, weighed.expected);
-        while let Some(best) = taking.iter().copied().min_by_key(by_rank) {
+        let preference = |candidate: &&Candidate<'_>| (candidate.on_cooldown, candidate.expected);
+        while let Some(best) = accepting.iter().copied().min_by_key(preference) {
             if best.expected > within {
                 return Err(Unplaced::TooLate(best.expected));
             }
-            if best.endpoint.takes_one(at, turn) {
+            if best.endpoint.try_count_request(at, position) {
                 return Ok(best);
             }
-            // Another request was first.
-            taking.retain(|weighed| weighed.endpoint.id != best.endpoint.id);
+            // A concurrent request took the last one allowed.
+            accepting.retain(|candidate| candidate.endpoint.id != best.endpoint.id);
         }
-        Err(soonest.map_or(Unplaced::Nobody, Unplaced::AtLimit))
+        Err(shortest_wait.map_or(Unplaced::Nobody, Unplaced::AtLimit))
     }
 
-    /// The engine from which the chosen one copies, where that is much faster than reading.
-    fn source(
+    /// The engine to copy the prefix from, if copying is much faster than recomputing it.
+    fn copy_source(
         &self,
         service: &str,
         prompt: &Prompt<'_>,
-        chosen: &Weighed<'_>,
-        all: &[Weighed<'_>],
-    ) -> Option<Source> {
+        selected: &Candidate<'_>,
+        candidates: &[Candidate<'_>],
+    ) -> Option<CopySource> {
         prompt.subject()?;
         let table = self.table.load();
         let engine = table.as_ref()?.services.get(service)?.engine?;
-        let rate = Copying::between(engine.bytes_per_token, engine.link_mbps, &self.rule)?;
-        let others = all.iter().filter(|other| !other.shut);
-        let others = others.filter(|other| other.endpoint.id != chosen.endpoint.id);
+        let copy_rate =
+            Copying::between(engine.bytes_per_token, engine.link_mbps, &self.engine_rule)?;
+        let others = candidates.iter().filter(|other| !other.on_cooldown);
+        let others = others.filter(|other| other.endpoint.id != selected.endpoint.id);
         let others: Vec<_> = others
             .map(|other| (other.endpoint.addr, other.lacking))
             .collect();
-        let (addr, there) = copying::source(chosen.lacking, &others)?;
-        Some(Source {
+        let (addr, source_lacking) = copying::source(selected.lacking, &others)?;
+        Some(CopySource {
             addr,
-            left: rate.as_if_missing(chosen.lacking.believed, there, &self.rule),
+            equivalent_tokens: copy_rate.as_if_missing(
+                selected.lacking.believed,
+                source_lacking,
+                &self.engine_rule,
+            ),
         })
     }
 
-    fn weigh<'a>(
+    fn estimate<'a>(
         &self,
         now: Now,
         prompt: &Prompt<'_>,
         home: Option<u64>,
         endpoint: &'a Arc<Endpoint>,
-    ) -> Weighed<'a> {
+    ) -> Candidate<'a> {
         let load = endpoint.load();
-        let far = *endpoint.zone != *self.cfg.zone.id;
-        let way = if far {
-            self.rule.other_zone
+        let is_other_zone = *endpoint.zone != *self.cfg.zone.id;
+        let network_delay = if is_other_zone {
+            self.engine_rule.other_zone
         } else {
             Duration::ZERO
         };
-        let before = way + load.set_back(NEXT_TRY);
-        let shut = load.is_shut(now);
+        let base = network_delay + load.set_back(RETRY_COST);
+        let on_cooldown = load.is_shut(now);
         if prompt.parts.is_empty() {
-            let full = f64::from(load.busy(now)) / f64::from(load.slots(endpoint.slots).max(1));
-            let spread = Duration::from_micros(rand::random_range(0..500));
-            return Weighed {
+            let utilisation =
+                f64::from(load.busy(now)) / f64::from(load.slots(endpoint.slots).max(1));
+            let jitter = Duration::from_micros(rand::random_range(0..500));
+            return Candidate {
                 endpoint,
-                expected: before + WHEN_FULL.mul_f64(full) + spread,
+                expected: base + FULL_ENDPOINT_WAIT.mul_f64(utilisation) + jitter,
                 lacking: Lacking {
                     unsent: 0,
                     believed: 0,
                 },
-                shut,
+                on_cooldown,
             };
         }
         let is_home = prompt
             .subject()
             .is_some_and(|subject| Some(home_rank(subject, &endpoint.id)) == home);
-        let unsent = load.missing(now, &self.rule, prompt, false);
+        let unsent = load.missing(now, &self.engine_rule, prompt, false);
         let believed = if is_home {
-            load.missing(now, &self.rule, prompt, true)
+            load.missing(now, &self.engine_rule, prompt, true)
         } else {
             unsent
         };
-        let expected = load.expected(now, &self.rule, believed, endpoint.slots);
-        Weighed {
+        let expected = load.expected(now, &self.engine_rule, believed, endpoint.slots);
+        Candidate {
             endpoint,
-            expected: before + expected,
+            expected: base + expected,
             lacking: Lacking { unsent, believed },
-            shut,
+            on_cooldown,
         }
     }
 }
 
-/// An endpoint with what is expected of it.
-struct Weighed<'a> {
+/// An endpoint with the estimate for this request.
+struct Candidate<'a> {
     endpoint: &'a Arc<Endpoint>,
-    /// Time to the first token if all that is missing is read.
+    /// Time to the first token if all missing prompt tokens are processed.
     expected: Duration,
-    /// What it lacks of the prompt.
+    /// Prompt tokens that are not cached there.
     lacking: Lacking,
-    /// It failed lately.
-    shut: bool,
+    /// Whether it failed recently and is on cooldown.
+    on_cooldown: bool,
 }
 
-/// An engine from which another one copies.
-struct Source {
+/// An engine from which another one copies a cached prefix.
+struct CopySource {
     addr: SocketAddr,
-    /// Tokens whose reading takes as long as what remains to be read and copied.
-    left: Tokens,
+    /// Tokens whose processing takes as long as copying the prefix and processing the rest.
+    equivalent_tokens: Tokens,
 }
 
-fn home_of(prompt: &Prompt<'_>, group: &[Arc<Endpoint>]) -> Option<u64> {
+fn home_of(prompt: &Prompt<'_>, endpoints: &[Arc<Endpoint>]) -> Option<u64> {
     let subject = prompt.subject()?;
-    let ranks = group
+    let ranks = endpoints
         .iter()
         .map(|endpoint| home_rank(subject, &endpoint.id));
     ranks.max()
--- a/crates/anvil_gateway/src/crashes.rs
+++ b/crates/anvil_gateway/src/crashes.rs
@@ -1,5 +1,5 @@
-//! Finds out whether an endpoint that lost answers has crashed. What that rests on is decided in
-//! [`anvil_policy::crash`].
+//! Detects whether an endpoint that lost responses has crashed. [`anvil_policy::crash`] decides
+//! which evidence counts.
 
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -12,104 +12,109 @@
 use anvilreel::event;
 use tokio::time::sleep;
 
-use crate::content;
 use crate::endpoint::Endpoint;
 use crate::gateway::Gateway;
 use crate::log_events as events;
 use crate::metrics;
 use crate::pool::ConnectError;
+use crate::request_digest;
 
-/// Pause before the look: a process that ends closes its sockets one after the other.
-const LOOK_AFTER: Duration = Duration::from_millis(20);
-/// Contents named in one log line.
-const MOST_NAMED: usize = 16;
+/// Pause before the probe, because a process that ends closes its sockets one after the other.
+const PROBE_DELAY: Duration = Duration::from_millis(20);
+/// Maximum number of request digests in one log line.
+const MAX_LOGGED_DIGESTS: usize = 16;
 
 impl Gateway {
-    /// A request's answer was lost at an endpoint. One that is leaving may end in its own time.
-    pub fn lost_at(
+    /// Records that an endpoint lost the response to a request. Ignored if it is leaving, since it
+    /// may stop at any time.
+    pub fn record_lost_response(
         self: &Arc<Self>,
         endpoint: &Arc<Endpoint>,
-        content: RequestDigest,
-        run: CrashedRun,
+        digest: RequestDigest,
+        progress: CrashedRun,
     ) {
         if endpoint.is_leaving() {
             return;
         }
-        let now = self.life.now();
-        let lost = self.crash_watch().lost(now, &endpoint.id, content, run);
-        match lost {
+        let now = self.lifecycle.now();
+        let verdict = self.crash_watch().lost(now, &endpoint.id, digest, progress);
+        match verdict {
             Lost::Wait => {}
             Lost::Look => {
-                tokio::spawn(look(self.clone(), endpoint.clone()));
+                tokio::spawn(probe(self.clone(), endpoint.clone()));
             }
             Lost::Crashed => {
-                self.crashed_under(&endpoint.id, BTreeMap::from([(content, run)]), None);
+                self.report_crash(&endpoint.id, BTreeMap::from([(digest, progress)]), None);
             }
         }
     }
 
-    /// An endpoint begins to answer.
-    pub fn endpoint_lives(&self, endpoint: &Endpoint) {
+    /// Records that an endpoint has begun to respond, so it is alive.
+    pub fn record_endpoint_alive(&self, endpoint: &Endpoint) {
         self.crash_watch().lives(&endpoint.id);
     }
 
-    /// An endpoint has answered a request to the end.
-    pub fn answered(&self, content: RequestDigest) {
-        self.crash_watch().answered(self.life.now(), content);
-        self.suspects.answered(content);
+    /// Records that an endpoint has answered a request completely.
+    pub fn record_answered(&self, digest: RequestDigest) {
+        self.crash_watch().answered(self.lifecycle.now(), digest);
+        self.suspects.record_answered(digest);
     }
 
-    /// There is evidence that an endpoint's process has ended though it wasn't leaving.
-    pub fn endpoint_crashed(&self, endpoint: &InstanceId, evidence: Evidence) {
-        let contents = self.crash_watch().crashed(self.life.now(), endpoint);
-        self.crashed_under(endpoint, contents, Some(evidence));
+    /// Records evidence that an endpoint's process has ended although it was not leaving.
+    pub fn record_crash_evidence(&self, endpoint: &InstanceId, evidence: Evidence) {
+        let digests = self.crash_watch().crashed(self.lifecycle.now(), endpoint);
+        self.report_crash(endpoint, digests, Some(evidence));
     }
 
-    fn crashed_under(
+    fn report_crash(
         &self,
         endpoint: &InstanceId,
-        contents: BTreeMap<RequestDigest, CrashedRun>,
+        digests: BTreeMap<RequestDigest, CrashedRun>,
         evidence: Option<Evidence>,
     ) {
-        if contents.is_empty() {
+        if digests.is_empty() {
             return;
         }
-        self.metrics.count(metrics::CRASHES);
-        let named = contents.keys().take(MOST_NAMED);
-        let named: Vec<_> = named.map(|content| content::text(*content)).collect();
+        self.metrics.count(metrics::ENDPOINT_CRASHES);
+        let logged = digests.keys().take(MAX_LOGGED_DIGESTS);
+        let logged: Vec<_> = logged
+            .map(|digest| request_digest::to_hex(*digest))
+            .collect();
         event!(
             self.log, events::GATEWAY_ENDPOINT_CRASHED, "endpoint" => &**endpoint,
             "evidence" => evidence.map(|evidence| format!("{evidence:?}")),
-            "requests" => contents.len(), "contents" => named.join(" ")
+            "requests" => digests.len(), "contents" => logged.join(" ")
         );
-        if self.suspects.crashed(endpoint, contents) {
-            self.metrics.count(metrics::CRASHES_UNTOLD);
+        if self.suspects.record_crash(endpoint, digests) {
+            self.metrics.count(metrics::CRASHES_UNREPORTED);
         }
     }
 
-    /// Whether an endpoint has answered a request a moment before.
-    pub fn was_answered(&self, content: RequestDigest) -> bool {
-        let now = self.life.now();
-        self.crash_watch().was_answered(now, content)
+    /// Whether an endpoint answered a request shortly before.
+    pub fn was_recently_answered(&self, digest: RequestDigest) -> bool {
+        let now = self.lifecycle.now();
+        self.crash_watch().was_answered(now, digest)
     }
 
     fn crash_watch(&self) -> MutexGuard<'_, CrashWatch> {
-        // A panic elsewhere leaves ids and times, each of them true.
-        self.crashes.lock().unwrap_or_else(PoisonError::into_inner)
+        // Sound after a panic elsewhere: each entry is valid by itself.
+        self.crash_watch
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Looks whether an endpoint still listens. The connection takes the place of the one that was lost.
-async fn look(gw: Arc<Gateway>, endpoint: Arc<Endpoint>) {
-    sleep(LOOK_AFTER).await;
+/// Probes whether an endpoint still listens. The new connection replaces the one that was lost.
+async fn probe(gw: Arc<Gateway>, endpoint: Arc<Endpoint>) {
+    sleep(PROBE_DELAY).await;
     match endpoint.pool.connect().await {
         Ok(connection) => endpoint.pool.put(connection.sender, connection.watch, None),
         Err(ConnectError::Refused { source, .. })
             if source.kind() == ErrorKind::ConnectionRefused =>
         {
-            gw.endpoint_crashed(&endpoint.id, Evidence::Refused);
+            gw.record_crash_evidence(&endpoint.id, Evidence::Refused);
         }
-        // It may only be cut off: the platform's list tells.
+        // The endpoint may just be unreachable; the platform's list will show whether it is gone.
         Err(_) => {}
     }
 }
--- a/crates/anvil_gateway/src/directory.rs
+++ b/crates/anvil_gateway/src/directory.rs
@@ -1,4 +1,4 @@
-//! Which endpoints there are, as the platform lists them.
+//! The known endpoints by service, as the platform lists them.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,52 +11,53 @@
 use crate::endpoint::Endpoint;
 
 /// Endpoints of one service.
-pub type Group = Vec<Arc<Endpoint>>;
+pub type EndpointGroup = Vec<Arc<Endpoint>>;
 
-/// For how long an endpoint that was leaving is still known as such after the list has dropped
-/// it: some times the lag of the list. Afterwards the same name may be another life.
-const REMEMBERED: Duration = Duration::from_secs(5);
+/// For how long a leaving endpoint is remembered after the list has dropped it: a multiple of the
+/// list's lag. Later the same id may belong to a new incarnation.
+const LEAVING_RETENTION: Duration = Duration::from_secs(5);
 
-/// All endpoints by service; replaced whole.
+/// All endpoints by service; replaced as a whole.
 #[derive(Default)]
 pub struct Directory {
-    groups: ArcSwap<BTreeMap<ServiceId, Group>>,
-    /// Endpoints that were leaving, with when they were last listed so.
-    left: Mutex<BTreeMap<InstanceId, Instant>>,
-    /// Endpoints in a row, by service, at whose address another life answered.
+    groups: ArcSwap<BTreeMap<ServiceId, EndpointGroup>>,
+    /// Leaving endpoints, with the time they were last listed so.
+    recently_leaving: Mutex<BTreeMap<InstanceId, Instant>>,
+    /// By service: number of consecutive endpoints whose address another incarnation has taken
+    /// over.
     replaced: Mutex<BTreeMap<ServiceId, usize>>,
 }
 
-/// Least number of endpoints in a row that were found replaced before a list is taken for old: one may
-/// have crashed by itself.
-const FEWEST_REPLACED: usize = 2;
-/// Part of a service's endpoints that must be found replaced in a row, as a divisor. Those that are
-/// asked in vain use up the tries that all gateways share.
-const REPLACED_PART: usize = 3;
+/// Consecutive replaced endpoints from which on the list counts as stale. A single one may just
+/// have crashed.
+const MIN_REPLACED: usize = 2;
+/// The list counts as stale if this part of a service's endpoints, given as a divisor, was found
+/// replaced. Each attempt at a replaced endpoint uses up the retry budget shared by all gateways.
+const REPLACED_DIVISOR: usize = 3;
 
 /// What a new list changed.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Changes {
-    /// Endpoints that came.
-    pub came: Vec<InstanceId>,
-    /// Endpoints that take no new work from now on.
+    /// Endpoints that were added.
+    pub added: Vec<InstanceId>,
+    /// Endpoints that accept no new requests from now on.
     pub leaving: Vec<InstanceId>,
-    /// Endpoints that are not listed any more.
-    pub gone: Vec<InstanceId>,
-    /// Of these, those that were not leaving.
+    /// Endpoints that are no longer listed.
+    pub removed: Vec<InstanceId>,
+    /// Of these, the ones that had not been leaving.
     pub vanished: Vec<InstanceId>,
 }
 
 impl Changes {
-    /// Whether the list said nothing new.
+    /// Whether the list changed nothing.
     pub fn is_empty(&self) -> bool {
-        self.came.is_empty() && self.leaving.is_empty() && self.gone.is_empty()
+        self.added.is_empty() && self.leaving.is_empty() && self.removed.is_empty()
     }
 }
 
 impl Directory {
     /// The endpoints of a service.
-    pub fn group(&self, service: &str) -> Group {
+    pub fn service_endpoints(&self, service: &str) -> EndpointGroup {
         let groups = self.groups.load();
         groups.get(service).cloned().unwrap_or_default()
     }
@@ -69,91 +70,96 @@
     }
 
     /// All endpoints.
-    pub fn all(&self) -> Vec<Arc<Endpoint>> {
+    pub fn all_endpoints(&self) -> Vec<Arc<Endpoint>> {
         let groups = self.groups.load();
         groups.values().flatten().cloned().collect()
     }
 
-    /// The endpoints of a service that take work and are none of these; none while the list is older
-    /// than its endpoints.
-    pub fn open(&self, service: &str, tried: &[InstanceId]) -> Group {
-        if self.is_old(service) {
-            return Group::new();
+    /// The endpoints of a service that accept requests, without those in `tried`. Empty while the
+    /// list is stale.
+    pub fn available(&self, service: &str, tried: &[InstanceId]) -> EndpointGroup {
+        if self.is_stale(service) {
+            return EndpointGroup::new();
         }
-        let mut group = self.group(service);
-        group.retain(|endpoint| !endpoint.is_leaving() && !tried.contains(&endpoint.id));
-        group
+        let mut endpoints = self.service_endpoints(service);
+        endpoints.retain(|endpoint| !endpoint.is_leaving() && !tried.contains(&endpoint.id));
+        endpoints
     }
 
-    /// Another life has the address of a listed endpoint.
-    pub fn found_replaced(&self, service: &ServiceId) {
+    /// Records that another incarnation answers at the address of a listed endpoint.
+    pub fn record_replaced(&self, service: &ServiceId) {
         *self.replaced().entry(service.clone()).or_default() += 1;
     }
 
-    /// A listed endpoint has answered as the one that it is listed as.
-    pub fn found_right(&self, service: &str) {
+    /// Records that a listed endpoint answered under its listed id.
+    pub fn record_match(&self, service: &str) {
         self.replaced().remove(service);
     }
 
-    /// Whether a service's list is older than its endpoints.
+    /// Whether a service's list is stale.
     ///
-    /// Failure: all endpoints lose power and are back before the list names their new lives. Each
-    /// request finds one replaced, then the next one, until no more tries are allowed, and is refused;
-    /// a moment later the list is right.
-    pub fn is_old(&self, service: &str) -> bool {
+    /// Failure: all endpoints lose power and return before the list names their new incarnations.
+    /// Without this check each request finds one endpoint after the other replaced until its
+    /// attempts are used up, and is refused although the list becomes correct a moment later.
+    pub fn is_stale(&self, service: &str) -> bool {
         let replaced = self.replaced().get(service).copied().unwrap_or_default();
         let listed = self.groups.load().get(service).map_or(0, Vec::len);
-        replaced >= FEWEST_REPLACED && replaced * REPLACED_PART >= listed
+        replaced >= MIN_REPLACED && replaced * REPLACED_DIVISOR >= listed
     }
 
     fn replaced(&self) -> MutexGuard<'_, BTreeMap<ServiceId, usize>> {
-        // A panic elsewhere leaves plain numbers, each of them true.
+        // Sound after a panic elsewhere: each count is valid by itself.
         self.replaced.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether any endpoint is known.
+    /// Whether no endpoint is known.
     pub fn is_empty(&self) -> bool {
         self.groups.load().is_empty()
     }
 
-    /// How many take work, and how many of those are passed over for now.
-    pub fn count(&self, now: Now) -> (u64, u64) {
+    /// Number of endpoints that accept requests, and how many of these are on cooldown.
+    pub fn count_available(&self, now: Now) -> (u64, u64) {
         let groups = self.groups.load();
         let all = groups.values().flatten();
-        let open: Vec<_> = all.filter(|endpoint| !endpoint.is_leaving()).collect();
-        let shut = open.iter().filter(|endpoint| endpoint.load().is_shut(now));
-        (open.len() as u64, shut.count() as u64)
+        let available: Vec<_> = all.filter(|endpoint| !endpoint.is_leaving()).collect();
+        let on_cooldown = available
+            .iter()
+            .filter(|endpoint| endpoint.load().is_shut(now));
+        (available.len() as u64, on_cooldown.count() as u64)
     }
 
-    /// Takes in a whole list. Endpoints in the same life at the same address keep their
-    /// connections and what is known of them; those not listed get no new work.
-    pub fn take(&self, list: &[Listed]) -> Changes {
-        let old = self.groups.load();
+    /// Applies a complete list. An endpoint with the same id, address and service keeps its
+    /// connections and statistics; endpoints that are not listed receive no new requests.
+    pub fn apply_list(&self, list: &[Listed]) -> Changes {
+        let previous = self.groups.load();
         let mut known: BTreeMap<&InstanceId, &Arc<Endpoint>> = BTreeMap::new();
-        for endpoint in old.values().flatten() {
+        for endpoint in previous.values().flatten() {
             known.insert(&endpoint.id, endpoint);
         }
-        // A panic elsewhere leaves names and times, each of them true.
-        let mut left = self.left.lock().unwrap_or_else(PoisonError::into_inner);
-        left.retain(|_, at| at.elapsed() < REMEMBERED);
+        // Sound after a panic elsewhere: each entry is valid by itself.
+        let mut recently_leaving = self
+            .recently_leaving
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        recently_leaving.retain(|_, last_listed| last_listed.elapsed() < LEAVING_RETENTION);
         let mut changes = Changes::default();
-        let mut groups: BTreeMap<ServiceId, Group> = BTreeMap::new();
+        let mut groups: BTreeMap<ServiceId, EndpointGroup> = BTreeMap::new();
         for listed in list {
-            let same = known.remove(&listed.id).filter(|endpoint| {
+            let unchanged = known.remove(&listed.id).filter(|endpoint| {
                 endpoint.addr == listed.addr && endpoint.service == listed.service
             });
-            let endpoint = same.cloned().unwrap_or_else(|| {
-                changes.came.push(listed.id.clone());
+            let endpoint = unchanged.cloned().unwrap_or_else(|| {
+                changes.added.push(listed.id.clone());
                 Arc::new(Endpoint::new(listed))
             });
-            // Failure: a list that lags names an endpoint as ready that an earlier one named as
-            // leaving or no longer at all, and it gets work just before it goes.
-            let leaves = listed.leaving || left.contains_key(&listed.id);
-            if leaves && endpoint.leave() {
+            // Failure: a lagging list names an endpoint as ready that an earlier list had as
+            // leaving or no longer had, so it would receive requests just before it stops.
+            let is_leaving = listed.leaving || recently_leaving.contains_key(&listed.id);
+            if is_leaving && endpoint.mark_leaving() {
                 changes.leaving.push(listed.id.clone());
             }
             if listed.leaving {
-                left.insert(listed.id.clone(), Instant::now());
+                recently_leaving.insert(listed.id.clone(), Instant::now());
             }
             groups
                 .entry(listed.service.clone())
@@ -161,11 +167,11 @@
                 .push(endpoint);
         }
         for (id, endpoint) in known {
-            if endpoint.leave() {
+            if endpoint.mark_leaving() {
                 changes.vanished.push(id.clone());
             }
             endpoint.pool.clear();
-            changes.gone.push(id.clone());
+            changes.removed.push(id.clone());
         }
         if !changes.is_empty() {
             self.groups.store(Arc::new(groups));
--- a/crates/anvil_gateway/src/endpoint_limits.rs
+++ b/crates/anvil_gateway/src/endpoint_limits.rs
@@ -1,7 +1,8 @@
-//! Limits that endpoints announced: heard here in an answer, or told by the ledger.
+//! Rate limits announced by endpoints, learned from responses or from the ledger.
 //!
-//! The first router that hears of a limit, or of its end, tells the ledger, which tells all others. What a
-//! router may send is decided in [`anvil_policy::rate_share`].
+//! The first gateway that receives a limit, or notices its end, reports it to the ledger, which
+//! announces it to all others. [`anvil_policy::rate_share`] decides how much of it each gateway may
+//! use.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,118 +20,125 @@
 use crate::metrics;
 use crate::reports;
 
-/// A limit is told again when the ledger heard of it so long ago, so that it isn't forgotten there.
-const TOLD_AGAIN: Duration = Duration::from_mins(2);
+/// Age from which on the ledger's record of a limit is refreshed, so that it does not expire.
+const REPORT_REFRESH_AFTER: Duration = Duration::from_mins(2);
 
-/// What is known of endpoints' limits.
+/// Limits learned from the ledger, and those still to be reported.
 #[derive(Default)]
 pub struct EndpointLimits {
-    told: ArcSwap<BTreeMap<InstanceId, EndpointLimit>>,
-    /// What the ledger has not heard of yet; the newest word of each endpoint.
-    untold: Mutex<BTreeMap<InstanceId, Option<RateLimit>>>,
-    wanted: Notify,
+    from_ledger: ArcSwap<BTreeMap<InstanceId, EndpointLimit>>,
+    /// Limits that the ledger has not accepted yet; the latest one of each endpoint.
+    pending: Mutex<BTreeMap<InstanceId, Option<RateLimit>>>,
+    report_wanted: Notify,
 }
 
 impl EndpointLimits {
-    fn untold(&self) -> MutexGuard<'_, BTreeMap<InstanceId, Option<RateLimit>>> {
-        // A panic elsewhere leaves names and numbers, each of them true.
-        self.untold.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pending(&self) -> MutexGuard<'_, BTreeMap<InstanceId, Option<RateLimit>>> {
+        // Sound after a panic elsewhere: each entry is valid by itself.
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn tell(&self, endpoint: &InstanceId, limit: Option<RateLimit>) {
-        self.untold().insert(endpoint.clone(), limit);
-        self.wanted.notify_one();
+    fn queue_report(&self, endpoint: &InstanceId, limit: Option<RateLimit>) {
+        self.pending().insert(endpoint.clone(), limit);
+        self.report_wanted.notify_one();
     }
 
-    fn is_told(&self, endpoint: &InstanceId, limit: Option<RateLimit>) -> bool {
-        let told = self.told.load();
-        let Some(told) = told.get(endpoint) else {
+    fn is_known_to_ledger(&self, endpoint: &InstanceId, limit: Option<RateLimit>) -> bool {
+        let from_ledger = self.from_ledger.load();
+        let Some(known) = from_ledger.get(endpoint) else {
             return limit.is_none();
         };
-        let age = SystemTime::now().duration_since(told.at);
-        limit == Some(told.limit) && age.unwrap_or_default() < TOLD_AGAIN
+        let age = SystemTime::now().duration_since(known.at);
+        limit == Some(known.limit) && age.unwrap_or_default() < REPORT_REFRESH_AFTER
     }
 
     fn next_report(&self) -> Option<Command> {
-        let untold = self.untold();
-        let (endpoint, limit) = untold.first_key_value()?;
+        let pending = self.pending();
+        let (endpoint, limit) = pending.first_key_value()?;
         Some(Command::ReportLimit(ReportLimit {
             endpoint: endpoint.clone(),
             limit: *limit,
-            // The leader puts its own time in.
+            // The ledger's leader sets the time.
             at: UNIX_EPOCH,
         }))
     }
 
-    fn was_taken(&self, report: &Command) {
-        let Command::ReportLimit(taken) = report else {
+    fn mark_accepted(&self, report: &Command) {
+        let Command::ReportLimit(accepted) = report else {
             return;
         };
-        let mut untold = self.untold();
-        // Another word of the endpoint may have come meanwhile.
-        if untold.get(&taken.endpoint) == Some(&taken.limit) {
-            untold.remove(&taken.endpoint);
+        let mut pending = self.pending();
+        // The endpoint may have announced another limit in the meantime.
+        if pending.get(&accepted.endpoint) == Some(&accepted.limit) {
+            pending.remove(&accepted.endpoint);
         }
     }
 }
 
 impl Gateway {
-    /// Takes in an endpoint's word in the answer to a request that was sent at `sent`.
-    pub fn limit_heard(&self, endpoint: &Endpoint, sent: Now, word: AnnouncedLimit) {
-        let word = match word {
+    /// Applies the limit in a response to a request that was sent at `sent_at`.
+    pub fn apply_announced_limit(
+        &self,
+        endpoint: &Endpoint,
+        sent_at: Now,
+        announced: AnnouncedLimit,
+    ) {
+        let announced = match announced {
             AnnouncedLimit::None => None,
             AnnouncedLimit::Rate(limit) => Some(limit),
-            // What was known before holds on.
+            // The previous limit stays in force.
             AnnouncedLimit::Unreadable => return self.metrics.count(metrics::LIMITS_UNREADABLE),
         };
-        endpoint.limit_heard(self.life.now(), sent, word, &self.log);
+        endpoint.apply_announced_limit(self.lifecycle.now(), sent_at, announced, &self.log);
         let limit = endpoint.limit();
-        let heard_so = limit == word;
-        if heard_so && !self.endpoint_limits.is_told(&endpoint.id, limit) {
-            self.endpoint_limits.tell(&endpoint.id, limit);
+        let is_in_force = limit == announced;
+        if is_in_force && !self.endpoint_limits.is_known_to_ledger(&endpoint.id, limit) {
+            self.endpoint_limits.queue_report(&endpoint.id, limit);
         }
     }
 
-    /// Takes in what the ledger tells.
-    pub fn take_limits(&self, told: &BTreeMap<InstanceId, EndpointLimit>) {
-        let before = self.endpoint_limits.told.load_full();
-        if *before == *told {
+    /// Applies the limits reported by the ledger.
+    pub fn apply_ledger_limits(&self, reported: &BTreeMap<InstanceId, EndpointLimit>) {
+        let previous = self.endpoint_limits.from_ledger.load_full();
+        if *previous == *reported {
             return;
         }
-        self.endpoint_limits.told.store(Arc::new(told.clone()));
+        self.endpoint_limits
+            .from_ledger
+            .store(Arc::new(reported.clone()));
         let limit_of = |all: &BTreeMap<InstanceId, EndpointLimit>, endpoint: &InstanceId| {
-            all.get(endpoint).map(|told| told.limit)
+            all.get(endpoint).map(|reported| reported.limit)
         };
-        let all = before.keys().chain(told.keys());
+        let all = previous.keys().chain(reported.keys());
         for endpoint in all {
-            let limit = limit_of(told, endpoint);
-            if limit != limit_of(&before, endpoint) {
-                self.limit_told(endpoint, limit);
+            let limit = limit_of(reported, endpoint);
+            if limit != limit_of(&previous, endpoint) {
+                self.apply_ledger_limit(endpoint, limit);
             }
         }
     }
 
-    /// Tells endpoints that have just been listed what the ledger knows of them.
-    pub fn limits_of_new(&self, came: &[InstanceId]) {
-        let told = self.endpoint_limits.told.load();
-        for endpoint in came {
-            if let Some(limit) = told.get(endpoint) {
-                self.limit_told(endpoint, Some(limit.limit));
+    /// Applies the ledger's limits to endpoints that have just been listed.
+    pub fn apply_limits_to_added(&self, added: &[InstanceId]) {
+        let from_ledger = self.endpoint_limits.from_ledger.load();
+        for endpoint in added {
+            if let Some(limit) = from_ledger.get(endpoint) {
+                self.apply_ledger_limit(endpoint, Some(limit.limit));
             }
         }
     }
 
-    fn limit_told(&self, endpoint: &InstanceId, limit: Option<RateLimit>) {
+    fn apply_ledger_limit(&self, endpoint: &InstanceId, limit: Option<RateLimit>) {
         if let Some(endpoint) = self.directory.find(endpoint) {
-            endpoint.limit_told(self.life.now(), limit, &self.log);
+            endpoint.apply_reported_limit(self.lifecycle.now(), limit, &self.log);
         }
     }
 }
 
-/// Tells the ledger what is heard here, for as long as the process lives.
+/// Reports limits to the ledger for as long as the process runs.
 pub async fn run(gw: &Gateway) {
     let limits = &gw.endpoint_limits;
-    let next = || limits.next_report();
-    let taken = |report: &Command| limits.was_taken(report);
-    reports::run(gw, &limits.wanted, next, taken).await;
+    let next_report = || limits.next_report();
+    let mark_accepted = |report: &Command| limits.mark_accepted(report);
+    reports::run(gw, &limits.report_wanted, next_report, mark_accepted).await;
 }
--- a/crates/anvil_gateway/src/exchange.rs
+++ b/crates/anvil_gateway/src/exchange.rs
@@ -1,6 +1,6 @@
-//! One admitted request's way: from the first endpoint that is tried to its answer's end.
+//! One admitted request: attempts at endpoints until one responds, then its response up to the end.
 
-mod learning;
+mod outcome;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,345 +14,390 @@
 use http_body_util::{BodyExt, Limited};
 use tokio::time::{Instant, timeout_at};
 
-use crate::arrival;
-use crate::attempt::{Answer, Doubt, NotRun, Outgoing, Tried, send};
+use crate::attempt::{AttemptOutcome, Doubt, EndpointResponse, NotRun, OutgoingRequest, send};
+use crate::attempt_counter::AttemptCounter;
+use crate::availability;
 use crate::choose::Unplaced;
 use crate::connection_watch::ConnectionWatch;
 use crate::dialect::{Ask, Onward};
 use crate::gateway::Gateway;
 use crate::log_events as events;
 use crate::metrics;
-use crate::money::Spend;
-use crate::relay::Relay;
-use crate::reply::{Cause, Reply, refusal, strip, whole};
+use crate::reply::{Cause, Reply, refusal, remove_connection_headers, whole};
+use crate::request_charge::RequestCharge;
+use crate::stream_relay::StreamRelay;
 use crate::table::{Organisation, Route};
 use crate::trace::Trace;
-use crate::tries::Tries;
 
-/// Longest body of a plain answer that is kept whole before it is passed on, in bytes. It must
-/// have ended well before the client sees any of it, so that a broken one can be asked for again.
-const WHOLE_ANSWER: usize = 4 << 20;
-/// Rank of a request when its organisation and its route leave more urgent ones room.
-const LOWEST_CLASS: u8 = 9;
-/// Part of the time left within which a first token must be expected for a request to be sent.
-const SENT_WITHIN: f64 = 0.8;
-/// When to come back to a process or service that is not there now.
-pub const SOON: Duration = Duration::from_millis(300);
-/// Bounds of the time to come back after an overload.
-const OVERLOAD: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(2));
+/// Longest non-streamed response body that is buffered, in bytes. Nothing reaches the client before
+/// the body is complete, so that a broken response can be requested again.
+const MAX_BUFFERED_BODY_BYTES: usize = 4 << 20;
+/// The least urgent priority class that is sent to endpoints.
+const LEAST_URGENT_CLASS: u8 = 9;
+/// A request is sent only if the first token is expected within this fraction of its remaining
+/// time.
+const FIRST_TOKEN_FRACTION: f64 = 0.8;
+/// Retry-after time while a process or service is unavailable.
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Shortest and longest retry-after time when endpoints are overloaded.
+const OVERLOAD_RETRY_AFTER: (Duration, Duration) =
+    (Duration::from_millis(250), Duration::from_secs(2));
 
-/// A cause, and when to come back where that helps.
-pub type Refused = (Cause, Duration);
+/// Why a request is refused, and the retry-after time where a retry helps.
+pub type RequestRefusal = (Cause, Duration);
 
-/// One request, as it is sent to endpoints.
+/// One request with the state of its attempts.
 pub struct Exchange {
-    /// What all requests share.
+    /// State shared by all requests.
     pub gw: Arc<Gateway>,
-    /// Its head.
-    pub ask: Ask,
-    /// Its route.
+    /// The parsed request head.
+    pub request: Ask,
+    /// The matching route.
     pub route: Arc<Route>,
-    /// Who sends it.
+    /// The organisation that sent the request.
     pub organisation: Option<Arc<Organisation>>,
-    /// The service drawn for it.
+    /// The service that was selected for it.
     pub service: ServiceId,
-    /// Tokens of output in one event, at most.
-    pub per_event: Tokens,
-    /// What came of its tries so far.
-    pub tries: Tries,
-    /// No answer is waited for after this.
+    /// Maximum output tokens in one event.
+    pub tokens_per_event: Tokens,
+    /// Attempts made so far.
+    pub attempt_counter: AttemptCounter,
+    /// The request fails if it has no response by then.
     pub deadline: Instant,
-    /// What it costs.
-    pub spend: Option<Spend>,
-    /// What is logged of it.
+    /// Its reservation; `None` if the organisation does not prepay.
+    pub charge: Option<RequestCharge>,
+    /// Collects what is logged about the request.
     pub trace: Trace,
     /// Whether an endpoint may have run it.
     pub in_doubt: bool,
-    /// Whether it has waited for endpoints already.
-    pub has_waited: bool,
-    /// The connection on which it waits for an answer to begin.
-    pub waits_on: Option<Arc<ConnectionWatch>>,
-    /// Parts of its prompt with their tokens.
-    pub parts: Vec<(u64, Tokens)>,
+    /// Whether it has waited for endpoints; it does so only once.
+    pub has_waited_for_endpoints: bool,
+    /// The connection whose response has not begun yet.
+    pub awaited_connection: Option<Arc<ConnectionWatch>>,
+    /// Parts of the prompt with their token counts.
+    pub prompt_parts: Vec<(u64, Tokens)>,
     /// Method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
     /// The client's headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// What makes another request the same one.
-    pub content: RequestDigest,
+    /// Equal for requests that count as the same one.
+    pub request_digest: RequestDigest,
 }
 
 impl Exchange {
-    /// Sends the request to endpoints until one answers.
+    /// Sends the request to endpoints until one responds.
     pub async fn run(mut self) -> Reply {
-        self.gw.first_try(&self.service);
-        match self.first_answer(None).await {
-            Ok(answer) if self.route.repeat.is_stream() && answer.parts.status.is_success() => {
-                Relay::begin(self, *answer).await
+        self.gw.count_first_attempt(&self.service);
+        match self.first_response(None).await {
+            Ok(response) if self.route.repeat.is_stream() && response.parts.status.is_success() => {
+                StreamRelay::start_response(self, *response).await
             }
-            Ok(answer) => self.whole_answer(*answer).await,
-            Err(refused) => self.refuse(refused),
+            Ok(response) => self.buffered_response(*response).await,
+            Err(refusal) => self.refuse(refusal),
         }
     }
 
-    /// Ends the request without an answer.
-    pub fn refuse(mut self, (cause, again): Refused) -> Reply {
-        self.trace.ended(cause.text());
-        refusal(cause, Some(again))
+    /// Ends the request with a refusal.
+    pub fn refuse(mut self, (cause, retry_after): RequestRefusal) -> Reply {
+        self.trace.record_outcome(cause.text());
+        refusal(cause, Some(retry_after))
     }
 
-    /// Time that is left.
-    pub fn left(&self) -> Duration {
+    /// Time left until the deadline.
+    pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Tries endpoints until one begins to answer. `after` is the last event that was delivered.
-    pub async fn first_answer(&mut self, after: Option<u64>) -> Result<Box<Answer>, Refused> {
-        let mut failure: Option<Box<Answer>> = None;
+    /// Runs attempts until a response begins. `after` is the id of the last event that was
+    /// delivered.
+    pub async fn first_response(
+        &mut self,
+        after: Option<u64>,
+    ) -> Result<Box<EndpointResponse>, RequestRefusal> {
+        let mut failure: Option<Box<EndpointResponse>> = None;
         loop {
-            let refused = match self.one_try(after).await {
-                Ok(Tried::Answer(answer)) if self.is_wanted(&answer) => return Ok(answer),
-                Ok(Tried::Answer(answer)) => {
+            let refusal = match self.one_attempt(after).await {
+                Ok(AttemptOutcome::Response(response)) if self.is_final(&response) => {
+                    return Ok(response);
+                }
+                Ok(AttemptOutcome::Response(response)) => {
                     self.trace
-                        .step(format_args!("status {}", answer.parts.status));
-                    failure = Some(answer);
+                        .step(format_args!("status {}", response.parts.status));
+                    failure = Some(response);
                     continue;
                 }
-                Ok(Tried::NotRun(why)) => {
-                    let cause = self.not_run(&why);
-                    self.may_go_on(cause).err()
+                Ok(AttemptOutcome::NotRun(reason)) => {
+                    let cause = self.record_not_run(&reason);
+                    self.may_retry(cause).err()
                 }
-                Ok(Tried::Doubt(doubt)) => {
-                    let cause = self.doubt(doubt);
-                    self.may_go_on(cause).err()
+                Ok(AttemptOutcome::Doubt(doubt)) => {
+                    let cause = self.record_doubt(doubt);
+                    self.may_retry(cause).err()
                 }
-                Err(refused) => Some(refused),
+                Err(refusal) => Some(refusal),
             };
-            if self.finds_endpoints(refused).await && self.may_arrive_again() {
+            if self.wait_for_endpoints(refusal).await && self.retry_budget_allows() {
                 continue;
             }
-            if let Some(refused) = refused {
-                // Where an endpoint has failed by its own word, that is the truest answer there is.
-                return failure.ok_or(refused);
+            if let Some(refusal) = refusal {
+                // An endpoint's own error response says more than a refusal by the gateway.
+                return failure.ok_or(refusal);
             }
         }
     }
 
-    /// Waits for endpoints in their new lives, once, when none that was asked is there any more.
+    /// Waits once for endpoints when none of those tried still exists.
     ///
-    /// Nothing has run, so the request may wait and go to any of them.
-    async fn finds_endpoints(&mut self, refused: Option<Refused>) -> bool {
-        let nobody = matches!(refused, Some((Cause::NoEndpoint | Cause::Refused, _)));
-        if !nobody || self.has_waited || self.in_doubt || !self.tries.found_nobody() {
+    /// No attempt has run, so the request may wait and go to any of the new endpoints.
+    async fn wait_for_endpoints(&mut self, refusal: Option<RequestRefusal>) -> bool {
+        let no_endpoint = matches!(
+            refusal,
+            Some((Cause::NoEndpoint | Cause::RefusedByEndpoints, _))
+        );
+        if !no_endpoint
+            || self.has_waited_for_endpoints
+            || self.in_doubt
+            || !self.attempt_counter.reached_none()
+        {
             return false;
         }
-        self.has_waited = true;
-        self.gw.list_doubted.notify_one();
-        let most = arrival::for_endpoints(self.gw.cfg.list.lag, self.left());
-        let found = arrival::wait(&self.gw, most, || {
-            let open = self
+        self.has_waited_for_endpoints = true;
+        self.gw.list_mismatch.notify_one();
+        let max_wait = availability::endpoints_wait(self.gw.cfg.list.lag, self.time_left());
+        let found = availability::wait_until_available(&self.gw, max_wait, || {
+            let available = self
                 .gw
                 .directory
-                .open(&self.service, self.tries.endpoints());
-            (!open.is_empty()).then_some(())
+                .available(&self.service, self.attempt_counter.endpoints());
+            (!available.is_empty()).then_some(())
         });
         let found = found.await.is_some();
         self.trace
             .step(format_args!("waited for endpoints: {found}"));
         if found {
-            self.tries.forget_gone();
+            self.attempt_counter.reset_missing();
         }
         found
     }
 
-    /// A failure of the endpoint's own is passed on where nothing better can be had.
-    fn is_wanted(&mut self, answer: &Answer) -> bool {
+    /// Whether the response is passed on. A server error is retried first if the route and the
+    /// retry budget allow it.
+    fn is_final(&mut self, response: &EndpointResponse) -> bool {
         self.in_doubt = true;
-        let failed = answer.parts.status.is_server_error();
-        let again = failed && self.route.repeat.may_run_again() && self.has_tries();
-        !(again && self.gw.may_try_again(&self.service))
+        let failed = response.parts.status.is_server_error();
+        let retry = failed && self.route.repeat.may_run_again() && self.has_attempts_left();
+        !(retry && self.gw.try_count_retry(&self.service))
     }
 
-    /// Whether another endpoint may be tried.
-    pub fn has_tries(&self) -> bool {
-        self.tries.may_go_on(self.route.attempts) && !self.left().is_zero()
+    /// Whether the attempt limit and the deadline allow another attempt.
+    pub fn has_attempts_left(&self) -> bool {
+        self.attempt_counter.may_continue(self.route.attempts) && !self.time_left().is_zero()
     }
 
-    fn not_run(&mut self, why: &NotRun) -> Cause {
-        self.trace.step(format_args!("not run: {why:?}"));
-        self.gw.metrics.count(metrics::TRIES_NOT_RUN);
-        Cause::Refused
+    fn record_not_run(&mut self, reason: &NotRun) -> Cause {
+        self.trace.step(format_args!("not run: {reason:?}"));
+        self.gw.metrics.count(metrics::ATTEMPTS_NOT_RUN);
+        Cause::RefusedByEndpoints
     }
 
-    fn doubt(&mut self, doubt: Doubt) -> Cause {
+    fn record_doubt(&mut self, doubt: Doubt) -> Cause {
         self.trace.step(format_args!("in doubt: {doubt:?}"));
-        self.gw.metrics.count(metrics::TRIES_IN_DOUBT);
+        self.gw.metrics.count(metrics::ATTEMPTS_IN_DOUBT);
         self.in_doubt = true;
         match doubt {
-            Doubt::Silent => Cause::Late,
-            Doubt::Lost | Doubt::Misfit | Doubt::Spoiled => Cause::Lost,
+            Doubt::Silent => Cause::ResponseTimeout,
+            Doubt::Lost | Doubt::Misfit | Doubt::Spoiled => Cause::ResponseLost,
         }
     }
 
-    /// Whether one more endpoint may be tried after this failure.
-    pub fn may_go_on(&mut self, failed: Cause) -> Result<(), Refused> {
-        let cause = if self.in_doubt && failed == Cause::Refused {
-            Cause::Lost
+    /// Whether the request may be sent to another endpoint after this failure.
+    pub fn may_retry(&mut self, failed: Cause) -> Result<(), RequestRefusal> {
+        let cause = if self.in_doubt && failed == Cause::RefusedByEndpoints {
+            Cause::ResponseLost
         } else {
             failed
         };
         let allowed = !self.in_doubt || self.route.repeat.may_run_again();
-        if !allowed || !self.has_tries() || !self.may_arrive_again() {
-            return Err((cause, SOON));
+        if !allowed || !self.has_attempts_left() || !self.retry_budget_allows() {
+            return Err((cause, DEFAULT_RETRY_AFTER));
         }
         Ok(())
     }
 
-    /// Whether the shared budget allows one more arrival; a request that has reached no endpoint
-    /// yet needs none of it.
-    fn may_arrive_again(&self) -> bool {
-        !self.tries.arrived() || self.gw.may_try_again(&self.service)
+    /// Whether the shared retry budget allows another attempt. A request that has not reached any
+    /// endpoint does not use the budget.
+    fn retry_budget_allows(&self) -> bool {
+        !self.attempt_counter.was_received() || self.gw.try_count_retry(&self.service)
     }
 
-    async fn one_try(&mut self, after: Option<u64>) -> Result<Tried, Refused> {
-        if let Some(quarantine) = self.gw.suspects.quarantine(self.content) {
+    async fn one_attempt(&mut self, after: Option<u64>) -> Result<AttemptOutcome, RequestRefusal> {
+        if let Some(quarantine) = self.gw.suspects.quarantine(self.request_digest) {
             self.trace.step(format_args!("in quarantine: {quarantine}"));
             let cause = if self.in_doubt {
-                Cause::Lost
+                Cause::ResponseLost
             } else {
                 Cause::CrashesEndpoints
             };
-            return Err((cause, quarantine.left));
+            return Err((cause, quarantine.time_left));
         }
-        let prompt = Prompt { parts: &self.parts };
-        let within = self.left().mul_f64(SENT_WITHIN);
-        let chosen = self
-            .gw
-            .choose(&self.service, &prompt, self.tries.endpoints(), within);
-        let chosen = chosen.map_err(|unplaced| self.unplaced(unplaced))?;
-        let endpoint = chosen.place.endpoint.clone();
+        let prompt = Prompt {
+            parts: &self.prompt_parts,
+        };
+        let within = self.time_left().mul_f64(FIRST_TOKEN_FRACTION);
+        let selection = self.gw.select_endpoint(
+            &self.service,
+            &prompt,
+            self.attempt_counter.endpoints(),
+            within,
+        );
+        let selection = selection.map_err(|unplaced| self.refuse_unplaced(unplaced))?;
+        let endpoint = selection.slot.endpoint.clone();
         self.trace.step(format_args!(
             "to {} expecting {:?}, {} tokens to read, {}",
-            endpoint.id, chosen.expected, chosen.missing, chosen.grounds
+            endpoint.id, selection.expected, selection.missing_tokens, selection.load_summary
         ));
-        if let Some(addr) = chosen.copy_from {
+        if let Some(addr) = selection.copy_from {
             self.trace.step(format_args!("copies from {addr}"));
-            self.gw.metrics.count(metrics::TRIES_COPIED);
+            self.gw.metrics.count(metrics::ATTEMPTS_WITH_COPY);
         }
-        self.gw.metrics.count(metrics::TRIES);
-        if !self.tries.endpoints().is_empty() {
-            self.gw.metrics.count(metrics::TRIES_AGAIN);
+        self.gw.metrics.count(metrics::ATTEMPTS);
+        if !self.attempt_counter.endpoints().is_empty() {
+            self.gw.metrics.count(metrics::ATTEMPTS_AFTER_FIRST);
         }
-        let left = self.left();
+        let left = self.time_left();
         let onward = Onward {
             endpoint: &endpoint.id,
-            organisation: self.organisation.as_ref().map(|o| &*o.id),
+            organisation: self
+                .organisation
+                .as_ref()
+                .map(|organisation| &*organisation.id),
             left,
-            class: self.class(),
-            after: after.or(self.ask.after),
-            copy_from: chosen.copy_from,
+            class: self.priority_class(),
+            after: after.or(self.request.after),
+            copy_from: selection.copy_from,
         };
-        let until = self.answer_until();
-        let out = Outgoing {
+        let response_deadline = self.response_deadline();
+        let outgoing = OutgoingRequest {
             method: &self.method,
             uri: &self.uri,
             headers: (self.gw.cfg.dialect.onward)(&self.headers, &onward),
             body: self.body.clone(),
-            id: &self.ask.id,
-            until,
-            watch: &mut self.waits_on,
+            id: &self.request.id,
+            response_deadline,
+            watch: &mut self.awaited_connection,
         };
-        // Counted before it is sent: a client that leaves ends this in the middle of the wait,
-        // when the endpoint may have begun.
-        let counted_before = self.in_doubt;
-        if let Some(spend) = &mut self.spend {
-            spend.begun();
+        // Counted before it is sent: if the client disconnects, this function is dropped during the
+        // wait, when the endpoint may have begun.
+        let was_in_doubt = self.in_doubt;
+        if let Some(charge) = &mut self.charge {
+            charge.record_begun();
         }
         let sent_at = Instant::now();
-        let tried = send(&self.gw, chosen.place, out).await;
-        self.waits_on = None;
-        self.tries.note(endpoint.id.clone(), &tried);
-        if let (Tried::NotRun(_), Some(spend), false) = (&tried, &mut self.spend, counted_before) {
-            spend.not_run();
+        let outcome = send(&self.gw, selection.slot, outgoing).await;
+        self.awaited_connection = None;
+        self.attempt_counter.record(endpoint.id.clone(), &outcome);
+        if let (AttemptOutcome::NotRun(_), Some(charge), false) =
+            (&outcome, &mut self.charge, was_in_doubt)
+        {
+            charge.record_not_run();
         }
-        self.learn(&endpoint, &tried, sent_at.elapsed());
-        Ok(tried)
+        self.record_outcome(&endpoint, &outcome, sent_at.elapsed());
+        Ok(outcome)
     }
 
-    /// How long an answer's head is waited for: to the end, but for a request that another
-    /// endpoint may run instead.
-    fn answer_until(&self) -> Instant {
+    /// Until when the response head is awaited: up to the deadline, or less if another endpoint may
+    /// run the request instead.
+    fn response_deadline(&self) -> Instant {
         let repeatable = self.route.repeat.may_run_again();
-        if !repeatable || self.tries.is_last(self.route.attempts) {
+        if !repeatable || self.attempt_counter.is_last(self.route.attempts) {
             return self.deadline;
         }
-        let patient = Instant::now() + self.route.target.mul_f64(SILENT_TARGETS);
-        patient.min(self.deadline)
+        let unresponsive_at = Instant::now() + self.route.target.mul_f64(UNRESPONSIVE_TARGETS);
+        unresponsive_at.min(self.deadline)
     }
 
-    fn class(&self) -> u8 {
-        let own = self.organisation.as_ref().and_then(|o| o.class);
-        own.unwrap_or(self.route.class).min(LOWEST_CLASS)
+    fn priority_class(&self) -> u8 {
+        let organisation_class = self
+            .organisation
+            .as_ref()
+            .and_then(|organisation| organisation.class);
+        organisation_class
+            .unwrap_or(self.route.class)
+            .min(LEAST_URGENT_CLASS)
     }
 
-    fn unplaced(&mut self, unplaced: Unplaced) -> Refused {
+    fn refuse_unplaced(&mut self, unplaced: Unplaced) -> RequestRefusal {
         self.trace.step(format_args!("no place: {unplaced:?}"));
         if self.in_doubt {
-            return (Cause::Lost, SOON);
+            return (Cause::ResponseLost, DEFAULT_RETRY_AFTER);
         }
         match unplaced {
-            Unplaced::Nobody => (Cause::NoEndpoint, SOON),
+            Unplaced::Nobody => (Cause::NoEndpoint, DEFAULT_RETRY_AFTER),
             Unplaced::TooLate(expected) => {
-                let over = expected.saturating_sub(self.left().mul_f64(SENT_WITHIN));
-                (Cause::Overloaded, over.clamp(OVERLOAD.0, OVERLOAD.1))
+                let excess =
+                    expected.saturating_sub(self.time_left().mul_f64(FIRST_TOKEN_FRACTION));
+                (
+                    Cause::Overloaded,
+                    excess.clamp(OVERLOAD_RETRY_AFTER.0, OVERLOAD_RETRY_AFTER.1),
+                )
             }
-            Unplaced::AtLimit(wait) => (Cause::Overloaded, wait.clamp(OVERLOAD.0, OVERLOAD.1)),
+            Unplaced::AtLimit(wait) => (
+                Cause::Overloaded,
+                wait.clamp(OVERLOAD_RETRY_AFTER.0, OVERLOAD_RETRY_AFTER.1),
+            ),
         }
     }
 
-    /// Passes on a plain answer once all of it is here.
-    async fn whole_answer(mut self, answer: Answer) -> Reply {
-        let mut answer = answer;
+    /// Passes on a non-streamed response once it is complete.
+    async fn buffered_response(mut self, response: EndpointResponse) -> Reply {
+        let mut response = response;
         loop {
-            let Answer {
+            let EndpointResponse {
                 mut parts,
                 head,
                 body,
                 sender,
                 watch,
-                mut place,
-            } = answer;
-            let reading = Limited::new(body, WHOLE_ANSWER).collect();
+                mut slot,
+            } = response;
+            let reading = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect();
             let read = timeout_at(self.deadline, reading).await;
-            place.answered();
+            slot.response_started();
             if let Ok(Ok(body)) = read {
-                Answer::put_back(sender, watch, &place.endpoint, &head);
-                strip(&mut parts.headers);
-                self.gw.answered(self.content);
-                self.trace.first_piece();
-                let fine = parts.status.is_success();
-                self.trace
-                    .ended(if fine { "completed" } else { "endpoint_failed" });
+                EndpointResponse::release_connection(sender, watch, &slot.endpoint, &head);
+                remove_connection_headers(&mut parts.headers);
+                self.gw.record_answered(self.request_digest);
+                self.trace.record_first_piece();
+                let is_success = parts.status.is_success();
+                self.trace.record_outcome(if is_success {
+                    "completed"
+                } else {
+                    "endpoint_failed"
+                });
                 return Reply::from_parts(parts, whole(body.to_bytes()));
             }
-            self.answer_lost(&place.endpoint, CrashedRun::AfterOutput, "no whole answer");
+            self.record_lost_response(
+                &slot.endpoint,
+                CrashedRun::AfterOutput,
+                "incomplete response",
+            );
             let doubt = if read.is_err() {
                 Doubt::Silent
             } else {
                 Doubt::Spoiled
             };
-            let cause = self.doubt(doubt);
-            let again = match self.may_go_on(cause) {
-                Ok(()) => self.first_answer(None).await,
-                Err(refused) => Err(refused),
+            let cause = self.record_doubt(doubt);
+            let next = match self.may_retry(cause) {
+                Ok(()) => self.first_response(None).await,
+                Err(refusal) => Err(refusal),
             };
-            match again {
-                Ok(next) => answer = *next,
-                Err(refused) => return self.refuse(refused),
+            match next {
+                Ok(next) => response = *next,
+                Err(refusal) => return self.refuse(refusal),
             }
         }
     }
@@ -360,25 +405,25 @@
 
 impl Drop for Exchange {
     fn drop(&mut self) {
-        let Some(mut spend) = self.spend.take() else {
+        let Some(mut charge) = self.charge.take() else {
             return;
         };
-        self.trace.billed(spend.cost());
-        // The client has left while an answer was waited for.
-        let Some(watch) = self.waits_on.take().filter(|_| !self.in_doubt) else {
+        self.trace.record_cost(charge.cost());
+        // The client has disconnected before the response began.
+        let Some(watch) = self.awaited_connection.take().filter(|_| !self.in_doubt) else {
             return;
         };
         let log = self.gw.log.clone();
-        let id = self.ask.id.clone();
+        let id = self.request.id.clone();
         tokio::spawn(async move {
-            if watch.ended_unheard().await {
-                spend.not_run();
+            if watch.ended_without_data().await {
+                charge.record_not_run();
                 event!(log, events::GATEWAY_BILL_DROPPED, "request" => &*id);
             }
         });
     }
 }
 
-/// How many times its target an answer's head is waited for where another endpoint may run the
-/// request instead: an endpoint that has been silent for so long is more likely lost than slow.
-const SILENT_TARGETS: f64 = 2.0;
+/// If another endpoint may run the request, the response head is awaited for this multiple of the
+/// route's target: an endpoint that takes longer is more likely lost than slow.
+const UNRESPONSIVE_TARGETS: f64 = 2.0;
--- /dev/null
+++ b/crates/anvil_gateway/src/grant_loop.rs
@@ -0,0 +1,74 @@
+//! Exchanges grant batches with the ledger. Only this task does so.
+
+use std::time::Duration;
+
+use anvil_world::prelude::*;
+use anvilreel::event;
+use tokio::time::{Instant, sleep, timeout};
+
+use crate::gateway::Gateway;
+use crate::log_events as events;
+
+/// Longest wait for the ledger's answer; afterwards the same batch is sent again.
+const BATCH_TIMEOUT: Duration = Duration::from_millis(800);
+/// Interval between checks whether a batch is due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(125);
+/// Minimum time between two batches, also if a request waits for tokens.
+const MIN_BATCH_INTERVAL: Duration = Duration::from_millis(10);
+
+/// Exchanges batches for as long as the process runs.
+pub async fn run(gw: &Gateway) {
+    loop {
+        exchange_batch(gw).await;
+        sleep(MIN_BATCH_INTERVAL).await;
+        if !gw.grant_account.is_urgent() {
+            // The loop checks after each wake-up, so its reason does not matter.
+            let _ = timeout(CHECK_INTERVAL, gw.grants_wanted.notified()).await;
+        }
+    }
+}
+
+/// Returns all grants to the ledger, as far as possible within this time.
+pub async fn return_grants(gw: &Gateway, within: Duration) {
+    gw.grant_account.stop();
+    let deadline = Instant::now() + within;
+    while !gw.grant_account.is_empty() && Instant::now() < deadline {
+        gw.grants_wanted.notify_one();
+        sleep(MIN_BATCH_INTERVAL).await;
+    }
+}
+
+async fn exchange_batch(gw: &Gateway) {
+    let Some(batch) = gw.grant_account.batch(gw.lifecycle.now()) else {
+        return;
+    };
+    let command = Command::GrantBatch(batch);
+    match gw.ledger.propose(command, BATCH_TIMEOUT).await {
+        Ok(Answer::Grants(answer)) => {
+            gw.clear_starved();
+            if !answer.opened.is_empty() || !answer.refused.is_empty() {
+                event!(
+                    gw.log, events::GATEWAY_GRANTS,
+                    "opened" => format!("{:?}", summarize_opened(&answer.opened)),
+                    "recalled" => answer.recalled.len(),
+                    "refused" => format!("{:?}", answer.refused)
+                );
+            }
+            if let Err(e) = gw.grant_account.answered(gw.lifecycle.now(), &answer) {
+                event!(gw.log, events::GATEWAY_SETTLEMENT_REFUSED, "error" => e.to_string());
+            }
+        }
+        Ok(Answer::Denied(denial)) => {
+            if gw.grant_account.denied(gw.lifecycle.now(), &denial) {
+                event!(gw.log, events::GATEWAY_FENCED, "why" => denial.to_string());
+            }
+        }
+        // The same batch is sent again when it is due.
+        Ok(_) | Err(_) => {}
+    }
+}
+
+fn summarize_opened(grants: &[Grant]) -> Vec<(&BudgetId, Tokens)> {
+    let grants = grants.iter();
+    grants.map(|grant| (&grant.budget, grant.amount)).collect()
+}
--- a/crates/anvil_gateway/src/list_reader.rs
+++ b/crates/anvil_gateway/src/list_reader.rs
@@ -15,58 +15,61 @@
 use crate::dialect::{ListPage, ListSource};
 
 /// Longest wait for one page.
-const PAGE_WITHIN: Duration = Duration::from_millis(700);
-/// Most pages of one list.
-const MOST_PAGES: usize = 200;
+const PAGE_TIMEOUT: Duration = Duration::from_millis(700);
+/// Maximum number of pages of one list.
+const MAX_PAGES: usize = 200;
 /// Longest page, in bytes.
-const PAGE_BYTES: usize = 4 << 20;
+const MAX_PAGE_BYTES: usize = 4 << 20;
 
-/// A list that could not be had.
+/// A failed reading of the list.
 #[derive(Debug, Snafu)]
 pub enum ListError {
-    /// A page didn't come.
-    #[snafu(display("no answer within {PAGE_WITHIN:?}"))]
-    Slow,
-    /// The connection failed, or a page can't be read.
-    #[snafu(display("{why}"))]
-    Lost {
-        /// Why.
-        why: String,
+    /// A page did not arrive in time.
+    #[snafu(display("reading the endpoint list failed: no response within {PAGE_TIMEOUT:?}"))]
+    Timeout,
+    /// The connection failed, or a page can't be parsed.
+    #[snafu(display("reading the endpoint list failed: {details}"))]
+    Failed {
+        /// Details.
+        details: String,
     },
-    /// The platform refused.
-    #[snafu(display("status {status}"))]
+    /// The platform returned an error.
+    #[snafu(display("reading the endpoint list failed: status {status}"))]
     Status {
-        /// Its status.
+        /// The HTTP status.
         status: u16,
     },
-    /// It has no end.
-    #[snafu(display("more than {MOST_PAGES} pages"))]
-    Endless,
+    /// The list has too many pages.
+    #[snafu(display("reading the endpoint list failed: more than {MAX_PAGES} pages"))]
+    TooManyPages,
 }
 
-/// One connection to the list, kept between looks.
+/// One connection to the platform's list, kept between readings.
 #[derive(Default)]
 pub struct ListReader {
     sender: Option<SendRequest<Full<Bytes>>>,
 }
 
 impl ListReader {
-    /// All pages, and how many entries can't be read.
-    pub async fn list(&mut self, source: &ListSource) -> Result<(Vec<Listed>, u32), ListError> {
-        let listed = self.pages(source).await;
+    /// All entries, and how many entries can't be parsed.
+    pub async fn read_list(
+        &mut self,
+        source: &ListSource,
+    ) -> Result<(Vec<Listed>, u32), ListError> {
+        let listed = self.read_pages(source).await;
         if listed.is_err() {
             self.sender = None;
         }
         listed
     }
 
-    async fn pages(&mut self, source: &ListSource) -> Result<(Vec<Listed>, u32), ListError> {
+    async fn read_pages(&mut self, source: &ListSource) -> Result<(Vec<Listed>, u32), ListError> {
         let mut listed = Vec::new();
         let mut unreadable = 0;
         let mut path = source.path.clone();
-        for _ in 0..MOST_PAGES {
-            let reading = timeout(PAGE_WITHIN, self.page(source, &path)).await;
-            let page = reading.unwrap_or(Err(ListError::Slow))?;
+        for _ in 0..MAX_PAGES {
+            let reading = timeout(PAGE_TIMEOUT, self.read_page(source, &path)).await;
+            let page = reading.unwrap_or(Err(ListError::Timeout))?;
             listed.extend(page.listed);
             unreadable += page.unreadable;
             match page.next {
@@ -74,11 +77,11 @@
                 None => return Ok((listed, unreadable)),
             }
         }
-        EndlessSnafu.fail()
+        TooManyPagesSnafu.fail()
     }
 
-    async fn page(&mut self, source: &ListSource, path: &str) -> Result<ListPage, ListError> {
-        let lost = |why: String| ListError::Lost { why };
+    async fn read_page(&mut self, source: &ListSource, path: &str) -> Result<ListPage, ListError> {
+        let failed = |details: String| ListError::Failed { details };
         let mut sender = match self.sender.take().filter(SendRequest::is_ready) {
             Some(sender) => sender,
             None => connect(source).await?,
@@ -86,29 +89,31 @@
         let req = Request::get(path)
             .header(http::header::HOST, source.addr.to_string())
             .body(Full::default())
-            .map_err(|e| lost(e.to_string()))?;
-        let answer = sender.send_request(req).await;
-        let answer = answer.map_err(|e| lost(e.to_string()))?;
-        let status = answer.status();
-        let body = Limited::new(answer.into_body(), PAGE_BYTES).collect().await;
-        let body = body.map_err(|e| lost(e.to_string()))?.to_bytes();
+            .map_err(|e| failed(e.to_string()))?;
+        let response = sender.send_request(req).await;
+        let response = response.map_err(|e| failed(e.to_string()))?;
+        let status = response.status();
+        let body = Limited::new(response.into_body(), MAX_PAGE_BYTES)
+            .collect()
+            .await;
+        let body = body.map_err(|e| failed(e.to_string()))?.to_bytes();
         self.sender = Some(sender);
         if !status.is_success() {
             let status = status.as_u16();
             return StatusSnafu { status }.fail();
         }
-        (source.page)(&body).map_err(lost)
+        (source.page)(&body).map_err(failed)
     }
 }
 
 async fn connect(source: &ListSource) -> Result<SendRequest<Full<Bytes>>, ListError> {
-    let lost = |why: String| ListError::Lost { why };
+    let failed = |details: String| ListError::Failed { details };
     let socket = TcpStream::connect(source.addr).await;
-    let socket = socket.map_err(|e| lost(e.to_string()))?;
+    let socket = socket.map_err(|e| failed(e.to_string()))?;
     let handshake = Builder::new().handshake(TokioIo::new(socket)).await;
-    let (sender, connection) = handshake.map_err(|e| lost(e.to_string()))?;
+    let (sender, connection) = handshake.map_err(|e| failed(e.to_string()))?;
     tokio::spawn(async move {
-        // Its error reaches whoever waits for the answer.
+        // An error reaches the caller that waits for the response.
         let _ = connection.await;
     });
     Ok(sender)
--- a/crates/anvil_gateway/src/metrics.rs
+++ b/crates/anvil_gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a gateway measures. docs/METRICS.md lists names and units; a test holds both together.
+//! Metrics of the gateway. docs/METRICS.md lists names and units; a test compares both.
 
 use std::sync::atomic::Ordering;
 
@@ -6,141 +6,154 @@
 
 use crate::gateway::Gateway;
 
-/// Requests that were answered whole. Count.
-pub const COMPLETED: &str = "requests.completed";
-/// Requests that ended with an endpoint's own failure, passed on. Count.
-pub const ENDPOINT_FAILED: &str = "requests.endpoint_failed";
-/// Requests whose clients left before the end. Count.
-pub const CLIENT_LEFT: &str = "requests.client_left";
-/// Time from a request's arrival to the first piece of its answer. Milliseconds.
+/// Requests answered completely. Count.
+pub const REQUESTS_COMPLETED: &str = "requests.completed";
+/// Requests that ended with an endpoint's own error response. Count.
+pub const REQUESTS_ENDPOINT_FAILED: &str = "requests.endpoint_failed";
+/// Requests whose clients disconnected before the end. Count.
+pub const REQUESTS_CLIENT_LEFT: &str = "requests.client_left";
+/// Time from a request's arrival to the start of its response. Milliseconds.
 pub const FIRST_PIECE: &str = "request.first_piece";
 /// Time from a request's arrival to its end. Milliseconds.
-pub const TOOK: &str = "request.took";
-/// Time that requests waited for money. Milliseconds.
-pub const MONEY_WAIT: &str = "request.money_wait";
-/// Time that requests waited for the first routing table, or for endpoints in their new lives. Milliseconds.
-pub const ARRIVAL_WAIT: &str = "request.arrival_wait";
+pub const REQUEST_TIME: &str = "request.took";
+/// Time that requests waited for grants. Milliseconds.
+pub const GRANT_WAIT: &str = "request.money_wait";
+/// Time that requests waited for the first routing table, or for new incarnations of endpoints.
+/// Milliseconds.
+pub const AVAILABILITY_WAIT: &str = "request.arrival_wait";
 /// Time between two events of a stream. Milliseconds.
-pub const GAP: &str = "stream.gap";
+pub const STREAM_GAP: &str = "stream.gap";
 /// Requests sent to endpoints. Count.
-pub const TRIES: &str = "tries.sent";
-/// Of these, those beyond a request's first. Count.
-pub const TRIES_AGAIN: &str = "tries.again";
-/// Tries that surely did not run. Count.
-pub const TRIES_NOT_RUN: &str = "tries.not_run";
-/// Tries that may have run and whose answer was lost. Count.
-pub const TRIES_IN_DOUBT: &str = "tries.in_doubt";
-/// Tries that the shared budget did not allow. Count.
-pub const TRIES_DENIED: &str = "tries.denied";
-/// Tries that told the endpoint to copy a prompt's beginning from another one. Count.
-pub const TRIES_COPIED: &str = "tries.copied";
+pub const ATTEMPTS: &str = "tries.sent";
+/// Of these, the ones after a request's first attempt. Count.
+pub const ATTEMPTS_AFTER_FIRST: &str = "tries.again";
+/// Attempts that certainly did not run. Count.
+pub const ATTEMPTS_NOT_RUN: &str = "tries.not_run";
+/// Attempts that may have run and whose response was lost. Count.
+pub const ATTEMPTS_IN_DOUBT: &str = "tries.in_doubt";
+/// Retries that the shared budget did not allow. Count.
+pub const RETRIES_DENIED: &str = "tries.denied";
+/// Attempts that told the endpoint to copy a cached prompt prefix from another one. Count.
+pub const ATTEMPTS_WITH_COPY: &str = "tries.copied";
 /// Endpoints that crashed under requests. Count.
-pub const CRASHES: &str = "endpoints.crashed";
-/// Of these, those of which the ledger was not told, for too many waited. Count.
-pub const CRASHES_UNTOLD: &str = "endpoints.crashed_untold";
-/// Requests that are kept from endpoints, because these crash under them. Gauge.
-pub const QUARANTINED: &str = "requests.quarantined";
-/// Answers whose limit can't be read. Count.
+pub const ENDPOINT_CRASHES: &str = "endpoints.crashed";
+/// Of these, the ones whose report was dropped because too many were pending. Count.
+pub const CRASHES_UNREPORTED: &str = "endpoints.crashed_untold";
+/// Requests in quarantine because endpoints crash under them. Gauge.
+pub const REQUESTS_QUARANTINED: &str = "requests.quarantined";
+/// Responses whose rate limit can't be parsed. Count.
 pub const LIMITS_UNREADABLE: &str = "endpoints.limit_unreadable";
-/// Endpoints that announced how many requests they take from all gateways. Gauge.
-pub const LIMITED: &str = "endpoints.limited";
-/// Of what this gateway might have sent to those, what it has sent. Gauge, percent.
+/// Endpoints that announced a rate limit to all gateways together. Gauge.
+pub const ENDPOINTS_LIMITED: &str = "endpoints.limited";
+/// Requests sent to these, relative to what this gateway could have sent. Gauge, percent.
 pub const LIMIT_USED: &str = "endpoints.limit_used";
-/// Streams that another endpoint went on with. Count.
-pub const RESUMED: &str = "streams.resumed";
-/// Times that the platform's list was read here. Count.
+/// Streams resumed by another endpoint. Count.
+pub const STREAMS_RESUMED: &str = "streams.resumed";
+/// Readings of the platform's list by this gateway. Count.
 pub const LIST_READ: &str = "list.read";
-/// Times that a sibling told what it has read. Count.
-pub const LIST_TOLD: &str = "list.told";
-/// Requests under way. Gauge.
-pub const OPEN: &str = "requests.open";
-/// The operator's number of the routing table in force. Gauge.
-pub const TABLE: &str = "table.version";
+/// Lists received from a sibling. Count.
+pub const LIST_FROM_SIBLING: &str = "list.told";
+/// Requests in progress. Gauge.
+pub const OPEN_REQUESTS: &str = "requests.open";
+/// Version of the routing table in force. Gauge.
+pub const TABLE_VERSION: &str = "table.version";
 /// Gateways that share the retry budget. Gauge.
 pub const GATEWAYS: &str = "gateways";
-/// Endpoints that take work. Gauge.
-pub const ENDPOINTS: &str = "endpoints.open";
-/// Endpoints that are passed over for a while. Gauge.
-pub const ENDPOINTS_SHUT: &str = "endpoints.shut";
-/// Time since the ledger last confirmed what is held. Gauge, milliseconds.
-pub const CONFIRMED_AGE: &str = "age.ledger";
+/// Endpoints that accept requests. Gauge.
+pub const ENDPOINTS_AVAILABLE: &str = "endpoints.open";
+/// Endpoints on cooldown. Gauge.
+pub const ENDPOINTS_ON_COOLDOWN: &str = "endpoints.shut";
+/// Time since the ledger last confirmed the cached state. Gauge, milliseconds.
+pub const LEDGER_AGE: &str = "age.ledger";
 /// Time since the platform's list was last read. Gauge, milliseconds.
 pub const LIST_AGE: &str = "age.list";
 
-/// Every name with its unit.
+/// All names with their units.
 pub const ALL: &[(&str, &str)] = &[
-    (COMPLETED, "count"),
-    (ENDPOINT_FAILED, "count"),
-    (CLIENT_LEFT, "count"),
+    (REQUESTS_COMPLETED, "count"),
+    (REQUESTS_ENDPOINT_FAILED, "count"),
+    (REQUESTS_CLIENT_LEFT, "count"),
     (FIRST_PIECE, "milliseconds"),
-    (TOOK, "milliseconds"),
-    (MONEY_WAIT, "milliseconds"),
-    (ARRIVAL_WAIT, "milliseconds"),
-    (GAP, "milliseconds"),
-    (TRIES, "count"),
-    (TRIES_AGAIN, "count"),
-    (TRIES_NOT_RUN, "count"),
-    (TRIES_IN_DOUBT, "count"),
-    (TRIES_DENIED, "count"),
-    (TRIES_COPIED, "count"),
-    (CRASHES, "count"),
-    (CRASHES_UNTOLD, "count"),
-    (QUARANTINED, "gauge"),
+    (REQUEST_TIME, "milliseconds"),
+    (GRANT_WAIT, "milliseconds"),
+    (AVAILABILITY_WAIT, "milliseconds"),
+    (STREAM_GAP, "milliseconds"),
+    (ATTEMPTS, "count"),
+    (ATTEMPTS_AFTER_FIRST, "count"),
+    (ATTEMPTS_NOT_RUN, "count"),
+    (ATTEMPTS_IN_DOUBT, "count"),
+    (RETRIES_DENIED, "count"),
+    (ATTEMPTS_WITH_COPY, "count"),
+    (ENDPOINT_CRASHES, "count"),
+    (CRASHES_UNREPORTED, "count"),
+    (REQUESTS_QUARANTINED, "gauge"),
     (LIMITS_UNREADABLE, "count"),
-    (LIMITED, "gauge"),
+    (ENDPOINTS_LIMITED, "gauge"),
     (LIMIT_USED, "gauge"),
-    (RESUMED, "count"),
+    (STREAMS_RESUMED, "count"),
     (LIST_READ, "count"),
-    (LIST_TOLD, "count"),
-    (OPEN, "gauge"),
-    (TABLE, "gauge"),
+    (LIST_FROM_SIBLING, "count"),
+    (OPEN_REQUESTS, "gauge"),
+    (TABLE_VERSION, "gauge"),
     (GATEWAYS, "gauge"),
-    (ENDPOINTS, "gauge"),
-    (ENDPOINTS_SHUT, "gauge"),
-    (CONFIRMED_AGE, "gauge"),
+    (ENDPOINTS_AVAILABLE, "gauge"),
+    (ENDPOINTS_ON_COOLDOWN, "gauge"),
+    (LEDGER_AGE, "gauge"),
     (LIST_AGE, "gauge"),
 ];
 
 impl Gateway {
-    /// Brings the gauges up to date.
+    /// Updates the gauges.
     pub fn measure(&self) {
         let now = self.now_ms();
-        let (open, shut) = self.directory.count(self.life.now());
+        let (available, on_cooldown) = self.directory.count_available(self.lifecycle.now());
         let (limited, limit_used) = self.measure_limits();
-        let table = self.table.load();
-        let table = table.as_ref().map_or(0, |table| table.version);
-        let list_age = self.listings.age().min(self.life.now()).as_millis();
+        let table_version = self.table.load();
+        let table_version = table_version
+            .as_ref()
+            .map_or(0, |table_version| table_version.version);
+        let list_age = self.list_cache.age().min(self.lifecycle.now()).as_millis();
         let list_age = u64::try_from(list_age).unwrap_or(u64::MAX);
-        let age = |at: u64| now.saturating_sub(at);
+        let age = |since_ms: u64| now.saturating_sub(since_ms);
         for (name, value) in [
-            (OPEN, u64::from(self.open.load(Ordering::Relaxed))),
-            (TABLE, table),
-            (GATEWAYS, u64::from(self.gateways.load(Ordering::Relaxed))),
-            (ENDPOINTS, open),
-            (ENDPOINTS_SHUT, shut),
-            (QUARANTINED, self.suspects.count_quarantined()),
-            (LIMITED, limited),
+            (
+                OPEN_REQUESTS,
+                u64::from(self.open_requests.load(Ordering::Relaxed)),
+            ),
+            (TABLE_VERSION, table_version),
+            (
+                GATEWAYS,
+                u64::from(self.gateway_count.load(Ordering::Relaxed)),
+            ),
+            (ENDPOINTS_AVAILABLE, available),
+            (ENDPOINTS_ON_COOLDOWN, on_cooldown),
+            (REQUESTS_QUARANTINED, self.suspects.count_quarantined()),
+            (ENDPOINTS_LIMITED, limited),
             (LIMIT_USED, limit_used),
-            (CONFIRMED_AGE, age(self.confirmed.load(Ordering::Relaxed))),
+            (
+                LEDGER_AGE,
+                age(self.ledger_confirmed_ms.load(Ordering::Relaxed)),
+            ),
             (LIST_AGE, list_age),
-            (LOG_DROPPED, self.dropped.count()),
+            (LOG_DROPPED, self.dropped_log_lines.count()),
         ] {
             self.metrics.gauge(name, value);
         }
     }
 
-    /// Endpoints that announced limits, and the part of them that is used here, in percent.
+    /// Number of endpoints with a limit, and the percentage of this gateway's share that is used.
     fn measure_limits(&self) -> (u64, u64) {
-        let all = self.directory.all();
+        let all = self.directory.all_endpoints();
         let limited = all.iter().filter(|endpoint| endpoint.limit().is_some());
-        let used = limited.map(|endpoint| endpoint.limit_used(self.life.now(), self.turn()));
-        let (mut count, mut sent, mut might) = (0, 0, 0_u64);
-        for (one_sent, one_might) in used {
+        let usage = limited
+            .map(|endpoint| endpoint.limit_used(self.lifecycle.now(), self.share_position()));
+        let (mut count, mut total_sent, mut allowed) = (0, 0, 0_u64);
+        for (endpoint_sent, endpoint_allowed) in usage {
             count += 1;
-            sent += one_sent;
-            might = might.saturating_add(one_might);
+            total_sent += endpoint_sent;
+            allowed = allowed.saturating_add(endpoint_allowed);
         }
-        // One request at least, so that a limit heard of just now isn't used many times over.
-        (count, sent * 100_000 / might.max(1_000))
+        // At least one request, so that a limit learned just now does not yield a huge percentage.
+        (count, total_sent * 100_000 / allowed.max(1_000))
     }
 }
--- a/crates/anvil_gateway/src/pool.rs
+++ b/crates/anvil_gateway/src/pool.rs
@@ -1,7 +1,7 @@
-//! Kept connections to one endpoint.
+//! Connections to one endpoint.
 //!
-//! A connection carries one request at a time. It goes back into the pool only after a whole
-//! answer to the right request, and is never used again in doubt.
+//! A connection carries one request at a time. It is reused only after a complete response to the
+//! right request, never after a failure.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,40 +17,40 @@
 
 use crate::connection_watch::{ConnectionWatch, WatchedSocket};
 
-/// Longest time to make a connection. The next endpoint is tried instead: a lost opening packet
-/// is sent again only after a second.
-const CONNECT: Duration = Duration::from_millis(400);
-/// For how long an idle connection is used again when the endpoint does not say.
-const KEEP: Duration = Duration::from_secs(4);
-/// Part of the endpoint's own idle time for which a connection is used: a request that crosses
-/// the endpoint's close on the way would be in doubt.
-const KEEP_PART: f64 = 0.6;
-/// Idle connections kept for one endpoint.
-const MOST_IDLE: usize = 64;
+/// Connect timeout. The next endpoint is tried instead, since a lost SYN is retransmitted only
+/// after a second.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// For how long an idle connection is reused if the endpoint does not announce its idle timeout.
+const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(4);
+/// Fraction of the endpoint's idle timeout in which a connection is reused. If the endpoint closes
+/// the connection while a request is on its way, it is unknown whether the request ran.
+const IDLE_TIME_FRACTION: f64 = 0.6;
+/// Maximum number of idle connections to one endpoint.
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 /// A connection could not be made, so nothing was sent.
 #[derive(Debug, Snafu)]
 pub enum ConnectError {
-    /// It took too long.
-    #[snafu(display("no connection to {addr} within {CONNECT:?}"))]
-    Slow {
-        /// Where.
+    /// Connecting timed out.
+    #[snafu(display("no connection to {addr} within {CONNECT_TIMEOUT:?}"))]
+    Timeout {
+        /// Address.
         addr: SocketAddr,
     },
-    /// It was refused or reset.
+    /// The connection was refused or reset.
     #[snafu(display("no connection to {addr}: {source}"))]
     Refused {
-        /// Where.
+        /// Address.
         addr: SocketAddr,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// The protocol could not be begun.
+    /// The HTTP handshake failed.
     #[snafu(display("no connection to {addr}: {source}"))]
     Handshake {
-        /// Where.
+        /// Address.
         addr: SocketAddr,
-        /// Why.
+        /// Cause.
         source: hyper::Error,
     },
 }
@@ -59,26 +59,26 @@
 pub struct Connection {
     /// Sends one request.
     pub sender: SendRequest<Full<Bytes>>,
-    /// What is known of it.
+    /// What was observed on it.
     pub watch: Arc<ConnectionWatch>,
     /// Whether it has carried a request before.
-    pub used: bool,
+    pub reused: bool,
 }
 
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     watch: Arc<ConnectionWatch>,
-    until: Instant,
+    expires_at: Instant,
 }
 
 /// The connections to one endpoint.
-pub struct Pool {
+pub struct ConnectionPool {
     addr: SocketAddr,
-    idle: Mutex<Vec<Idle>>,
+    idle: Mutex<Vec<IdleConnection>>,
 }
 
-impl Pool {
-    /// No connection yet.
+impl ConnectionPool {
+    /// Creates an empty pool.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
             addr,
@@ -86,13 +86,13 @@
         }
     }
 
-    /// The connection that was used last, or a new one.
+    /// The most recently used idle connection, or a new one.
     pub async fn take(&self) -> Result<Connection, ConnectError> {
-        if let Some(Idle { sender, watch, .. }) = self.take_idle() {
+        if let Some(IdleConnection { sender, watch, .. }) = self.take_idle() {
             return Ok(Connection {
                 sender,
                 watch,
-                used: true,
+                reused: true,
             });
         }
         self.connect().await
@@ -101,46 +101,48 @@
     /// A new connection.
     pub async fn connect(&self) -> Result<Connection, ConnectError> {
         let addr = self.addr;
-        let connecting = timeout(CONNECT, TcpStream::connect(addr)).await;
+        let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
         let Ok(socket) = connecting else {
-            return SlowSnafu { addr }.fail();
+            return TimeoutSnafu { addr }.fail();
         };
         let socket = socket.context(RefusedSnafu { addr })?;
-        // Without it the end of a request waits for an acknowledgement; with a failure it is
-        // only slower.
+        // Without TCP_NODELAY the end of a request may wait for an acknowledgement. If setting it
+        // fails, the connection is only slower.
         let _ = socket.set_nodelay(true);
         let (socket, watch) = WatchedSocket::new(socket);
         let handshake = Builder::new().handshake(TokioIo::new(socket)).await;
         let (sender, connection) = handshake.context(HandshakeSnafu { addr })?;
         tokio::spawn(async move {
-            // Its error reaches whoever waits for the answer.
+            // An error reaches the caller that waits for the response.
             let _ = connection.await;
         });
         Ok(Connection {
             sender,
             watch,
-            used: false,
+            reused: false,
         })
     }
 
-    /// Puts a connection back that has carried a whole answer.
+    /// Returns a connection after a complete response.
     pub fn put(
         &self,
         sender: SendRequest<Full<Bytes>>,
         watch: Arc<ConnectionWatch>,
-        keeps: Option<Duration>,
+        idle_time: Option<Duration>,
     ) {
         if sender.is_closed() {
             return;
         }
-        let keeps = keeps.unwrap_or(KEEP).mul_f64(KEEP_PART);
-        let until = Instant::now() + keeps;
+        let idle_time = idle_time
+            .unwrap_or(DEFAULT_IDLE_TIME)
+            .mul_f64(IDLE_TIME_FRACTION);
+        let expires_at = Instant::now() + idle_time;
         let mut idle = self.lock();
-        if idle.len() < MOST_IDLE {
-            idle.push(Idle {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(IdleConnection {
                 sender,
                 watch,
-                until,
+                expires_at,
             });
         }
     }
@@ -150,16 +152,16 @@
         self.lock().clear();
     }
 
-    fn take_idle(&self) -> Option<Idle> {
+    fn take_idle(&self) -> Option<IdleConnection> {
         let now = Instant::now();
         let mut idle = self.lock();
-        idle.retain(|idle| now < idle.until && !idle.sender.is_closed());
+        idle.retain(|idle| now < idle.expires_at && !idle.sender.is_closed());
         let newest = idle.iter().rposition(|idle| idle.sender.is_ready())?;
         Some(idle.remove(newest))
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Idle>> {
-        // A panic elsewhere leaves a list of connections, each of them checked before use.
+    fn lock(&self) -> MutexGuard<'_, Vec<IdleConnection>> {
+        // Sound after a panic elsewhere: each connection is checked before use.
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/anvil_gateway/src/reports.rs
+++ b/crates/anvil_gateway/src/reports.rs
@@ -1,4 +1,4 @@
-//! Tells the ledger what is seen here, one report after the other, until it has taken each.
+//! Delivers observations to the ledger, one report at a time, each until it is accepted.
 
 use std::time::Duration;
 
@@ -8,28 +8,29 @@
 
 use crate::gateway::Gateway;
 
-/// Longest wait for the ledger to take a report; afterwards it is sent again.
-const TAKEN_WITHIN: Duration = Duration::from_secs(2);
+/// Longest wait for the ledger to accept a report.
+const ACCEPT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause before a report is sent again.
-const AGAIN: Duration = Duration::from_millis(100);
+const RESEND_PAUSE: Duration = Duration::from_millis(100);
 
-/// Sends what `next` has, whenever `wanted` is notified, for as long as the process lives. A report may come twice, and
-/// `next` gives it until `taken` was told that the ledger has it.
+/// Sends the reports that `next_report` returns, whenever `report_wanted` is notified, for as long as the process
+/// runs. `next_report` returns the same report until `mark_accepted` was called with it, so the ledger may receive
+/// a report twice.
 pub async fn run(
     gw: &Gateway,
-    wanted: &Notify,
-    next: impl Fn() -> Option<Command>,
-    taken: impl Fn(&Command),
+    report_wanted: &Notify,
+    next_report: impl Fn() -> Option<Command>,
+    mark_accepted: impl Fn(&Command),
 ) {
     loop {
-        let Some(report) = next() else {
-            wanted.notified().await;
+        let Some(report) = next_report() else {
+            report_wanted.notified().await;
             continue;
         };
-        match gw.ledger.propose(report.clone(), TAKEN_WITHIN).await {
-            Ok(_) => taken(&report),
-            // What it says counts here meanwhile.
-            Err(_) => sleep(AGAIN).await,
+        match gw.ledger.propose(report.clone(), ACCEPT_TIMEOUT).await {
+            Ok(_) => mark_accepted(&report),
+            // The report is applied locally in the meantime.
+            Err(_) => sleep(RESEND_PAUSE).await,
         }
     }
 }
--- a/crates/anvil_gateway/src/content.rs
+++ b/crates/anvil_gateway/src/request_digest.rs
@@ -1,4 +1,4 @@
-//! What makes two requests the same one: who sends it, and all of it but its id.
+//! Identifies equal requests by a digest of everything except the request id.
 
 use anvil_world::prelude::*;
 use bytes::Bytes;
@@ -8,9 +8,9 @@
 use crate::table::{Organisation, Route};
 
 /// Bytes of the hash that are kept.
-const KEPT: usize = 16;
+const DIGEST_BYTES: usize = 16;
 
-/// A number that only equal requests share: of one organisation, on one host, with one method, path, query and body.
+/// Equal only for requests of the same organisation, host, method, path, query and body.
 pub fn digest(
     organisation: Option<&Organisation>,
     route: &Route,
@@ -23,15 +23,15 @@
     let mut hash = Sha256::new();
     for part in [organisation, &*route.host, method.as_str(), path] {
         hash.update(part);
-        // No part may run into the next one.
+        // Separates the parts, so that moving a byte between two of them changes the digest.
         hash.update([0]);
     }
     hash.update(body);
-    let kept = hash.finalize().into_iter().take(KEPT);
+    let kept = hash.finalize().into_iter().take(DIGEST_BYTES);
     kept.fold(0, |number, byte| number << 8 | RequestDigest::from(byte))
 }
 
-/// In log lines.
-pub fn text(digest: RequestDigest) -> String {
+/// The digest as hexadecimal text, for the log.
+pub fn to_hex(digest: RequestDigest) -> String {
     format!("{digest:032x}")
 }
--- a/crates/anvil_gateway/src/run.rs
+++ b/crates/anvil_gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! A gateway as a process: all its tasks, from the start to the end of a planned stop.
+//! A gateway process: all its tasks, from the start to the end of a planned stop.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,31 +9,31 @@
 
 use crate::gateway::Gateway;
 use crate::log_events as events;
-use crate::{discovery, endpoint_limits, follow, money_loop, serve, siblings, suspects};
+use crate::{discovery, endpoint_limits, grant_loop, ledger_updates, serve, siblings, suspects};
 
-/// Longest time to give grants back at a planned stop.
-const GIVE_BACK: Duration = Duration::from_millis(250);
+/// Time to return grants to the ledger at a planned stop.
+const RETURN_GRANTS_TIME: Duration = Duration::from_millis(250);
 
-/// A gateway that did not start.
+/// Why a gateway could not start.
 #[derive(Debug, Snafu)]
 pub enum GatewayError {
-    /// It can't listen.
+    /// An address could not be bound.
     #[snafu(display("can't listen at {addr}: {source}"))]
     Listen {
-        /// Where.
+        /// The address.
         addr: std::net::SocketAddr,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// It can't listen for siblings.
+    /// The address for siblings could not be bound.
     #[snafu(display("can't listen for other gateways: {source}"))]
     Siblings {
-        /// Where and why.
+        /// Cause.
         source: anvil_wire::WireError,
     },
 }
 
-/// Runs a gateway until `stop` is ready and its requests have ended.
+/// Runs a gateway until `stop` completes and its requests have ended.
 pub async fn run(gw: Arc<Gateway>, stop: impl Future<Output = ()>) -> Result<(), GatewayError> {
     let (cfg, log) = (&gw.cfg, &gw.log);
     let addr = cfg.listen;
@@ -47,29 +47,29 @@
         log, events::GATEWAY_LISTENING,
         "addr" => cfg.listen.to_string(), "zone" => cfg.zone.id.to_string()
     );
-    let own = gw.clone();
+    let task_gw = gw.clone();
     let background = tokio::spawn(async move {
-        let instance = own.instance();
-        let ready = serve::ready(ready, own.log.clone(), || own.is_ready());
+        let instance = task_gw.instance();
+        let ready = serve::serve_readiness(ready, task_gw.log.clone(), || task_gw.is_ready());
         tokio::join!(
             ready,
-            follow::run(&own),
-            announce::run(&own.ledger, &own.life, &instance),
-            discovery::run(&own),
-            siblings::answer(own.clone(), siblings),
-            money_loop::run(&own),
-            suspects::run(&own),
-            endpoint_limits::run(&own),
+            ledger_updates::run(&task_gw),
+            announce::run(&task_gw.ledger, &task_gw.lifecycle, &instance),
+            discovery::run(&task_gw),
+            siblings::serve_siblings(task_gw.clone(), siblings),
+            grant_loop::run(&task_gw),
+            suspects::run(&task_gw),
+            endpoint_limits::run(&task_gw),
         );
     });
-    let serving = serve::clients(gw.clone(), clients);
+    let serving = serve::serve_clients(gw.clone(), clients);
     let stopping = async {
         stop.await;
         event!(gw.log, events::GATEWAY_LEAVING);
-        gw.life.leave();
+        gw.lifecycle.leave();
     };
     tokio::join!(serving, stopping);
-    money_loop::give_back(&gw, GIVE_BACK).await;
+    grant_loop::return_grants(&gw, RETURN_GRANTS_TIME).await;
     background.abort();
     event!(gw.log, events::GATEWAY_STOPPED);
     Ok(())
--- a/crates/anvil_gateway/src/serve.rs
+++ b/crates/anvil_gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Clients' connections, and the balancer's question.
+//! Serves clients' connections and the load balancer's readiness checks.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -15,79 +15,82 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-use crate::admit::answer;
+use crate::admit::handle_request;
 use crate::gateway::Gateway;
 use crate::log_events as events;
-use crate::reply::{Reply, close_after, whole};
+use crate::reply::{Reply, set_connection_close, whole};
 use anvilreel::event;
 
-/// Idle time of a client's connection until the routing table says otherwise.
-const IDLE: Duration = Duration::from_secs(15);
-/// For how long a stopping process goes on taking connections and requests: the balancer asks
-/// once a second and believes the second refusal.
-const STILL_TAKING: Duration = Duration::from_millis(2_600);
-/// Time before the end of the grace period by which everything has ended.
-const SPARE: Duration = Duration::from_millis(350);
-/// Pause after a connection could not be accepted, for want of descriptors or memory.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+/// Idle timeout of a client's connection until a routing table sets one.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// For how long a stopping process keeps accepting connections and requests: the load balancer
+/// checks once per second and acts on the second failed check.
+const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(2_600);
+/// All connections are closed this long before the end of the grace period.
+const STOP_MARGIN: Duration = Duration::from_millis(350);
+/// Pause after an accept failed for lack of file descriptors or memory.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Serves clients until a planned stop has finished.
-pub async fn clients(gw: Arc<Gateway>, listener: TcpListener) {
-    let (tell, told) = watch::channel(false);
+/// Serves clients until a planned stop is complete.
+pub async fn serve_clients(gw: Arc<Gateway>, listener: TcpListener) {
+    let (stop_tx, stop_rx) = watch::channel(false);
     let mut connections = JoinSet::new();
     let stopping = async {
-        gw.life.left().await;
-        let left_at = Instant::now();
-        sleep_until(left_at + STILL_TAKING).await;
-        left_at
+        gw.lifecycle.left().await;
+        let stopped_at = Instant::now();
+        sleep_until(stopped_at + ACCEPT_AFTER_STOP).await;
+        stopped_at
     };
     tokio::pin!(stopping);
-    let left_at = loop {
+    let stopped_at = loop {
         tokio::select! {
-            left_at = &mut stopping => break left_at,
+            stopped_at = &mut stopping => break stopped_at,
             Some(_) = connections.join_next() => {}
             accepted = listener.accept() => match accepted {
                 Ok((socket, _)) => {
-                    connections.spawn(client(gw.clone(), socket, told.clone()));
+                    connections.spawn(serve_client(gw.clone(), socket, stop_rx.clone()));
                 }
                 Err(e) => {
                     event!(gw.log, events::GATEWAY_CLIENT_CONNECTION, "error" => e.to_string());
-                    tokio::time::sleep(ACCEPT_AGAIN).await;
+                    tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 }
             },
         }
     };
     drop(listener);
-    // Fails only when no connection is left to be told.
-    let _ = tell.send(true);
-    let end = left_at + gw.cfg.grace.saturating_sub(SPARE);
+    // Fails only if no connection is left.
+    let _ = stop_tx.send(true);
+    let end = stopped_at + gw.cfg.grace.saturating_sub(STOP_MARGIN);
     while let Ok(Some(_)) = timeout_at(end, connections.join_next()).await {}
 }
 
-async fn client(gw: Arc<Gateway>, socket: TcpStream, mut told: watch::Receiver<bool>) {
-    // Without it small pieces wait for an acknowledgement; with a failure they are only slower.
+async fn serve_client(gw: Arc<Gateway>, socket: TcpStream, mut stop_rx: watch::Receiver<bool>) {
+    // Without TCP_NODELAY small chunks wait for an acknowledgement. If setting it fails, they are
+    // only slower.
     let _ = socket.set_nodelay(true);
     let table = gw.table.load();
-    let idle = table.as_ref().map_or(IDLE, |table| table.limits.idle_time);
+    let idle_timeout = table
+        .as_ref()
+        .map_or(DEFAULT_IDLE_TIMEOUT, |table| table.limits.idle_time);
     drop(table);
     let service = service_fn(|req: Request<Incoming>| {
         let gw = gw.clone();
         async move {
-            let mut reply = answer(&gw, req).await;
-            if gw.life.is_leaving() || gw.is_starved() {
-                close_after(&mut reply);
+            let mut reply = handle_request(&gw, req).await;
+            if gw.lifecycle.is_leaving() || gw.is_starved() {
+                set_connection_close(&mut reply);
             }
             Ok::<Reply, Infallible>(reply)
         }
     });
     let connection = Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(idle)
+        .header_read_timeout(idle_timeout)
         .serve_connection(TokioIo::new(socket), service);
     tokio::pin!(connection);
     let served = tokio::select! {
         served = &mut connection => served,
-        () = stopped(&mut told) => {
+        () = wait_for_stop(&mut stop_rx) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
@@ -97,13 +100,13 @@
     }
 }
 
-async fn stopped(told: &mut watch::Receiver<bool>) {
-    // An error means that the accepting side has ended, which comes after the stop.
-    let _ = told.wait_for(|stop| *stop).await;
+async fn wait_for_stop(stop_rx: &mut watch::Receiver<bool>) {
+    // An error means that the accept loop has ended, which happens after the stop.
+    let _ = stop_rx.wait_for(|stop| *stop).await;
 }
 
-/// Answers the balancer's question at any path, for as long as the process lives.
-pub async fn ready(listener: TcpListener, log: Logger, is_ready: impl Fn() -> bool) {
+/// Answers readiness checks on any path for as long as the process runs.
+pub async fn serve_readiness(listener: TcpListener, log: Logger, is_ready: impl Fn() -> bool) {
     let is_ready = &is_ready;
     let mut connections = futures::stream::FuturesUnordered::new();
     loop {
@@ -111,17 +114,17 @@
         tokio::select! {
             Some(()) = connections.next() => {}
             accepted = listener.accept() => match accepted {
-                Ok((socket, _)) => connections.push(tell(socket, is_ready)),
+                Ok((socket, _)) => connections.push(answer_readiness_check(socket, is_ready)),
                 Err(e) => {
                     event!(log, events::GATEWAY_CLIENT_CONNECTION, "error" => e.to_string());
-                    tokio::time::sleep(ACCEPT_AGAIN).await;
+                    tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 }
             },
         }
     }
 }
 
-async fn tell(socket: TcpStream, is_ready: impl Fn() -> bool) {
+async fn answer_readiness_check(socket: TcpStream, is_ready: impl Fn() -> bool) {
     let service = service_fn(|_: Request<Incoming>| {
         let status = if is_ready() {
             StatusCode::OK
@@ -136,8 +139,8 @@
     });
     let connection = Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(IDLE)
+        .header_read_timeout(DEFAULT_IDLE_TIMEOUT)
         .serve_connection(TokioIo::new(socket), service);
-    // The balancer hears of a failure by itself: it gets no answer.
+    // On failure the load balancer receives no answer and counts the check as failed.
     let _ = connection.await;
 }
--- a/crates/anvil_gateway/src/siblings.rs
+++ b/crates/anvil_gateway/src/siblings.rs
@@ -1,4 +1,5 @@
-//! The other gateways of this availability zone: who they are, and what they are told of the list.
+//! The other gateways of this availability zone, and the service that sends them the list of
+//! endpoints.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,39 +15,40 @@
 
 use crate::gateway::Gateway;
 
-/// For how long a sibling that didn't answer is not asked: about as long as the ledger takes to hold a
-/// process for silent.
-const PASSED_OVER_FOR: Duration = Duration::from_secs(5);
+/// For how long a sibling that did not answer is skipped: about as long as the ledger takes to
+/// regard a process as unresponsive.
+const SKIP_TIME: Duration = Duration::from_secs(5);
 
-/// The gateways of one availability zone, as the ledger's members tell.
+/// The gateways of one availability zone, according to the ledger's membership.
 pub struct Siblings {
-    own: InstanceId,
-    /// Where each of them answers siblings; this gateway is among them.
+    own_id: InstanceId,
+    /// Addresses at which they serve siblings, including this gateway's own.
     addrs: ArcSwap<BTreeMap<InstanceId, SocketAddr>>,
     peers: Peers,
-    passed_over: Mutex<BTreeMap<InstanceId, Now>>,
+    skipped: Mutex<BTreeMap<InstanceId, Now>>,
 }
 
 impl Siblings {
-    /// Only this gateway, until the ledger has told of others.
-    pub fn of(own: InstanceId, addr: SocketAddr) -> Self {
-        let addrs = BTreeMap::from([(own.clone(), addr)]);
+    /// Contains only this gateway until the ledger reports others.
+    pub fn new(own_id: InstanceId, addr: SocketAddr) -> Self {
+        let addrs = BTreeMap::from([(own_id.clone(), addr)]);
         Self {
-            own,
+            own_id,
             addrs: ArcSwap::from_pointee(addrs),
             peers: Peers::default(),
-            passed_over: Mutex::default(),
+            skipped: Mutex::default(),
         }
     }
 
-    /// Takes in who is alive. All answer siblings at the same port.
-    pub fn set<'a>(&self, alive: impl Iterator<Item = &'a Instance>) {
-        let Some(own) = self.addrs.load().get(&self.own).copied() else {
+    /// Updates the live gateways. All of them serve siblings at the same port.
+    pub fn update_members<'a>(&self, live: impl Iterator<Item = &'a Instance>) {
+        let Some(own_addr) = self.addrs.load().get(&self.own_id).copied() else {
             return;
         };
-        let at = |instance: &Instance| SocketAddr::new(instance.addr.ip(), own.port());
-        let mut addrs: BTreeMap<_, _> = alive.map(|i| (i.id.clone(), at(i))).collect();
-        addrs.insert(self.own.clone(), own);
+        let sibling_addr =
+            |instance: &Instance| SocketAddr::new(instance.addr.ip(), own_addr.port());
+        let mut addrs: BTreeMap<_, _> = live.map(|i| (i.id.clone(), sibling_addr(i))).collect();
+        addrs.insert(self.own_id.clone(), own_addr);
         if addrs == **self.addrs.load() {
             return;
         }
@@ -55,30 +57,28 @@
         self.addrs.store(Arc::new(addrs));
     }
 
-    /// The gateways that may read the list, the first one first.
-    pub fn order(&self, now: Now) -> Vec<InstanceId> {
-        let mut passed_over = self.passed_over();
-        passed_over.retain(|_, until| now < *until);
+    /// The gateways that may read the list, in order of preference.
+    pub fn reading_order(&self, now: Now) -> Vec<InstanceId> {
+        let mut skipped = self.skipped();
+        skipped.retain(|_, until| now < *until);
         let addrs = self.addrs.load();
-        in_order(addrs.keys().cloned(), |id| passed_over.contains_key(id))
+        in_order(addrs.keys().cloned(), |id| skipped.contains_key(id))
     }
 
-    /// The way to a sibling.
+    /// The channel to a sibling.
     pub fn channel(&self, id: &InstanceId) -> Option<Channel> {
         let addrs = self.addrs.load();
         addrs.get(id).map(|addr| self.peers.to(*addr))
     }
 
-    /// A sibling has not answered in time.
-    pub fn pass_over(&self, id: &InstanceId, now: Now) {
-        self.passed_over().insert(id.clone(), now + PASSED_OVER_FOR);
+    /// Skips a sibling that has not answered in time.
+    pub fn mark_skipped(&self, id: &InstanceId, now: Now) {
+        self.skipped().insert(id.clone(), now + SKIP_TIME);
     }
 
-    fn passed_over(&self) -> MutexGuard<'_, BTreeMap<InstanceId, Now>> {
-        // A panic elsewhere leaves names and times, each of them true.
-        self.passed_over
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
+    fn skipped(&self) -> MutexGuard<'_, BTreeMap<InstanceId, Now>> {
+        // Sound after a panic elsewhere: each entry is valid by itself.
+        self.skipped.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -87,22 +87,24 @@
     Server::bind(gw.cfg.siblings_bind.unwrap_or(gw.cfg.siblings)).await
 }
 
-/// Answers siblings for as long as the process lives.
-pub async fn answer(gw: Arc<Gateway>, server: Server) {
-    let handlers = Handlers::default().with::<ListCall, _, _>(move |ask: ListAsk, tx| {
+/// Serves siblings for as long as the process runs.
+pub async fn serve_siblings(gw: Arc<Gateway>, server: Server) {
+    let handlers = Handlers::default().with::<ListCall, _, _>(move |request: ListAsk, tx| {
         let gw = gw.clone();
         async move {
-            let reply = tell(&gw, &ask).await;
-            // Fails only where the asker is gone.
+            let reply = reply_to(&gw, &request).await;
+            // Fails only if the sibling has disconnected.
             let _ = tx.finish(&reply).await;
         }
     });
     server.serve(handlers, std::future::pending()).await;
 }
 
-async fn tell(gw: &Gateway, ask: &ListAsk) -> ListReply {
-    if ask.read_within.is_zero() {
-        gw.read_wanted.notify_one();
+async fn reply_to(gw: &Gateway, request: &ListAsk) -> ListReply {
+    if request.read_within.is_zero() {
+        gw.list_read_requested.notify_one();
     }
-    gw.listings.answer(ask, gw.cfg.list_within).await
+    gw.list_cache
+        .answer_when_fresh(request, gw.cfg.list_within)
+        .await
 }
--- /dev/null
+++ b/crates/anvil_gateway/src/stream_relay.rs
@@ -0,0 +1,262 @@
+//! Forwards a stream of events, and resumes it at another endpoint where the route allows that.
+//!
+//! Failure: an endpoint is lost in the middle of a stream, and the client has only part of the
+//! response. Another endpoint continues after the last delivered event, within the same response;
+//! the connection to the previous endpoint is closed first, which stops its run. If no endpoint can
+//! continue, the client's connection is closed without the end of the stream.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use anvil_world::suspect::CrashedRun;
+use bytes::Bytes;
+use futures::stream::unfold;
+use http_body_util::{BodyExt, StreamBody};
+use hyper::body::{Frame, Incoming};
+use hyper::client::conn::http1::SendRequest;
+use tokio::time::{Instant, timeout_at};
+
+use crate::attempt::EndpointResponse;
+use crate::connection_watch::ConnectionWatch;
+use crate::dialect::AnswerHead;
+use crate::endpoint::EndpointSlot;
+use crate::exchange::Exchange;
+use crate::metrics;
+use crate::reply::{Cause, IncompleteStream, Reply, remove_connection_headers};
+use crate::stream_events::{EventSplitter, StreamEvent};
+
+/// A resumable stream counts as stalled after this multiple of the route's maximum gap. The client
+/// gives up after eight such gaps.
+const STALL_GAPS: f64 = 4.0;
+/// Time after which a stream counts as stalled if its route sets no maximum gap.
+const DEFAULT_STALL_TIME: Duration = Duration::from_secs(2);
+
+struct StreamSource {
+    body: Incoming,
+    splitter: EventSplitter,
+    sender: SendRequest<http_body_util::Full<Bytes>>,
+    watch: Arc<ConnectionWatch>,
+    head: AnswerHead,
+    slot: EndpointSlot,
+    /// What is reported should the endpoint crash now.
+    progress: CrashedRun,
+}
+
+/// A stream in progress.
+pub struct StreamRelay {
+    exchange: Exchange,
+    source: Option<StreamSource>,
+    /// Id of the last event handed to the client.
+    last_delivered: Option<u64>,
+    /// The first event, read before the response head is sent.
+    prefetched: Option<StreamEvent>,
+    /// When the last event was handed to the client.
+    delivered_at: Option<Instant>,
+}
+
+enum NextEvent {
+    Event(StreamEvent),
+    End,
+    Broken,
+}
+
+impl StreamRelay {
+    /// Starts the client's response once the first event has arrived. A stream that breaks before
+    /// that can still be retried elsewhere, or refused with a status.
+    pub async fn start_response(exchange: Exchange, response: EndpointResponse) -> Reply {
+        let mut parts = response.parts.clone();
+        remove_connection_headers(&mut parts.headers);
+        let last_delivered = exchange.request.after;
+        let mut relay = Self {
+            exchange,
+            source: Some(StreamSource::from(response)),
+            last_delivered,
+            prefetched: None,
+            delivered_at: None,
+        };
+        match relay.next_event_or_resume(Some(&mut parts)).await {
+            Ok(event) => relay.prefetched = event,
+            Err(cause) => return relay.exchange.refuse((cause, Duration::ZERO)),
+        }
+        relay.exchange.trace.record_first_piece();
+        let stream = unfold(Some(relay), |relay| async move {
+            let mut relay = relay?;
+            match relay.next_frame().await {
+                Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(relay))),
+                Ok(None) => {
+                    relay.exchange.trace.record_outcome("completed");
+                    None
+                }
+                Err(cause) => {
+                    relay.exchange.trace.record_outcome(cause.text());
+                    Some((Err(IncompleteStream), None))
+                }
+            }
+        });
+        Reply::from_parts(parts, StreamBody::new(stream).boxed_unsync())
+    }
+
+    async fn next_frame(&mut self) -> Result<Option<Bytes>, Cause> {
+        let event = match self.prefetched.take() {
+            Some(event) => Some(event),
+            None => self.next_event_or_resume(None).await?,
+        };
+        let Some(event) = event else {
+            return Ok(None);
+        };
+        self.last_delivered = event.id.or(self.last_delivered);
+        let now = Instant::now();
+        if let Some(previous) = self.delivered_at.replace(now) {
+            self.exchange.trace.record_gap(now - previous);
+            self.exchange
+                .gw
+                .metrics
+                .time(metrics::STREAM_GAP, now - previous);
+        }
+        let tokens = self.exchange.tokens_per_event;
+        if let Some(charge) = &mut self.exchange.charge {
+            charge.record_output(tokens);
+        }
+        Ok(Some(event.bytes))
+    }
+
+    /// The next event, from the current endpoint or from one that resumes the stream. `None` at the
+    /// end of the stream. `head` is replaced as long as the client has not received one.
+    async fn next_event_or_resume(
+        &mut self,
+        mut head: Option<&mut http::response::Parts>,
+    ) -> Result<Option<StreamEvent>, Cause> {
+        loop {
+            match self.next_from_source().await {
+                NextEvent::Event(event) => return Ok(Some(event)),
+                NextEvent::End => {
+                    self.release_source();
+                    return Ok(None);
+                }
+                NextEvent::Broken => {
+                    let response = self.resume_elsewhere().await?;
+                    if let Some(head) = head.as_deref_mut() {
+                        *head = response.parts.clone();
+                        remove_connection_headers(&mut head.headers);
+                    }
+                    self.source = Some(StreamSource::from(response));
+                }
+            }
+        }
+    }
+
+    async fn next_from_source(&mut self) -> NextEvent {
+        let deadline = self.stall_deadline();
+        let Some(source) = &mut self.source else {
+            return NextEvent::Broken;
+        };
+        loop {
+            if let Some(event) = source.splitter.next_event() {
+                source.slot.response_started();
+                source.progress = CrashedRun::AfterOutput;
+                // Failure: an endpoint repeats an event, or sends one of an earlier run. Ids
+                // increase by one; an event that does not follow is not delivered.
+                if is_next_event(self.last_delivered, event.id) {
+                    return NextEvent::Event(event);
+                }
+                return NextEvent::Broken;
+            }
+            match timeout_at(deadline, source.body.frame()).await {
+                Err(_) => {
+                    self.exchange.trace.step(format_args!("silent endpoint"));
+                    return NextEvent::Broken;
+                }
+                Ok(None) if source.splitter.is_empty() => return NextEvent::End,
+                Ok(None | Some(Err(_))) => return NextEvent::Broken,
+                Ok(Some(Ok(frame))) => {
+                    let Some(data) = frame.data_ref() else {
+                        continue;
+                    };
+                    if !source.splitter.push(data) {
+                        return NextEvent::Broken;
+                    }
+                }
+            }
+        }
+    }
+
+    /// Until when the current endpoint may send nothing. Earlier than the deadline only if another
+    /// endpoint may resume the stream.
+    fn stall_deadline(&self) -> Instant {
+        let deadline = self.exchange.deadline;
+        if !self.exchange.route.repeat.may_resume_elsewhere() || !self.exchange.has_attempts_left()
+        {
+            return deadline;
+        }
+        let gap = self.exchange.route.gap;
+        let stall_time = gap.map_or(DEFAULT_STALL_TIME, |gap| gap.mul_f64(STALL_GAPS));
+        deadline.min(Instant::now() + stall_time)
+    }
+
+    async fn resume_elsewhere(&mut self) -> Result<EndpointResponse, Cause> {
+        if let Some(source) = self.source.take() {
+            self.exchange.record_lost_response(
+                &source.slot.endpoint,
+                source.progress,
+                "stream ended early",
+            );
+            let last_delivered = self.last_delivered;
+            let id = &source.slot.endpoint.id;
+            self.exchange
+                .trace
+                .step(format_args!("{id} broke off after {last_delivered:?}"));
+            // Dropping the source closes its connection, which stops the endpoint's run.
+        }
+        let timed_out = self.exchange.time_left().is_zero();
+        let cause = if timed_out {
+            Cause::ResponseTimeout
+        } else {
+            Cause::ResponseLost
+        };
+        if !self.exchange.route.repeat.may_resume_elsewhere() {
+            return Err(cause);
+        }
+        self.exchange.may_retry(cause).map_err(|(cause, _)| cause)?;
+        let last_delivered = self.last_delivered;
+        let response = self.exchange.first_response(last_delivered).await;
+        let response = response.map_err(|(cause, _)| cause)?;
+        if response.parts.status.is_success() {
+            self.exchange.gw.metrics.count(metrics::STREAMS_RESUMED);
+            Ok(*response)
+        } else {
+            Err(Cause::ResponseLost)
+        }
+    }
+
+    fn release_source(&mut self) {
+        let Some(source) = self.source.take() else {
+            return;
+        };
+        self.exchange
+            .gw
+            .record_answered(self.exchange.request_digest);
+        let endpoint = source.slot.endpoint.clone();
+        EndpointResponse::release_connection(source.sender, source.watch, &endpoint, &source.head);
+    }
+}
+
+fn is_next_event(last_delivered: Option<u64>, next: Option<u64>) -> bool {
+    match (last_delivered, next) {
+        (Some(last_delivered), Some(next)) => next == last_delivered + 1,
+        _ => true,
+    }
+}
+
+impl From<EndpointResponse> for StreamSource {
+    fn from(response: EndpointResponse) -> Self {
+        Self {
+            body: response.body,
+            splitter: EventSplitter::default(),
+            sender: response.sender,
+            watch: response.watch,
+            head: response.head,
+            slot: response.slot,
+            progress: CrashedRun::BeforeOutput,
+        }
+    }
+}
--- a/crates/anvil_gateway/src/suspects.rs
+++ b/crates/anvil_gateway/src/suspects.rs
@@ -1,7 +1,8 @@
-//! Requests under which endpoints crashed: those that this gateway saw, and those that the ledger tells of.
+//! Requests under which endpoints crashed: those observed by this gateway, and those the ledger
+//! reports.
 //!
-//! What is seen here is told to the ledger, which gathers it from all gateways and keeps it over restarts. Until
-//! the ledger has it, it counts here by itself.
+//! Observations are reported to the ledger, which merges the reports of all gateways and keeps them
+//! across restarts. Until the ledger has accepted a report, this gateway applies it locally.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
@@ -15,183 +16,189 @@
 use arc_swap::ArcSwap;
 use tokio::sync::Notify;
 
-use crate::content;
 use crate::gateway::Gateway;
 use crate::log_events as events;
 use crate::reports;
+use crate::request_digest;
 
-/// Crashes that wait for the ledger: each of a large fleet's endpoints, once. The oldest are left out.
-const MOST_WAITING: usize = 8_192;
+/// Unreported crashes that are kept: one for each endpoint of a large fleet. The oldest are
+/// dropped.
+const MAX_PENDING_CRASHES: usize = 8_192;
 
 /// Requests under which endpoints crashed.
 #[derive(Default)]
 pub struct Suspects {
-    told: ArcSwap<BTreeMap<RequestDigest, Told>>,
-    own: Mutex<Own>,
-    wanted: Notify,
+    from_ledger: ArcSwap<BTreeMap<RequestDigest, LedgerSuspect>>,
+    pending: Mutex<PendingReports>,
+    report_wanted: Notify,
 }
 
-/// What the ledger tells of a request.
+/// A suspect request as the ledger reports it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Told {
+struct LedgerSuspect {
     suspect: Suspect,
-    /// When it told this gateway first.
-    since: Now,
+    /// When the ledger first reported it to this gateway.
+    learned_at: Now,
 }
 
-/// Why a request is kept from endpoints.
+/// Why a request is not sent to endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Quarantine {
-    /// For how much longer.
-    pub left: Duration,
-    /// Endpoints that crashed under it, as many as it took.
+    /// Time until the quarantine ends.
+    pub time_left: Duration,
+    /// Endpoints that crashed under the request, as many as its quarantine required.
     pub endpoints: Vec<InstanceId>,
-    /// When the ledger told of it first; `None` where this gateway knows by itself.
-    pub told: Option<Now>,
+    /// When the ledger first reported it; `None` if only this gateway's own observations count.
+    pub reported_at: Option<Now>,
 }
 
 impl fmt::Display for Quarantine {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:?} crashed under it, ", self.endpoints)?;
-        match self.told {
-            Some(since) => write!(
+        match self.reported_at {
+            Some(reported_at) => write!(
                 f,
                 "told by the ledger {:.1} s after the start",
-                since.as_secs_f64()
+                reported_at.as_secs_f64()
             ),
             None => f.write_str("seen here"),
         }
     }
 }
 
-/// What the ledger has not heard of yet.
+/// Observations that the ledger has not accepted yet.
 #[derive(Default)]
-struct Own {
+struct PendingReports {
     crashes: VecDeque<ReportCrash>,
-    /// The same by request.
-    endpoints: BTreeMap<RequestDigest, BTreeMap<InstanceId, CrashedRun>>,
+    /// The same crashes, by request.
+    endpoints_by_request: BTreeMap<RequestDigest, BTreeMap<InstanceId, CrashedRun>>,
     answered: BTreeSet<RequestDigest>,
 }
 
-impl Own {
+impl PendingReports {
     fn add(&mut self, crash: ReportCrash) {
         for (request, run) in &crash.requests {
-            let endpoints = self.endpoints.entry(*request).or_default();
+            let endpoints = self.endpoints_by_request.entry(*request).or_default();
             endpoints.insert(crash.endpoint.clone(), *run);
         }
         self.crashes.push_back(crash);
     }
 
-    fn remove_first(&mut self) {
+    fn remove_oldest(&mut self) {
         let Some(crash) = self.crashes.pop_front() else {
             return;
         };
         for (request, _) in &crash.requests {
-            if let Some(endpoints) = self.endpoints.get_mut(request) {
+            if let Some(endpoints) = self.endpoints_by_request.get_mut(request) {
                 endpoints.remove(&crash.endpoint);
             }
         }
-        self.endpoints.retain(|_, endpoints| !endpoints.is_empty());
+        self.endpoints_by_request
+            .retain(|_, endpoints| !endpoints.is_empty());
     }
 }
 
 impl Suspects {
-    /// An endpoint crashed under these requests. Returns whether an older report was left out for it.
-    pub fn crashed(
+    /// Records that an endpoint crashed under these requests. Returns whether an older report was
+    /// dropped to make room.
+    pub fn record_crash(
         &self,
         endpoint: &InstanceId,
         requests: BTreeMap<RequestDigest, CrashedRun>,
     ) -> bool {
-        let mut own = self.own();
-        let is_full = own.crashes.len() >= MOST_WAITING;
+        let mut pending = self.pending();
+        let is_full = pending.crashes.len() >= MAX_PENDING_CRASHES;
         if is_full {
-            own.remove_first();
+            pending.remove_oldest();
         }
-        own.add(ReportCrash {
+        pending.add(ReportCrash {
             endpoint: endpoint.clone(),
             requests: requests.into_iter().collect(),
-            // The leader puts its own time in.
+            // The ledger's leader sets the time.
             at: UNIX_EPOCH,
         });
-        self.wanted.notify_one();
+        self.report_wanted.notify_one();
         is_full
     }
 
-    /// Why a request is kept from endpoints; `None` where it may go to them.
+    /// Why a request is not sent to endpoints; `None` if it may be sent.
     pub fn quarantine(&self, request: RequestDigest) -> Option<Quarantine> {
-        let told = self.told.load();
-        let told = told.get(&request);
-        let own = {
-            let own = self.own();
-            // The ledger is about to hear that it was answered.
-            if own.answered.contains(&request) {
+        let reported = self.from_ledger.load();
+        let reported = reported.get(&request);
+        let pending = {
+            let pending = self.pending();
+            // A report that it was answered is on its way to the ledger.
+            if pending.answered.contains(&request) {
                 return None;
             }
-            own.endpoints.get(&request).cloned()
+            pending.endpoints_by_request.get(&request).cloned()
         };
-        if told.is_none() && own.is_none() {
+        if reported.is_none() && pending.is_none() {
             return None;
         }
         let now = SystemTime::now();
-        let suspect = told.map(|told| told.suspect.clone());
+        let suspect = reported.map(|reported| reported.suspect.clone());
         let mut suspect = suspect.unwrap_or_else(|| Suspect::new(now));
-        for (endpoint, run) in own.into_iter().flatten() {
+        for (endpoint, run) in pending.into_iter().flatten() {
             suspect.crashed(&endpoint, run, now);
         }
-        let left = suspect.quarantined_for(now);
-        let told = told.filter(|told| told.suspect.weight() >= QUARANTINED_FROM);
-        (!left.is_zero()).then(|| Quarantine {
-            left,
+        let time_left = suspect.quarantined_for(now);
+        let reported = reported.filter(|reported| reported.suspect.weight() >= QUARANTINED_FROM);
+        (!time_left.is_zero()).then(|| Quarantine {
+            time_left,
             endpoints: endpoints_of(&suspect),
-            told: told.map(|told| told.since),
+            reported_at: reported.map(|reported| reported.learned_at),
         })
     }
 
-    /// An endpoint has answered a request: what crashed before did so for another reason.
-    pub fn answered(&self, request: RequestDigest) {
-        let mut own = self.own();
-        let is_suspect =
-            self.told.load().contains_key(&request) || own.endpoints.contains_key(&request);
-        if is_suspect && own.answered.insert(request) {
-            self.wanted.notify_one();
+    /// Records that an endpoint answered a request, so the earlier crashes had another cause.
+    pub fn record_answered(&self, request: RequestDigest) {
+        let mut pending = self.pending();
+        let is_suspect = self.from_ledger.load().contains_key(&request)
+            || pending.endpoints_by_request.contains_key(&request);
+        if is_suspect && pending.answered.insert(request) {
+            self.report_wanted.notify_one();
         }
     }
 
-    /// How many are kept from endpoints, by the ledger's word.
+    /// Number of requests in quarantine according to the ledger.
     pub fn count_quarantined(&self) -> u64 {
         let now = SystemTime::now();
-        let told = self.told.load();
-        let quarantined = told
+        let reported = self.from_ledger.load();
+        let quarantined = reported
             .values()
-            .filter(|told| is_quarantined(&told.suspect, now));
+            .filter(|reported| is_quarantined(&reported.suspect, now));
         quarantined.count() as u64
     }
 
-    fn own(&self) -> MutexGuard<'_, Own> {
-        // A panic elsewhere leaves whole reports.
-        self.own.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pending(&self) -> MutexGuard<'_, PendingReports> {
+        // Sound after a panic elsewhere: reports are added and removed whole.
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn next_report(&self) -> Option<Command> {
-        let own = self.own();
-        if let Some(crash) = own.crashes.front() {
+        let pending = self.pending();
+        if let Some(crash) = pending.crashes.front() {
             return Some(Command::ReportCrash(crash.clone()));
         }
-        if own.answered.is_empty() {
+        if pending.answered.is_empty() {
             return None;
         }
-        let requests = own.answered.iter().copied().collect();
+        let requests = pending.answered.iter().copied().collect();
         Some(Command::ClearSuspects(ClearSuspects { requests }))
     }
 
-    fn was_taken(&self, report: &Command) {
-        let mut own = self.own();
+    fn mark_accepted(&self, report: &Command) {
+        let mut pending = self.pending();
         match report {
-            // Another one is the first where this one was left out meanwhile.
-            Command::ReportCrash(taken) if own.crashes.front() == Some(taken) => own.remove_first(),
-            Command::ClearSuspects(taken) => {
-                own.answered
-                    .retain(|request| !taken.requests.contains(request));
+            // The first report is a different one if this one was dropped in the meantime.
+            Command::ReportCrash(accepted) if pending.crashes.front() == Some(accepted) => {
+                pending.remove_oldest();
+            }
+            Command::ClearSuspects(accepted) => {
+                pending
+                    .answered
+                    .retain(|request| !accepted.requests.contains(request));
             }
             _ => {}
         }
@@ -208,59 +215,65 @@
 }
 
 impl Gateway {
-    /// Takes in what the ledger tells. A request that an endpoint has answered here a moment before is cleared:
-    /// where a zone loses power, equal requests of many callers were under way at several endpoints.
-    pub fn take_suspects(&self, told: &BTreeMap<RequestDigest, Suspect>) {
-        let before = self.suspects.told.load_full();
-        let known = before
+    /// Applies the suspects reported by the ledger. A request that an endpoint answered here
+    /// shortly before is cleared: when a zone loses power, equal requests from many clients were in
+    /// flight at several endpoints.
+    pub fn apply_ledger_suspects(&self, reported: &BTreeMap<RequestDigest, Suspect>) {
+        let previous = self.suspects.from_ledger.load_full();
+        let known = previous
             .iter()
-            .map(|(request, told)| (request, &told.suspect));
-        if known.eq(told) {
+            .map(|(request, reported)| (request, &reported.suspect));
+        if known.eq(reported) {
             return;
         }
-        let since = self.life.now();
-        let mut all = BTreeMap::new();
-        for (request, suspect) in told {
-            let known = before.get(request);
-            let told = Told {
+        let now = self.lifecycle.now();
+        let mut updated = BTreeMap::new();
+        for (request, suspect) in reported {
+            let known = previous.get(request);
+            let entry = LedgerSuspect {
                 suspect: suspect.clone(),
-                since: known.map_or(since, |known| known.since),
+                learned_at: known.map_or(now, |known| known.learned_at),
             };
-            self.log_news(*request, known, &told);
-            all.insert(*request, told);
+            self.log_new_quarantine(*request, known, &entry);
+            updated.insert(*request, entry);
         }
-        for (request, _) in before
+        for (request, _) in previous
             .iter()
-            .filter(|(request, _)| !told.contains_key(request))
+            .filter(|(request, _)| !reported.contains_key(request))
         {
             event!(
-                self.log, events::GATEWAY_REQUEST_CLEARED, "content" => content::text(*request)
+                self.log, events::GATEWAY_REQUEST_CLEARED, "content" => request_digest::to_hex(*request)
             );
         }
-        self.suspects.told.store(Arc::new(all));
-        for request in told.keys() {
-            if self.was_answered(*request) {
-                self.suspects.answered(*request);
+        self.suspects.from_ledger.store(Arc::new(updated));
+        for request in reported.keys() {
+            if self.was_recently_answered(*request) {
+                self.suspects.record_answered(*request);
             }
         }
     }
 
-    fn log_news(&self, request: RequestDigest, known: Option<&Told>, told: &Told) {
+    fn log_new_quarantine(
+        &self,
+        request: RequestDigest,
+        known: Option<&LedgerSuspect>,
+        entry: &LedgerSuspect,
+    ) {
         let now = SystemTime::now();
         let was_quarantined = known.is_some_and(|known| is_quarantined(&known.suspect, now));
-        if is_quarantined(&told.suspect, now) && !was_quarantined {
+        if is_quarantined(&entry.suspect, now) && !was_quarantined {
             event!(
-                self.log, events::GATEWAY_REQUEST_QUARANTINED, "content" => content::text(request),
-                "endpoints" => format!("{:?}", endpoints_of(&told.suspect))
+                self.log, events::GATEWAY_REQUEST_QUARANTINED, "content" => request_digest::to_hex(request),
+                "endpoints" => format!("{:?}", endpoints_of(&entry.suspect))
             );
         }
     }
 }
 
-/// Tells the ledger what is seen here, for as long as the process lives.
+/// Reports observations to the ledger for as long as the process runs.
 pub async fn run(gw: &Gateway) {
     let suspects = &gw.suspects;
-    let next = || suspects.next_report();
-    let taken = |report: &Command| suspects.was_taken(report);
-    reports::run(gw, &suspects.wanted, next, taken).await;
+    let next_report = || suspects.next_report();
+    let mark_accepted = |report: &Command| suspects.mark_accepted(report);
+    reports::run(gw, &suspects.report_wanted, next_report, mark_accepted).await;
 }
--- a/crates/anvil_gateway/src/trace.rs
+++ b/crates/anvil_gateway/src/trace.rs
@@ -1,4 +1,4 @@
-//! What is logged of one request: one line at its end, with what decided it.
+//! The trace of one request: a single log line at its end, with the decisions taken.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -9,93 +9,94 @@
 use anvilreel::event;
 use tokio::time::Instant;
 
-use crate::content;
 use crate::gateway::Gateway;
 use crate::log_events as events;
 use crate::metrics;
+use crate::request_digest;
 
-/// Gathers what happens to one request, and logs it when the request ends, however it ends.
+/// Collects what happens to a request and logs it on drop, so each request is logged however it
+/// ends.
 pub struct Trace {
     gw: Arc<Gateway>,
-    begun: Instant,
+    started_at: Instant,
     id: Arc<str>,
     route: Option<Arc<str>>,
     organisation: Option<Arc<str>>,
-    table: u64,
+    table_version: u64,
     steps: String,
-    first: Option<Duration>,
-    pause: Duration,
-    billed: u64,
-    content: Option<RequestDigest>,
+    first_piece_at: Option<Duration>,
+    longest_gap: Duration,
+    cost: u64,
+    request_digest: Option<RequestDigest>,
     outcome: Option<&'static str>,
 }
 
-/// Bytes of steps that are kept for one request. A request makes a handful.
-const MOST_STEPS: usize = 1_024;
+/// No steps are added beyond this many bytes; a normal request has only a few steps.
+const MAX_STEPS_BYTES: usize = 1_024;
 
 impl Trace {
-    /// For a request that has just arrived.
-    pub fn new(gw: Arc<Gateway>, id: Arc<str>, begun: Instant) -> Self {
-        gw.open.fetch_add(1, Ordering::Relaxed);
+    /// Starts the trace of a request that has just arrived.
+    pub fn new(gw: Arc<Gateway>, id: Arc<str>, started_at: Instant) -> Self {
+        gw.open_requests.fetch_add(1, Ordering::Relaxed);
         Self {
             gw,
-            begun,
+            started_at,
             id,
             route: None,
             organisation: None,
-            table: 0,
+            table_version: 0,
             steps: String::new(),
-            first: None,
-            pause: Duration::ZERO,
-            billed: 0,
-            content: None,
+            first_piece_at: None,
+            longest_gap: Duration::ZERO,
+            cost: 0,
+            request_digest: None,
             outcome: None,
         }
     }
 
-    /// Notes the route, and the routing table that it comes from.
-    pub fn routed(&mut self, route: &Arc<str>, table: u64) {
+    /// Records the route, and the version of the routing table that it is from.
+    pub fn record_route(&mut self, route: &Arc<str>, table_version: u64) {
         self.route = Some(route.clone());
-        self.table = table;
+        self.table_version = table_version;
     }
 
-    /// Notes who sends it.
-    pub fn sent_by(&mut self, organisation: &Arc<str>) {
+    /// Records the organisation that sent the request.
+    pub fn record_organisation(&mut self, organisation: &Arc<str>) {
         self.organisation = Some(organisation.clone());
     }
 
-    /// Notes one decision with what it rests on.
+    /// Records one decision with its reasons.
     pub fn step(&mut self, step: std::fmt::Arguments<'_>) {
-        if self.steps.len() > MOST_STEPS {
+        if self.steps.len() > MAX_STEPS_BYTES {
             return;
         }
-        let at = self.begun.elapsed().as_millis();
-        // Writing to a string does not fail.
+        let at = self.started_at.elapsed().as_millis();
+        // Writing to a string can't fail.
         let _ = write!(self.steps, "{at}ms {step}; ");
     }
 
-    /// Notes that the first piece of an answer went out.
-    pub fn first_piece(&mut self) {
-        self.first.get_or_insert(self.begun.elapsed());
+    /// Records that the response to the client has begun.
+    pub fn record_first_piece(&mut self) {
+        self.first_piece_at.get_or_insert(self.started_at.elapsed());
     }
 
-    /// Notes the time between two events of a stream; the longest one is logged.
-    pub fn paused(&mut self, pause: Duration) {
-        self.pause = self.pause.max(pause);
+    /// Records the gap between two events of a stream; the longest one is logged.
+    pub fn record_gap(&mut self, gap: Duration) {
+        self.longest_gap = self.longest_gap.max(gap);
     }
 
-    /// Notes what it cost, in tokens.
-    pub fn billed(&mut self, tokens: u64) {
-        self.billed = tokens;
+    /// Records the cost in tokens.
+    pub fn record_cost(&mut self, tokens: u64) {
+        self.cost = tokens;
     }
 
-    /// Notes what makes it the same request as another one.
-    pub fn content(&mut self, content: RequestDigest) {
-        self.content = Some(content);
+    /// Records the digest that is equal for equal requests.
+    pub fn record_digest(&mut self, request_digest: RequestDigest) {
+        self.request_digest = Some(request_digest);
     }
 
-    /// Notes how it ended. The first word counts.
-    pub fn ended(&mut self, outcome: &'static str) {
+    /// Records the outcome. Only the first call has an effect.
+    pub fn record_outcome(&mut self, outcome: &'static str) {
         self.outcome.get_or_insert(outcome);
     }
 }
@@ -103,34 +104,34 @@
 impl Drop for Trace {
     fn drop(&mut self) {
         let outcome = self.outcome.unwrap_or("client_left");
-        let took = self.begun.elapsed();
-        self.gw.open.fetch_sub(1, Ordering::Relaxed);
+        let took = self.started_at.elapsed();
+        self.gw.open_requests.fetch_sub(1, Ordering::Relaxed);
         self.gw.metrics.count(&format!("requests.{outcome}"));
-        self.gw.metrics.time(metrics::TOOK, took);
-        if let Some(first) = self.first {
+        self.gw.metrics.time(metrics::REQUEST_TIME, took);
+        if let Some(first) = self.first_piece_at {
             self.gw.metrics.time(metrics::FIRST_PIECE, first);
         }
         let log = &self.gw.log;
-        let took = took.as_millis();
-        let first = self.first.map_or(0, |first| first.as_millis());
-        let pause = self.pause.as_millis();
-        let confirmed = self.gw.confirmed.load(Ordering::Relaxed);
-        let held = self.gw.now_ms().saturating_sub(confirmed);
+        let took_ms = took.as_millis();
+        let first_ms = self.first_piece_at.map_or(0, |first| first.as_millis());
+        let longest_gap_ms = self.longest_gap.as_millis();
+        let confirmed_ms = self.gw.ledger_confirmed_ms.load(Ordering::Relaxed);
+        let since_confirmed_ms = self.gw.now_ms().saturating_sub(confirmed_ms);
         if outcome == "completed" {
             event!(
                 log, events::GATEWAY_REQUEST_COMPLETED,
                 "request" => &*self.id, "route" => self.route.as_deref(),
-                "organisation" => self.organisation.as_deref(), "table" => self.table,
-                "held_ms" => held,
-                "first_ms" => first, "pause_ms" => pause, "took_ms" => took, "billed" => self.billed, "steps" => &*self.steps
+                "organisation" => self.organisation.as_deref(), "table" => self.table_version,
+                "held_ms" => since_confirmed_ms,
+                "first_ms" => first_ms, "pause_ms" => longest_gap_ms, "took_ms" => took_ms, "billed" => self.cost, "steps" => &*self.steps
             );
         } else {
             event!(
                 log, events::GATEWAY_REQUEST_FAILED,
                 "request" => &*self.id, "outcome" => outcome, "route" => self.route.as_deref(),
-                "organisation" => self.organisation.as_deref(), "table" => self.table,
-                "held_ms" => held, "content" => self.content.map(content::text),
-                "first_ms" => first, "pause_ms" => pause, "took_ms" => took, "billed" => self.billed, "steps" => &*self.steps
+                "organisation" => self.organisation.as_deref(), "table" => self.table_version,
+                "held_ms" => since_confirmed_ms, "content" => self.request_digest.map(request_digest::to_hex),
+                "first_ms" => first_ms, "pause_ms" => longest_gap_ms, "took_ms" => took_ms, "billed" => self.cost, "steps" => &*self.steps
             );
         }
     }
--- /dev/null
+++ b/crates/anvil_gateway/tests/direct/explanations.rs
@@ -0,0 +1,321 @@
+//! Failed requests can be explained from the log and the metrics alone, as docs/OPERATIONS.md
+//! shows. The tests fail if a log line needed for that is missing.
+
+use std::io::Write;
+use std::sync::atomic::Ordering;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use anvilreel::logs::{LogLimits, to_writer};
+use anvilreel::metrics::Metrics;
+use anvilreel::operator::{Explanation, explain};
+
+use crate::client::Client;
+use crate::endpoint::{Step, TestEndpoint, chunk, event, response, response_with, stream_head};
+use crate::gateway::TestGateway;
+
+/// Everything written so far.
+#[derive(Clone, Default)]
+struct WrittenLog(Arc<Mutex<Vec<u8>>>);
+
+impl Write for WrittenLog {
+    fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
+        self.0.lock().expect("a buffer").extend_from_slice(buf);
+        Ok(buf.len())
+    }
+
+    fn flush(&mut self) -> std::io::Result<()> {
+        Ok(())
+    }
+}
+
+impl WrittenLog {
+    async fn explain(&self, request: &str) -> Explanation {
+        // The log buffers lines briefly before writing them.
+        tokio::time::sleep(Duration::from_millis(300)).await;
+        explain(request, [("gateway-1", &*self.text())].into_iter())
+    }
+
+    fn text(&self) -> String {
+        let text = self.0.lock().expect("a buffer").clone();
+        String::from_utf8(text).expect("text")
+    }
+}
+
+async fn start_logged(
+    endpoints: &[(&str, &TestEndpoint)],
+) -> (TestGateway, WrittenLog, impl Fn() -> String + use<>) {
+    let log_output = WrittenLog::default();
+    let (log, dropped) = to_writer(log_output.clone(), LogLimits::default());
+    let (metrics, board) = Metrics::kept("gateway");
+    let gateway = TestGateway::start_with(endpoints, log, metrics).await;
+    assert_eq!(dropped.count(), 0);
+    (gateway, log_output, move || board.text())
+}
+
+/// Guards against an unexplained refusal while engines are idle: the request's line shows that the
+/// ledger was unreachable, and for how long.
+#[tokio::test]
+async fn refusal_with_idle_engines_is_explained() {
+    let idle = TestEndpoint::start(|_, _| vec![Step::Hang]).await;
+    let (gateway, log_output, metrics) = start_logged(&[("engine-1", &idle)]).await;
+    let mut client = Client::connect(gateway.addr).await;
+    let headers = "x-key: key\r\nx-tokens: 100,30\r\n";
+    let response = client.request("/stream/x", "refused-1", headers).await;
+    assert!(matches!(response.status, 429 | 503), "{response:?}");
+    let explanation = log_output.explain("refused-1").await;
+    let line = explanation.lines.last().expect("the request's line");
+    assert_eq!(line.message, "gateway_request_failed");
+    assert!(
+        line.values["steps"].contains("LedgerUnreachable"),
+        "{line:?}"
+    );
+    assert!(line.values["held_ms"].parse::<u64>().is_ok());
+    assert_eq!(line.values["organisation"], "co-op");
+    assert!(idle.received().is_empty());
+    let outcome = &line.values["outcome"];
+    assert!(metrics().contains(&format!("anvilreel_gateway_requests_{outcome} 1")));
+}
+
+/// Guards against an unexplained broken stream: the log names the endpoint, the last event, and
+/// that the endpoint is on cooldown.
+#[tokio::test]
+async fn broken_stream_is_explained() {
+    let broken = TestEndpoint::start(|_, req| {
+        vec![
+            Step::Send(stream_head(req)),
+            Step::Send(chunk(&event(1))),
+            Step::Pause(Duration::from_millis(100)),
+            Step::Reset,
+        ]
+    })
+    .await;
+    let (gateway, log_output, metrics) = start_logged(&[("engine-1", &broken)]).await;
+    let mut client = Client::connect(gateway.addr).await;
+    assert!(!client.request("/stream/x", "broken-1", "").await.complete);
+    let explanation = log_output.explain("broken-1").await;
+    let cooldown = explanation
+        .lines
+        .iter()
+        .find(|l| l.message == "gateway_endpoint_shut");
+    assert_eq!(
+        cooldown.expect("a cooldown line").values["endpoint"],
+        "engine-1"
+    );
+    let line = explanation.lines.last().expect("the request's line");
+    assert_eq!(line.values["outcome"], "answer_lost");
+    let steps = &line.values["steps"];
+    assert!(
+        steps.contains("to engine-1") && steps.contains("own, no report"),
+        "{steps}"
+    );
+    assert!(
+        steps.contains("engine-1 broke off after Some(1)"),
+        "{steps}"
+    );
+    assert!(metrics().contains("anvilreel_gateway_requests_answer_lost 1"));
+    assert!(metrics().contains("anvilreel_gateway_endpoints_shut") || broken.received().len() == 1);
+}
+
+/// Guards against an unknown outcome that can't be followed up: the line names the only endpoint
+/// that received the request, and why its response is missing.
+#[tokio::test]
+async fn unknown_outcome_names_the_endpoint() {
+    let resetting = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
+    let (gateway, log_output, metrics) = start_logged(&[("desk-1", &resetting)]).await;
+    let mut client = Client::connect(gateway.addr).await;
+    assert_eq!(client.request("/once/x", "order-1", "").await.status, 502);
+    let explanation = log_output.explain("order-1").await;
+    let line = explanation.lines.last().expect("the request's line");
+    assert_eq!(line.values["outcome"], "answer_lost");
+    assert_eq!(line.values["route"], "once");
+    let steps = &line.values["steps"];
+    assert!(
+        steps.contains("to desk-1") && steps.contains("in doubt: Lost"),
+        "{steps}"
+    );
+    assert!(metrics().contains("anvilreel_gateway_tries_in_doubt 1"));
+    assert_eq!(explanation.unreadable, 0);
+}
+
+/// Guards against a log that does not tell crashes from lost connections, or does not name the
+/// request.
+#[tokio::test]
+async fn crash_is_logged_with_its_request() {
+    let crashing = TestEndpoint::start(|_, _| vec![Step::Crash]).await;
+    let (gateway, log_output, _) = start_logged(&[("engine-1", &crashing)]).await;
+    let mut client = Client::connect(gateway.addr).await;
+    assert_eq!(client.request("/once/x", "crash-1", "").await.status, 502);
+    let explanation = log_output.explain("crash-1").await;
+    let line = explanation.lines.last().expect("the request's line");
+    let content = &line.values["content"];
+    let text = log_output.text();
+    let crash = text
+        .lines()
+        .find(|line| line.contains("gateway_endpoint_crashed"));
+    let crash = crash.expect("a crash line");
+    assert!(crash.contains("engine-1"), "{crash}");
+    assert!(crash.contains("Refused"), "{crash}");
+    assert!(crash.contains(content), "{crash}");
+}
+
+/// Guards against an unexplained quarantine: the line names the crashes and who observed them.
+#[tokio::test]
+async fn quarantine_is_explained() {
+    let crashing = |_| TestEndpoint::start(|_, _| vec![Step::Crash]);
+    let endpoints = futures::future::join_all((0..4).map(crashing)).await;
+    let names = ["engine-1", "engine-2", "engine-3", "engine-4"];
+    let listed: Vec<_> = names.into_iter().zip(&endpoints).collect();
+    let (gateway, log_output, metrics) = start_logged(&listed).await;
+    for status in [502, 502, 502, 503] {
+        let mut client = Client::connect(gateway.addr).await;
+        let response = client
+            .request("/once/x", &format!("quarantine-{status}"), "")
+            .await;
+        assert_eq!(response.status, status);
+        tokio::time::sleep(Duration::from_millis(50)).await;
+    }
+    let explanation = log_output.explain("quarantine-503").await;
+    let line = explanation.lines.last().expect("the request's line");
+    assert_eq!(line.values["outcome"], "crashes_endpoints");
+    let steps = &line.values["steps"];
+    assert!(
+        steps.contains("engine-") && steps.contains("seen here"),
+        "{steps}"
+    );
+    assert!(metrics().contains("anvilreel_gateway_requests_crashes_endpoints 1"));
+    assert!(metrics().contains("anvilreel_gateway_endpoints_crashed 3"));
+}
+
+/// Guards against a lost connection being logged as a crash.
+#[tokio::test]
+async fn lost_connection_is_not_logged_as_a_crash() {
+    let resetting = TestEndpoint::start(|_, _| vec![Step::Reset]).await;
+    let (gateway, log_output, _) = start_logged(&[("desk-1", &resetting)]).await;
+    let mut client = Client::connect(gateway.addr).await;
+    assert_eq!(client.request("/once/x", "lost-1", "").await.status, 502);
+    let explanation = log_output.explain("lost-1").await;
+    assert!(
+        explanation
+            .lines
+            .last()
+            .expect("a line")
+            .values
+            .contains_key("content")
+    );
+    assert!(!log_output.text().contains("gateway_endpoint_crashed"));
+}
+
+/// Guards against an endpoint's limit, or its end, missing from the log.
+#[tokio::test]
+async fn endpoint_limit_and_its_end_are_logged() {
+    let endpoint = TestEndpoint::start(|number, req| {
+        let limit = ["", "x-limit: 2500\r\n", "x-limit: 2500\r\n", ""][number];
+        vec![Step::Send(response_with(req, limit, "ran"))]
+    })
+    .await;
+    let (gateway, log_output, _) = start_logged(&[("engine-1", &endpoint)]).await;
+    gateway.gw.gateway_count.store(1, Ordering::Relaxed);
+    let mut client = Client::connect(gateway.addr).await;
+    for number in 0..4 {
+        tokio::time::sleep(Duration::from_millis(450)).await;
+        let response = client.request("/once/x", &format!("id-{number}"), "").await;
+        assert_eq!(response.status, 200);
+    }
+    log_output.explain("id-3").await;
+    let text = log_output.text();
+    let lines = text
+        .lines()
+        .filter(|line| line.contains("gateway_endpoint_limit"));
+    let lines: Vec<_> = lines.collect();
+    assert_eq!(lines.len(), 2, "{lines:?}");
+    assert!(
+        lines[0].contains("2500") && !lines[1].contains("2500"),
+        "{lines:?}"
+    );
+}
+
+/// Guards against requests being delayed when nobody reads the log; dropped lines are counted.
+#[tokio::test]
+async fn unread_log_does_not_delay_requests() {
+    struct StuckWriter;
+    impl Write for StuckWriter {
+        fn write(&mut self, _: &[u8]) -> std::io::Result<usize> {
+            std::thread::sleep(Duration::from_hours(1));
+            Ok(0)
+        }
+        fn flush(&mut self) -> std::io::Result<()> {
+            Ok(())
+        }
+    }
+    let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
+    let limits = LogLimits {
+        bytes_per_second: 1_000_000,
+        lines_per_second: 10_000,
+        waiting_bytes: 20_000,
+    };
+    let (log, dropped) = to_writer(StuckWriter, limits);
+    let gateway =
+        TestGateway::start_with(&[("a", &working)], log, Metrics::silent("gateway")).await;
+    let mut client = Client::connect(gateway.addr).await;
+    let started_at = std::time::Instant::now();
+    for number in 0..200 {
+        let response = client.request("/once/x", &format!("id-{number}"), "").await;
+        assert_eq!(response.status, 200);
+    }
+    assert!(started_at.elapsed() < Duration::from_secs(5));
+    assert!(dropped.count() > 0);
+}
+
+/// Guards against failures being lost when far more is logged than allowed: informational lines are
+/// dropped first, and a line states how many were dropped.
+#[tokio::test]
+async fn failures_are_logged_when_the_byte_limit_is_exceeded() {
+    let log_output = WrittenLog::default();
+    let limits = LogLimits {
+        bytes_per_second: 20_000,
+        lines_per_second: 10_000,
+        waiting_bytes: 40_000,
+    };
+    let (log, dropped) = to_writer(log_output.clone(), limits);
+    for number in 0..500 {
+        slog::info!(log, "fine"; "request" => number);
+    }
+    slog::warn!(log, "failed"; "request" => "x");
+    tokio::time::sleep(Duration::from_millis(300)).await;
+    slog::warn!(log, "later"; "request" => "y");
+    tokio::time::sleep(Duration::from_millis(300)).await;
+    let text = log_output.text();
+    assert!(text.contains("\"failed\"") && text.contains("\"later\""));
+    let bytes = text
+        .lines()
+        .filter(|line| line.contains("fine"))
+        .map(str::len)
+        .sum::<usize>();
+    assert!(bytes <= 12_000, "{bytes} bytes of ordinary lines");
+    assert!(text.contains("log_lines_dropped"));
+    assert!(dropped.count() > 100);
+}
+
+/// Guards against floods of short lines: the number of lines is limited as well, and a line that
+/// explains a failure still gets through.
+#[tokio::test]
+async fn log_line_rate_is_limited() {
+    let log_output = WrittenLog::default();
+    let limits = LogLimits {
+        bytes_per_second: 1_000_000,
+        lines_per_second: 40,
+        waiting_bytes: 1_000_000,
+    };
+    let (log, dropped) = to_writer(log_output.clone(), limits);
+    for number in 0..200 {
+        slog::info!(log, "fine"; "request" => number);
+    }
+    slog::warn!(log, "failed"; "request" => "x");
+    tokio::time::sleep(Duration::from_millis(300)).await;
+    let text = log_output.text();
+    let fine = text.lines().filter(|line| line.contains("fine")).count();
+    assert!((15..=30).contains(&fine), "{fine}");
+    assert!(text.contains("\"failed\""));
+    assert!(dropped.count() >= 170);
+}
