--- a/crates/anvil_world/src/command.rs
+++ b/crates/anvil_world/src/command.rs
@@ -1,7 +1,7 @@
-//! Commands: what the replicated log holds, and what each one answers.
+//! The commands in the entries of the replicated log, and their results.
 //!
-//! A command is deterministic: everything that differs between replicas, such as the time, is
-//! put in by the leader before it proposes.
+//! Applying a command is deterministic: the leader fills in everything that could differ between
+//! replicas, such as the time, before it proposes the command.
 
 mod answer;
 mod change;
@@ -29,46 +29,46 @@
 
 use crate::ids::{GrantId, Tokens};
 
-/// One entry of the replicated log.
+/// The command of one entry of the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Nothing; a new leader commits one to learn what is committed.
+    /// Changes nothing; a new leader commits one to establish the commit index in its term.
     Noop,
-    /// A change of the settings tree.
+    /// An operator changes one document of the settings tree.
     Change(Change),
-    /// Prepaid tokens come in.
+    /// Credits prepaid tokens to a budget.
     TopUp(TopUp),
-    /// A router's reports, asks and returns of one second.
+    /// A router's charge reports, returned tokens and grant requests of one second.
     GrantBatch(GrantBatch),
-    /// A router's incarnation is lost: its grants are fenced.
+    /// Fences the grants of a router incarnation that was lost.
     FenceRouter(FenceRouter),
-    /// A fenced grant is closed at the charge that the evidence shows.
+    /// Closes a fenced grant at the total charge that the sidecars' evidence shows.
     CloseGrant {
         /// The grant.
         grant: GrantId,
-        /// All that was charged under it, in tokens.
+        /// Total charged under it, in tokens.
         charged: Tokens,
     },
-    /// An operator gives up what is outstanding in a fenced grant.
+    /// An operator writes off the outstanding part of a fenced grant.
     WriteOff(WriteOff),
-    /// A non-idempotent request is bound to one sidecar before it is dispatched.
+    /// Binds a non-idempotent request to one sidecar before it is dispatched.
     Claim(Claim),
-    /// A claim's end is known.
+    /// Records how a claimed request ended.
     SettleClaim(SettleClaim),
-    /// An instance comes, or comes back in a new incarnation.
+    /// An instance joins, or rejoins in a new incarnation.
     Join(Join),
-    /// An instance is leaving or gone, by the platform's list or missed heartbeats.
+    /// Changes an instance's presence, because of the platform's list or of missed heartbeats.
     SetPresence(SetPresence),
-    /// An operator empties an instance.
+    /// An operator drains an instance.
     Drain(Drain),
-    /// An order to an endpoint takes the next fencing number.
+    /// Assigns the next fencing number to an order for an endpoint.
     Order(Order),
-    /// A routing table takes the place of the one before, if its number is higher.
+    /// Replaces the routing table, if the new version is higher.
     ReplaceRouting(ReplaceRouting),
-    /// An endpoint crashed under requests.
+    /// An endpoint crashed while these requests were in flight on it.
     ReportCrash(ReportCrash),
-    /// Requests under which endpoints crashed have been answered by others.
+    /// Clears suspect requests that an endpoint has answered since.
     ClearSuspects(ClearSuspects),
-    /// An endpoint announced what it takes from all routers, or announces nothing any more.
+    /// An endpoint announced its rate limit over all routers, or no longer announces one.
     ReportLimit(ReportLimit),
 }
--- a/crates/anvil_world/src/command/answer.rs
+++ b/crates/anvil_world/src/command/answer.rs
@@ -1,4 +1,4 @@
-//! What a command answers.
+//! The results of applied commands.
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
@@ -9,51 +9,51 @@
 use crate::path::TreePath;
 use crate::settings::Problem;
 
-/// The answer to a command that was applied.
+/// The result of a command that was applied.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// Applied; nothing to tell.
+    /// Applied; there is no result.
     Done,
     /// A change, top-up, drain or write-off was accepted, now or when it was first sent.
     Changed(ChangeReceipt),
-    /// What a grant batch brought.
+    /// The result of a grant batch.
     Grants(GrantBatchAnswer),
-    /// Who holds the claim: the asker or whoever came first.
+    /// The claim that holds the key: this one or an earlier one.
     Claimed(ClaimRecord),
-    /// The number that an order carries.
+    /// The fencing number assigned to the order.
     Fencing(FenceNumber),
-    /// The tokens left in a budget after a closed grant.
+    /// The tokens left in the budget after a grant was closed.
     Closed(Tokens),
-    /// The number of the routing table in force after a replacement, taken or not.
+    /// The version of the routing table in force after a replacement, accepted or not.
     Routing(RoutingVersion),
-    /// Applied as a refusal; nothing was changed.
+    /// The command was rejected and changed nothing.
     Denied(Denial),
 }
 
-/// Why a command changed nothing.
+/// Why a command was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Snafu)]
 pub enum Denial {
-    /// Another operator was first.
+    /// Another operator changed the document first.
     #[snafu(display("{path} is at revision {current}, not {expected}: changed by {operator}"))]
     Conflict {
-        /// The path both wanted.
+        /// The path of the document.
         path: TreePath,
-        /// What the loser expected.
+        /// The revision the rejected change expected.
         expected: Revision,
-        /// What stands now.
+        /// The document's current revision.
         current: Revision,
-        /// Who won.
+        /// The operator who wrote it.
         operator: OperatorId,
-        /// The winner's text, so that the loser sees what stands.
+        /// The document's current text, to show to the rejected operator.
         text: std::sync::Arc<str>,
     },
-    /// The same change id came with another content.
+    /// The change id was used before with different content.
     #[snafu(display("change id {id} was used before for something else"))]
     ChangeIdReused {
         /// The id.
         id: ChangeId,
     },
-    /// The change id does not say when it was made, or was made too long ago or in the future.
+    /// The change id has no valid time, or its time is too long ago or in the future.
     #[snafu(display(
         "change id {id} is not of the form MILLISECONDS-TEXT with a time within the last week"
     ))]
@@ -61,13 +61,13 @@
         /// The id.
         id: ChangeId,
     },
-    /// The text is not accepted.
+    /// The settings text is not valid.
     #[snafu(display("{message}"))]
     Settings {
         /// With path, line, what was found and what is allowed.
         message: String,
     },
-    /// The document names something that the tree does not have, or is still named by others.
+    /// The document refers to a document that does not exist, or is still referred to by others.
     #[snafu(display("{path}: {problem}"))]
     Reference {
         /// The document.
@@ -75,19 +75,19 @@
         /// What is wrong.
         problem: Problem,
     },
-    /// A contract would be broken.
+    /// A budget, grant or split does not allow it.
     #[snafu(display("{source}"))]
     Contract {
-        /// Which.
+        /// Why.
         source: ContractError,
     },
-    /// A batch from an incarnation that was fenced or replaced.
+    /// The batch is from an incarnation that was fenced or replaced.
     #[snafu(display("this incarnation of the router is fenced"))]
     Fenced,
-    /// A batch with an older number than one already applied.
+    /// The batch has a lower sequence number than one already applied.
     #[snafu(display("the batch is older than one already applied"))]
     OldBatch,
-    /// The grant is not fenced, so nobody may close or write it off.
+    /// The grant is not fenced, so it can't be closed or written off.
     #[snafu(display("grant {grant} is not fenced"))]
     NotFenced {
         /// The grant.
@@ -96,9 +96,9 @@
     /// No such budget, instance, claim, grant or path.
     #[snafu(display("no such {what}: {name}"))]
     Unknown {
-        /// What kind of thing.
+        /// The kind of the unknown name.
         what: Noun,
-        /// Its name.
+        /// The unknown name.
         name: String,
     },
     /// The incarnation is older than one already known.
@@ -106,7 +106,7 @@
     OldIncarnation,
 }
 
-/// What an unknown name was meant to be.
+/// The kind of an unknown name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Noun {
     /// A budget.
--- a/crates/anvil_world/src/command/crash.rs
+++ b/crates/anvil_world/src/command/crash.rs
@@ -1,4 +1,4 @@
-//! Requests under which endpoints crash.
+//! Commands that maintain the records of suspect requests.
 
 use std::time::SystemTime;
 
@@ -7,18 +7,19 @@
 use crate::ids::{InstanceId, RequestDigest};
 use crate::suspect::CrashedRun;
 
-/// An endpoint crashed under these requests. The same crash counts once, whoever tells of it.
+/// An endpoint crashed while these requests were in flight on it. A crash reported by several routers
+/// counts once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportCrash {
-    /// The endpoint, in the life that crashed.
+    /// The endpoint, in the incarnation that crashed.
     pub endpoint: InstanceId,
-    /// The requests, and how far their runs had come.
+    /// The requests, and how far their runs had got.
     pub requests: Vec<(RequestDigest, CrashedRun)>,
-    /// When the leader took it.
+    /// When the leader proposed it.
     pub at: SystemTime,
 }
 
-/// Endpoints have answered these requests, so they are not what the crashes came from.
+/// Endpoints have answered these requests, so they did not cause the crashes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClearSuspects {
     /// The requests.
--- a/crates/anvil_world/src/command/fencing.rs
+++ b/crates/anvil_world/src/command/fencing.rs
@@ -1,12 +1,13 @@
-//! Orders to endpoints and their fencing numbers.
+//! Orders to endpoints, and the fencing numbers that protect them against stale leaders.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{InstanceId, LogIndex, ModelId, Term};
 
-/// Orders with a lower number than one already seen are refused.
+/// Fencing number of an order. A receiver refuses orders with a lower number than one already seen.
 ///
-/// It grows with the log: an isolated old leader can't commit, so it can't issue one.
+/// It is the log position of the order: an isolated old leader can't commit an entry, so it can't
+/// issue a number.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,7 +18,7 @@
     pub index: LogIndex,
 }
 
-/// What an endpoint is told to do.
+/// The action that an order requests of an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderKind {
@@ -32,14 +33,14 @@
         /// The adapter.
         adapter: std::sync::Arc<str>,
     },
-    /// Change to a version of a model.
+    /// Switch to a version of a model.
     SetVersion {
         /// The model.
         model: ModelId,
         /// The version.
         version: std::sync::Arc<str>,
     },
-    /// Change what the engine is for.
+    /// Change the engine's role.
     SetRole(std::sync::Arc<str>),
 }
 
@@ -48,6 +49,6 @@
 pub struct Order {
     /// The sidecar beside the endpoint.
     pub sidecar: InstanceId,
-    /// What to do.
+    /// The action.
     pub kind: OrderKind,
 }
--- a/crates/anvil_world/src/command/grants.rs
+++ b/crates/anvil_world/src/command/grants.rs
@@ -1,84 +1,84 @@
-//! What a router and the ledger tell each other about money, once a second.
+//! The exchange of charges and grants between a router and the ledger, once a second.
 
 use serde::{Deserialize, Serialize};
 
 use crate::contract::Grant;
 use crate::ids::{BatchSeq, BudgetId, GrantId, Incarnation, InstanceId, Tokens};
 
-/// One second of a router's money, in one entry of the log.
+/// A router's charge reports and grant requests of one second, in one log entry.
 ///
-/// A resent batch (same router, incarnation and number) gets its first answer, so that an
-/// answer lost on the way opens no second grant.
+/// A resent batch (same router, incarnation and sequence number) gets the first answer again, so a
+/// lost answer never leads to a second grant.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantBatch {
     /// The router.
     pub router: InstanceId,
-    /// Its life.
+    /// The router's incarnation.
     pub incarnation: Incarnation,
-    /// Grows by one with each new batch.
+    /// Sequence number; one more for each new batch.
     pub seq: BatchSeq,
-    /// Cumulative charges.
+    /// Cumulative charges of open grants.
     pub reports: Vec<GrantReport>,
-    /// New grants wanted.
+    /// Requests for new grants.
     pub asks: Vec<GrantAsk>,
 }
 
-/// What a router has charged under a grant.
+/// A router's cumulative report on one grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantReport {
     /// The grant.
     pub grant: GrantId,
     /// Charged so far, in tokens.
     pub settled: Tokens,
-    /// Given back so far out of the free part, in tokens; never more than is neither charged nor
-    /// reserved. Cumulative, as `settled` is.
+    /// Returned so far, in tokens; never out of the part that is charged or reserved. Cumulative,
+    /// like `settled`.
     pub returned: Tokens,
-    /// Whether the router spends no more out of it: the rest goes back.
+    /// Whether the router has finished with the grant; the remainder returns to the budget.
     pub close: bool,
 }
 
-/// A wish for a new grant.
+/// A request for a new grant.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantAsk {
     /// The budget.
     pub budget: BudgetId,
-    /// What would do for the demand, in tokens.
+    /// Tokens that cover the demand.
     pub wanted: Tokens,
-    /// Less than this is of no use, in tokens.
+    /// Minimum useful amount, in tokens.
     pub least: Tokens,
 }
 
-/// What came of a batch.
+/// The result of a batch.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantBatchAnswer {
-    /// The batch it answers.
+    /// Sequence number of the batch.
     pub seq: BatchSeq,
     /// New grants.
     pub opened: Vec<Grant>,
-    /// Grants that are closed now.
+    /// Grants that are now closed.
     pub closed: Vec<GrantId>,
-    /// Grants of this router whose unspent rest is wanted back.
+    /// Grants of this router whose unspent part the ledger reclaims.
     pub recalled: Vec<GrantId>,
-    /// Asks that got nothing.
+    /// Requests that were refused.
     pub refused: Vec<GrantRefusal>,
 }
 
-/// An ask that got nothing.
+/// A refused request for a grant.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantRefusal {
     /// The budget.
     pub budget: BudgetId,
-    /// What is left to be granted, in tokens: less than the least asked.
+    /// Tokens that are left in the budget: fewer than the requested minimum.
     pub left: Tokens,
-    /// What lies unsettled in other routers' grants and may come back, in tokens.
+    /// Unsettled tokens in other routers' grants, which may still be returned.
     pub outstanding: Tokens,
 }
 
-/// A router's incarnation is lost; sidecars refuse its grants from now on.
+/// Declares a router's incarnation lost; sidecars refuse its grants from now on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FenceRouter {
     /// The router.
     pub router: InstanceId,
-    /// The life that ended; grants of older lives are fenced too.
+    /// The lost incarnation; grants of older incarnations are fenced too.
     pub incarnation: Incarnation,
 }
--- a/crates/anvil_world/src/command/limit.rs
+++ b/crates/anvil_world/src/command/limit.rs
@@ -1,4 +1,4 @@
-//! Limits that endpoints announce.
+//! Rate limits that endpoints announce.
 
 use std::time::SystemTime;
 
@@ -6,13 +6,13 @@
 
 use crate::ids::{InstanceId, RateLimit};
 
-/// An endpoint has announced a limit, or announces none any more.
+/// A router reports the rate limit that an endpoint announces.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportLimit {
     /// The endpoint.
     pub endpoint: InstanceId,
-    /// What it takes from all routers together.
+    /// The limit over all routers together; `None` if the endpoint no longer announces one.
     pub limit: Option<RateLimit>,
-    /// When the leader took it.
+    /// When the leader proposed it.
     pub at: SystemTime,
 }
--- a/crates/anvil_world/src/command/replace.rs
+++ b/crates/anvil_world/src/command/replace.rs
@@ -1,4 +1,4 @@
-//! The routing table, replaced whole.
+//! Replacement of the routing table as a whole.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,21 +8,21 @@
 
 use crate::ids::{BudgetId, OperatorId, RoutingVersion, Tokens};
 
-/// A whole routing table under a number of the operator's.
+/// A complete routing table with a version chosen by the operator.
 ///
-/// The highest number wins. One that is not higher than the number in force changes nothing, so
-/// that an order may be resent, may come late, and may race with another operator's.
+/// The highest version wins. A table whose version is not higher than the one in force changes
+/// nothing, so a replacement may be resent, may arrive late, and may race with another operator's.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplaceRouting {
-    /// Who.
+    /// The operator who sent it.
     pub operator: OperatorId,
-    /// The operator's number.
+    /// The operator's version of the table.
     pub version: RoutingVersion,
-    /// The operator's text, kept byte for byte.
+    /// The operator's text, stored byte for byte.
     pub text: Arc<str>,
-    /// What each budget is worth in all under this table, in tokens. A budget that isn't named
-    /// keeps what it has.
+    /// Total tokens credited to each budget under this table. A budget that isn't listed keeps its
+    /// credit.
     pub credits: BTreeMap<BudgetId, Tokens>,
-    /// When the leader took it.
+    /// When the leader proposed it.
     pub at: SystemTime,
 }
--- a/crates/anvil_world/src/contract.rs
+++ b/crates/anvil_world/src/contract.rs
@@ -1,4 +1,4 @@
-//! Contracts: what is prepaid, what work costs, and who pays which part.
+//! Payment contracts: prepaid budgets, grants out of them, prices, and the split among payers.
 
 mod budget;
 mod grant;
@@ -15,28 +15,28 @@
 
 use crate::ids::{BudgetId, GrantId, Tokens};
 
-/// A contract that would be broken.
+/// An operation that a budget, grant or split does not allow.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Snafu)]
 #[snafu(visibility(pub))]
 pub enum ContractError {
-    /// The budget has less left than was asked for.
+    /// The budget has fewer tokens left than requested.
     #[snafu(display("budget {budget} has {left} tokens left, {asked} asked"))]
     Exhausted {
         /// The budget.
         budget: BudgetId,
-        /// What is left, in tokens.
+        /// Tokens left.
         left: Tokens,
-        /// What was asked, in tokens.
+        /// Tokens requested.
         asked: Tokens,
     },
-    /// A charge above the grant it is made under.
+    /// The charge exceeds its grant.
     #[snafu(display("grant {grant} holds {amount} tokens, {charged} charged"))]
     OverGrant {
         /// The grant.
         grant: GrantId,
         /// Its amount, in tokens.
         amount: Tokens,
-        /// What was charged, in tokens.
+        /// Tokens charged.
         charged: Tokens,
     },
     /// The grant is closed or was never open.
@@ -45,10 +45,10 @@
         /// The grant.
         grant: GrantId,
     },
-    /// A sum that does not fit 64 bits.
+    /// A sum overflows 64 bits.
     #[snafu(display("the amount does not fit in 64 bits"))]
     Overflow,
-    /// A split without payers, with a payer twice or with a weight of nothing.
+    /// A split without payers, with a duplicate payer or with a weight of 0.
     #[snafu(display("a split needs distinct payers with weights above 0"))]
     BadSplit,
 }
--- a/crates/anvil_world/src/contract/budget.rs
+++ b/crates/anvil_world/src/contract/budget.rs
@@ -1,4 +1,4 @@
-//! A prepaid budget, as the ledger keeps it.
+//! A prepaid budget, as the ledger stores it.
 
 use std::collections::BTreeMap;
 
@@ -7,11 +7,11 @@
 use super::{ContractError, Grant, GrantState};
 use crate::ids::{BudgetId, GrantId, Tokens};
 
-/// A prepaid budget: what was paid in, what was billed, and what routers may still spend.
+/// A prepaid budget: tokens paid in, tokens charged, and open grants that routers may spend.
 ///
-/// The invariant `billed + open grants <= credited` is checked by [`Budget::holds`] at every
-/// apply. `billed` counts settled tokens of open grants too, so an open grant weighs only its
-/// outstanding part.
+/// Invariant: `billed + outstanding part of open grants <= credited`. [`Budget::holds`] checks it
+/// whenever a command is applied. `billed` includes the settled tokens of open grants, so an open
+/// grant adds only its outstanding part.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Budget {
     /// Tokens paid in.
@@ -23,7 +23,7 @@
 }
 
 impl Budget {
-    /// Tokens in open grants that are not settled.
+    /// Tokens in open grants that are neither settled nor returned.
     pub fn outstanding(&self) -> Tokens {
         self.open.values().map(Grant::outstanding).sum()
     }
@@ -35,7 +35,7 @@
             .saturating_sub(self.outstanding())
     }
 
-    /// The invariant: no budget is promised or charged beyond what was paid in.
+    /// Whether the invariant holds: no more is granted and charged than was paid in.
     pub fn holds(&self) -> bool {
         self.billed
             .checked_add(self.outstanding())
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    /// Opens a grant when enough is left.
+    /// Opens a grant if enough tokens are left.
     pub fn open(&mut self, budget: &BudgetId, grant: Grant) -> Result<(), ContractError> {
         let left = self.left();
         if grant.amount > left {
@@ -63,7 +63,7 @@
         Ok(())
     }
 
-    /// Takes a cumulative charge under a grant; a lower one than known changes nothing.
+    /// Records the cumulative charge of a grant; one below the recorded charge changes nothing.
     pub fn settle(&mut self, id: GrantId, charged: Tokens) -> Result<(), ContractError> {
         let grant = self.open.get_mut(&id);
         let grant = grant.ok_or(ContractError::NoGrant { grant: id })?;
@@ -80,7 +80,8 @@
         Ok(())
     }
 
-    /// Takes back a part of an open grant, cumulative; a lower one than known changes nothing.
+    /// Records the cumulative amount returned from an open grant; one below the recorded amount
+    /// changes nothing.
     pub fn give_back(&mut self, id: GrantId, returned: Tokens) -> Result<(), ContractError> {
         let grant = self.open.get_mut(&id);
         let grant = grant.ok_or(ContractError::NoGrant { grant: id })?;
@@ -96,14 +97,14 @@
         Ok(())
     }
 
-    /// Closes a grant at its settled charge; the rest can be granted again.
+    /// Closes a grant at its settled charge; the remainder can be granted again.
     pub fn close(&mut self, id: GrantId) -> Result<Grant, ContractError> {
         self.open
             .remove(&id)
             .ok_or(ContractError::NoGrant { grant: id })
     }
 
-    /// Marks a grant as recalled or fenced. A fenced one never goes back to recalled.
+    /// Sets a grant's state to recalled or fenced. A fenced grant stays fenced.
     pub fn mark(&mut self, id: GrantId, state: GrantState) -> Result<(), ContractError> {
         let grant = self.open.get_mut(&id);
         let grant = grant.ok_or(ContractError::NoGrant { grant: id })?;
--- a/crates/anvil_world/src/contract/grant.rs
+++ b/crates/anvil_world/src/contract/grant.rs
@@ -4,14 +4,14 @@
 
 use crate::ids::{BudgetId, GrantId, Incarnation, InstanceId, Tokens};
 
-/// How far a grant has come.
+/// The state of a grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GrantState {
-    /// The router spends out of it.
+    /// The router may spend it.
     Open,
-    /// The ledger wants the unspent rest back; the router still settles what runs.
+    /// The ledger reclaims the unspent part; the router still settles requests in flight.
     Recalled,
-    /// Its router is lost; sidecars refuse it and say what was charged under it.
+    /// Its router is lost; sidecars refuse it and report what was charged under it.
     Fenced,
 }
 
@@ -24,20 +24,21 @@
     pub budget: BudgetId,
     /// The router that may spend it.
     pub router: InstanceId,
-    /// The life of that router.
+    /// The router's incarnation.
     pub incarnation: Incarnation,
-    /// How many tokens in all.
+    /// Total tokens granted.
     pub amount: Tokens,
-    /// Highest charge reported so far. Cumulative, so doubled and late reports are harmless.
+    /// Highest charge reported so far, in tokens. Cumulative, so duplicate and late reports are
+    /// harmless.
     pub settled: Tokens,
-    /// Given back so far, in tokens. Cumulative too.
+    /// Returned so far, in tokens. Cumulative too.
     pub returned: Tokens,
-    /// How far it has come.
+    /// Its state.
     pub state: GrantState,
 }
 
 impl Grant {
-    /// Tokens that are neither settled nor given back.
+    /// Tokens that are neither settled nor returned.
     pub fn outstanding(&self) -> Tokens {
         self.amount
             .saturating_sub(self.settled)
--- a/crates/anvil_world/src/contract/price.rs
+++ b/crates/anvil_world/src/contract/price.rs
@@ -1,29 +1,29 @@
-//! What work costs.
+//! Measured usage and its price in budget tokens.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::Tokens;
 
-/// What a run used, as its endpoint measured it.
+/// The usage of a run, as measured by its endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub prompt: Tokens,
-    /// Tokens of the answer.
+    /// Output tokens.
     pub output: Tokens,
     /// Calls of a plain service.
     pub calls: u64,
 }
 
-/// Budget tokens for each unit of use.
+/// Budget tokens charged per unit of usage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Price {
-    /// For one prompt token.
+    /// Per prompt token.
     pub prompt: Tokens,
-    /// For one token of the answer.
+    /// Per output token.
     pub output: Tokens,
-    /// For one call of a plain service.
+    /// Per call of a plain service.
     pub call: Tokens,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl Price {
-    /// Budget tokens for a use, capped at the largest number instead of wrapping round.
+    /// The cost of a usage in budget tokens. Saturates at the maximum instead of wrapping.
     pub fn of(&self, usage: Usage) -> Tokens {
         let prompt = self.prompt.saturating_mul(usage.prompt);
         let output = self.output.saturating_mul(usage.output);
--- a/crates/anvil_world/src/contract/split.rs
+++ b/crates/anvil_world/src/contract/split.rs
@@ -1,4 +1,4 @@
-//! How a cost is split among the budgets of the partners who share it.
+//! The split of a cost among the budgets of the organisations that share it.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 use super::ContractError;
 use crate::ids::{BudgetId, Tokens};
 
-/// Who pays which part of a team's requests: budgets and their weights.
+/// How a team's requests are paid: the paying budgets and their weights.
 ///
-/// [`Split::divide`] gives parts that sum to the whole, to the token. [`Split::bounds`] gives
-/// what to reserve: no part of any smaller cost is larger than its bound.
+/// The parts from [`Split::divide`] sum exactly to the cost. [`Split::bounds`] gives the amounts to
+/// reserve: for any cost up to the bound, no budget's part exceeds its reserved amount.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "BTreeMap<BudgetId, u32>", into = "BTreeMap<BudgetId, u32>")]
 pub struct Split {
@@ -18,14 +18,14 @@
 }
 
 impl Split {
-    /// All of it from one budget.
+    /// One budget pays everything.
     pub fn whole(budget: BudgetId) -> Self {
         Self {
             weights: BTreeMap::from([(budget, 1)]),
         }
     }
 
-    /// The budgets that pay, in order.
+    /// The paying budgets, in order.
     pub fn budgets(&self) -> impl Iterator<Item = &BudgetId> {
         self.weights.keys()
     }
@@ -34,19 +34,19 @@
         self.weights.values().map(|w| u128::from(*w)).sum()
     }
 
-    /// Each payer's part of a cost, in tokens; the parts sum to the cost.
+    /// Each budget's part of a cost, in tokens; the parts sum to the cost.
     pub fn divide(&self, cost: Tokens) -> impl Iterator<Item = (&BudgetId, Tokens)> {
         let total = self.total();
-        let mut seen = 0_u128;
+        let mut weight_so_far = 0_u128;
         self.weights.iter().map(move |(budget, weight)| {
-            let before = u128::from(cost) * seen / total;
-            seen += u128::from(*weight);
-            let after = u128::from(cost) * seen / total;
+            let before = u128::from(cost) * weight_so_far / total;
+            weight_so_far += u128::from(*weight);
+            let after = u128::from(cost) * weight_so_far / total;
             (budget, saturate(after - before))
         })
     }
 
-    /// What to reserve from each payer for a cost of at most `bound` tokens.
+    /// The tokens to reserve from each budget for a cost of at most `bound` tokens.
     pub fn bounds(&self, bound: Tokens) -> impl Iterator<Item = (&BudgetId, Tokens)> {
         let total = self.total();
         self.weights.iter().map(move |(budget, weight)| {
@@ -75,9 +75,9 @@
     type Error = ContractError;
 
     fn try_from(payers: Vec<(BudgetId, u32)>) -> Result<Self, Self::Error> {
-        let named = payers.len();
+        let count = payers.len();
         let weights: BTreeMap<_, _> = payers.into_iter().collect();
-        if weights.len() != named {
+        if weights.len() != count {
             return Err(ContractError::BadSplit);
         }
         Self::try_from(weights)
--- a/crates/anvil_world/src/document.rs
+++ b/crates/anvil_world/src/document.rs
@@ -1,8 +1,8 @@
-//! Documents of the settings tree: TOML text that was checked whole.
+//! The documents of the settings tree, parsed and validated from TOML text.
 //!
-//! The tree keeps the operator's text byte for byte; a [`Document`] is what a process reads out
-//! of it. [`Document::check`] is run by the operators' client before sending, and by the ledger
-//! again before the log sees the change.
+//! The tree stores the operator's text byte for byte; a [`Document`] is the parsed form that a
+//! process works with. The operators' client runs [`Document::check`] before it sends a change, and
+//! the ledger runs it again before it proposes the change to the replicated log.
 
 mod budget;
 mod fleet;
@@ -21,12 +21,13 @@
 use crate::path::TreePath;
 use crate::settings::{SettingsError, read};
 
-/// A checked document, by the kind of its path.
+/// A validated document; the variant follows from its path.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Document {
     /// At `fleet`.
     Fleet(FleetDocument),
-    /// At `routing`: opaque here; whoever takes it from operators checks it before the log sees it.
+    /// At `routing`. Its text is not parsed here: the process that receives it from operators
+    /// validates it before proposing it to the log.
     Routing,
     /// At `budgets/NAME`.
     Budget(BudgetDocument),
@@ -41,7 +42,7 @@
 }
 
 impl Document {
-    /// Reads and checks a document's text against what its path allows.
+    /// Parses and validates the text of the document at `path`.
     pub fn check(path: &TreePath, text: &str) -> Result<Self, SettingsError> {
         let name = path.to_string();
         Ok(match path {
--- a/crates/anvil_world/src/document/budget.rs
+++ b/crates/anvil_world/src/document/budget.rs
@@ -5,13 +5,13 @@
 use crate::ids::{OrganisationId, Tokens};
 use crate::settings::{Check, Problem};
 
-/// Declares a prepaid budget. Money comes in by top-ups, never through this document.
+/// Declares a prepaid budget. Tokens are credited by top-ups only, never through this document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BudgetDocument {
     /// The organisation that pays.
     pub organisation: OrganisationId,
-    /// Below this many tokens left, routers log that a top-up is due.
+    /// Routers log that a top-up is due when fewer tokens than this are left.
     #[serde(default)]
     pub warn_below: Tokens,
 }
--- a/crates/anvil_world/src/document/fleet.rs
+++ b/crates/anvil_world/src/document/fleet.rs
@@ -6,29 +6,29 @@
 
 use crate::settings::{Check, Problem};
 
-/// What holds for the whole fleet. Every field has a default; an empty document is a good one.
+/// Settings of the whole fleet. Every field has a default, so an empty document is valid.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FleetDocument {
-    /// How long a router serves on its last settings while it can't reach the ledger.
+    /// How long a router keeps serving with its last known settings while it can't reach the ledger.
     #[serde(with = "humantime_serde")]
     pub serve_out_of_touch: Duration,
-    /// Longest time from a request's arrival to its answer's end.
+    /// Maximum time from the arrival of a request to the end of its answer.
     #[serde(with = "humantime_serde")]
     pub request_timeout: Duration,
-    /// Longest time a request waits for its turn.
+    /// Maximum time a request waits in a queue.
     #[serde(with = "humantime_serde")]
     pub queue_timeout: Duration,
     /// How long a finished answer is kept for a caller that retries.
     #[serde(with = "humantime_serde")]
     pub keep_answers: Duration,
-    /// How long the ledger remembers which sidecar ran a non-idempotent request. A retry that
-    /// comes later than this may run again.
+    /// How long the ledger keeps the claim that binds a non-idempotent request to a sidecar. A retry
+    /// that arrives later may run a second time.
     #[serde(with = "humantime_serde")]
     pub keep_claims: Duration,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body: u64,
-    /// Longest time that a grant is meant to last at the measured demand.
+    /// Maximum time that a grant is sized to last at the measured demand.
     #[serde(with = "humantime_serde")]
     pub grant_horizon: Duration,
 }
--- a/crates/anvil_world/src/document/model.rs
+++ b/crates/anvil_world/src/document/model.rs
@@ -6,22 +6,22 @@
 use crate::ids::{ServiceId, Tokens};
 use crate::settings::{Check, Problem};
 
-/// A model that callers may name.
+/// A model that callers may request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelDocument {
     /// The service whose endpoints run it.
     pub service: ServiceId,
-    /// What its tokens cost.
+    /// Price of its tokens.
     #[serde(default)]
     pub price: Price,
-    /// Most tokens of one answer; a request that names none gets this many at most.
+    /// Maximum tokens of one answer; also the limit of a request that sets none itself.
     #[serde(default = "default_output")]
     pub max_output: Tokens,
-    /// Most tokens of a prompt.
+    /// Maximum tokens of a prompt.
     #[serde(default = "default_prompt")]
     pub max_prompt: Tokens,
-    /// How many endpoints are to hold it.
+    /// How many endpoints should have it loaded.
     #[serde(default = "default_replicas")]
     pub replicas: u32,
 }
--- a/crates/anvil_world/src/document/organisation.rs
+++ b/crates/anvil_world/src/document/organisation.rs
@@ -4,11 +4,11 @@
 
 use crate::settings::{Check, Problem};
 
-/// An organisation: the unit between which waiting work is shared fairly.
+/// An organisation: the unit of fair sharing when requests queue.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OrganisationDocument {
-    /// Its share against other organisations when work waits.
+    /// Its weight against other organisations when queued requests are dispatched.
     pub weight: u32,
 }
 
--- a/crates/anvil_world/src/document/service.rs
+++ b/crates/anvil_world/src/document/service.rs
@@ -9,7 +9,7 @@
 use crate::contract::Price;
 use crate::settings::{Check, Problem};
 
-/// What kind of endpoints a service has.
+/// The kind of a service's endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceKind {
@@ -20,24 +20,24 @@
     Plain,
 }
 
-/// A service: endpoints that can stand in for each other.
+/// A service: a pool of interchangeable endpoints.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceDocument {
-    /// Model runners or a plain service.
+    /// The kind of its endpoints.
     pub kind: ServiceKind,
-    /// What a call of a plain service costs.
+    /// Price of a call; used for plain services.
     pub price: Price,
-    /// First path segments of calls that may be repeated although their method is not `GET`.
-    /// Every other call that is not `GET` or `HEAD` runs at most once.
+    /// First path segments of calls that may be retried after they may have run, although their
+    /// method is not `GET`. Every other call that is not `GET` or `HEAD` runs at most once.
     pub repeatable: BTreeSet<Arc<str>>,
-    /// Longest time a call may take; nothing means the fleet's.
+    /// Maximum time of a call; `None` means the fleet's `request_timeout`.
     #[serde(with = "humantime_serde")]
     pub timeout: Option<Duration>,
 }
 
 impl ServiceDocument {
-    /// Whether a call may be run again. `tail` is what follows `/services/NAME/`.
+    /// Whether a call may run more than once. `tail` is the part of the path after `/services/NAME/`.
     pub fn may_repeat(&self, method: &str, tail: &str) -> bool {
         let first = tail.split(['/', '?']).next().unwrap_or_default();
         matches!(method, "GET" | "HEAD") || self.repeatable.contains(first)
--- a/crates/anvil_world/src/document/team.rs
+++ b/crates/anvil_world/src/document/team.rs
@@ -10,23 +10,23 @@
 use crate::ids::{ModelId, OrganisationId, ServiceId};
 use crate::settings::{Check, Problem};
 
-/// What stands before the hexadecimal digest of a bearer key.
+/// Prefix of a stored bearer key digest, before the hexadecimal digits.
 pub const KEY_HASH_PREFIX: &str = "sha256:";
 
-/// Which queue a team's work waits in.
+/// The queue in which a team's requests wait.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum WorkClass {
-    /// A person waits: counter staff, a customer on the phone.
+    /// A person is waiting for the answer: counter staff, a customer on the phone.
     #[default]
     Interactive,
-    /// Long work with a deadline of hours: summaries of histories and stock ledgers.
+    /// Long-running work with a deadline of hours: summaries of histories and stock ledgers.
     Batch,
 }
 
-/// A team: who may call, what for, and which budgets pay.
+/// A team: its bearer keys, what they may use, and which budgets pay.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamDocument {
@@ -34,7 +34,7 @@
     pub organisation: OrganisationId,
     /// Digests of its bearer keys, each `sha256:` and 64 hexadecimal digits.
     pub keys: BTreeSet<Arc<str>>,
-    /// Budgets that pay for its requests, and their weights.
+    /// Budgets that pay for its requests, with their weights.
     pub split: Split,
     /// Models it may use; empty means all.
     #[serde(default)]
@@ -42,7 +42,7 @@
     /// Plain services it may use; empty means all.
     #[serde(default)]
     pub services: BTreeSet<ServiceId>,
-    /// How its work waits.
+    /// The queue of its requests.
     #[serde(default)]
     pub class: WorkClass,
 }
@@ -59,12 +59,12 @@
     }
 }
 
-/// The digest under which a bearer key stands in a team's document.
+/// The digest of a bearer key in the form stored in [`TeamDocument::keys`].
 pub fn key_hash(bearer: &[u8]) -> Arc<str> {
     use std::fmt::Write;
     let mut text = String::from(KEY_HASH_PREFIX);
     for byte in Sha256::digest(bearer) {
-        // Writing to a `String` has no failure.
+        // Writing to a `String` can't fail.
         let _ = write!(text, "{byte:02x}");
     }
     text.into()
--- a/crates/anvil_world/src/endpoint_limit.rs
+++ b/crates/anvil_world/src/endpoint_limit.rs
@@ -1,4 +1,4 @@
-//! What a limited endpoint takes from all routers together.
+//! Rate limits that endpoints announce, over the requests of all routers together.
 
 use std::time::SystemTime;
 
@@ -6,11 +6,11 @@
 
 use crate::ids::RateLimit;
 
-/// A limit that an endpoint announced.
+/// The rate limit that an endpoint announced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointLimit {
-    /// Requests that it takes.
+    /// Maximum request rate.
     pub limit: RateLimit,
-    /// When a router last told of it, by the ledger's clock.
+    /// When a router last reported it, by the ledger's clock.
     pub at: SystemTime,
 }
--- a/crates/anvil_world/src/ids.rs
+++ b/crates/anvil_world/src/ids.rs
@@ -1,7 +1,7 @@
 //! Type aliases for ids and quantities.
 //!
-//! Names are shared text (`Arc<str>`), so that a clone on the path of a request is one atomic
-//! addition. Time passed to a state machine is the time since its process started.
+//! Names are shared text (`Arc<str>`), so cloning one while serving a request costs one atomic
+//! increment. State machines take the time as [`Now`], the time since their process started.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,22 +22,22 @@
 pub type ModelId = Arc<str>;
 /// Name of a service: a pool of model runners or a plain service.
 pub type ServiceId = Arc<str>;
-/// An id that an operator's client makes for one change; a resent change keeps it.
+/// Id that an operator's client generates for one change; a resent change keeps it.
 pub type ChangeId = Arc<str>;
-/// An id that a router makes for one claim; a resent claim keeps it.
+/// Id that a router generates for one claim; a resent claim keeps it.
 pub type ClaimId = Arc<str>;
-/// Who made a change.
+/// Name of the operator who made a change.
 pub type OperatorId = Arc<str>;
 
-/// Which life of an instance: larger is newer. A restarted process takes a new one.
+/// Incarnation of an instance: larger is newer. Every process start takes a new one.
 pub type Incarnation = u64;
-/// Position of the settings tree in the order of accepted changes. Never falls.
+/// Log position of a change of the settings tree. Never decreases.
 pub type Revision = u64;
-/// Number that an operator gives a routing table; the highest one is in force.
+/// Version that an operator gives a routing table; the highest one is in force.
 pub type RoutingVersion = u64;
-/// Number of a grant, unique in the fleet and never used again.
+/// Number of a grant, unique in the fleet and never reused.
 pub type GrantId = u64;
-/// Running number of a router incarnation's grant batches.
+/// Sequence number of a grant batch within one router incarnation.
 pub type BatchSeq = u64;
 /// An amount of tokens.
 pub type Tokens = u64;
@@ -49,9 +49,9 @@
 pub type Offset = u64;
 /// SHA-256 of a request's body.
 pub type BodyHash = [u8; 32];
-/// Requests in a thousand seconds.
+/// Request rate, in requests per thousand seconds.
 pub type RateLimit = u64;
-/// The beginning of a SHA-256 of all that makes two requests the same one.
+/// The first 128 bits of a SHA-256 over everything that identifies a request's content.
 pub type RequestDigest = u128;
-/// Time since the process started, as state machines see it.
+/// Time since the process started; the clock of the state machines.
 pub type Now = Duration;
--- a/crates/anvil_world/src/instance.rs
+++ b/crates/anvil_world/src/instance.rs
@@ -1,4 +1,4 @@
-//! Instances: the machines that run one process of anvilreel each.
+//! Instances: the machines of the fleet, each of which runs one anvilreel process.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,17 +8,17 @@
 use crate::ids::{Incarnation, InstanceId, ModelId, ServiceId};
 use crate::zone::Zone;
 
-/// What the process on an instance does.
+/// The role of the process on an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
     /// Serves callers.
     Router,
-    /// Stands beside one endpoint.
+    /// Runs beside one endpoint and forwards requests to it.
     Sidecar,
-    /// Keeps the durable state.
+    /// Replicates the durable state.
     Ledger,
-    /// Passes calls on to the ledger, for those who can't reach it themselves.
+    /// Forwards calls to the ledger for processes that can't reach it directly.
     Relay,
 }
 
@@ -28,12 +28,12 @@
 pub enum Presence {
     /// Takes work.
     Live,
-    /// Not heard of by the ledger for a short while: gets no new work until it is heard of
-    /// again. Its life goes on, and so do its grants.
+    /// Unresponsive: the ledger has received no heartbeat for a short while. It gets no new work
+    /// until the next heartbeat; its incarnation and its grants stay valid.
     Silent,
-    /// Finishes what it has and takes nothing new.
+    /// Draining: finishes the work in flight and takes no new work.
     Leaving,
-    /// Declared lost. Its incarnation never comes back to life.
+    /// Declared lost, which is final for its incarnation.
     Gone,
 }
 
@@ -42,11 +42,11 @@
 pub struct Endpoint {
     /// The service it belongs to.
     pub service: ServiceId,
-    /// Models it can answer for now; empty for a plain service.
+    /// Models it currently has loaded; empty for a plain service.
     pub models: BTreeSet<ModelId>,
-    /// How many runs it works on side by side.
+    /// How many runs it works on concurrently.
     pub slots: u32,
-    /// Whether the endpoint itself refuses an order with an old fencing number.
+    /// Whether the endpoint itself refuses orders with a stale fencing number.
     pub checks_fencing: bool,
 }
 
@@ -55,23 +55,23 @@
 pub struct Instance {
     /// Its name.
     pub id: InstanceId,
-    /// Which life of it.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// What it does.
+    /// Its role.
     pub role: Role,
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: Zone,
-    /// Where the other processes reach it.
+    /// Address at which the other processes reach it.
     pub addr: SocketAddr,
-    /// Only for a sidecar: what it fronts.
+    /// The endpoint of a sidecar; `None` for other roles.
     pub endpoint: Option<Endpoint>,
 }
 
-/// One instance and what is known of it.
+/// An instance in the fleet's membership.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The instance.
     pub instance: Instance,
-    /// Whether it takes work.
+    /// Whether it takes new work.
     pub presence: Presence,
 }
--- a/crates/anvil_world/src/lib.rs
+++ b/crates/anvil_world/src/lib.rs
@@ -1,8 +1,8 @@
-//! The world that anvilreel works in: instances, availability zones, links and contracts.
+//! The shared data model of anvilreel: instances, availability zones, budgets and settings.
 //!
-//! This is the lowest crate of the house. It holds ids, checked settings, the settings tree's
-//! documents and the commands that change durable state. It opens no socket and no file, and
-//! knows nothing of the crates above it.
+//! All other crates of the workspace build on this one; it depends on none of them. It holds ids,
+//! validated settings, the documents of the settings tree and the commands that change durable state.
+//! It opens no socket and no file.
 //!
 //! ```
 //! use anvil_world::prelude::*;
@@ -13,15 +13,15 @@
 //! # Ok::<(), anvil_world::ContractError>(())
 //! ```
 //!
-//! Read on in this order:
-//! * [`ids`]: the type aliases everything else is written in.
-//! * [`zone`], [`instance`], [`link`]: machines and where they stand.
-//! * [`contract`]: budgets, prices, grants and how a cost is split.
-//! * [`outcome`]: what a caller is told, and why.
-//! * [`suspect`], [`endpoint_limit`]: requests under which endpoints crashed, and what endpoints take.
+//! Modules, in a sensible reading order:
+//! * [`ids`]: type aliases for ids and quantities.
+//! * [`zone`], [`instance`], [`link`]: instances, their zones and the latency between zones.
+//! * [`contract`]: budgets, prices, grants and how a cost is split among payers.
+//! * [`outcome`]: how a request ended, and why.
+//! * [`suspect`], [`endpoint_limit`]: requests suspected of crashing endpoints, and the endpoints' rate limits.
 //! * [`path`], [`document`] and [`tree`]: the settings tree.
-//! * [`command`]: what the replicated log holds.
-//! * [`settings`]: the TOML file of each process.
+//! * [`command`]: the commands of the replicated log.
+//! * [`settings`]: the TOML settings file of each process.
 
 pub mod command;
 pub mod contract;
--- a/crates/anvil_world/src/link.rs
+++ b/crates/anvil_world/src/link.rs
@@ -1,25 +1,25 @@
-//! How far two availability zones are apart.
+//! Expected network latency between availability zones.
 
 use std::time::Duration;
 
 use crate::zone::Zone;
 
-/// One way inside an availability zone.
+/// One-way latency inside an availability zone.
 const SAME_ZONE: Duration = Duration::from_micros(200);
-/// One way between availability zones of a region; the brief says about a millisecond.
+/// One-way latency between availability zones of a region; the requirements say about a millisecond.
 const SAME_REGION: Duration = Duration::from_millis(1);
-/// One way between regions; an assumption until the users name a figure.
+/// One-way latency between regions. An assumption: the requirements give no figure.
 const OTHER_REGION: Duration = Duration::from_millis(40);
 
-/// The way between two availability zones.
+/// The network link between two availability zones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Link {
-    /// Expected time one way.
+    /// Expected one-way latency.
     pub one_way: Duration,
 }
 
 impl Link {
-    /// The link between two zones, by what the brief says of distances.
+    /// The link between two zones.
     pub fn between(a: &Zone, b: &Zone) -> Self {
         let one_way = if a == b {
             SAME_ZONE
--- a/crates/anvil_world/src/name.rs
+++ b/crates/anvil_world/src/name.rs
@@ -1,26 +1,26 @@
-//! The rule that every name keeps.
+//! Validation of names: ids of instances, teams, budgets, documents and so on.
 
 use std::sync::Arc;
 
 use snafu::Snafu;
 
-/// Longest name, in bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME: usize = 64;
 
-/// Text that is not a name.
+/// Text that is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display(
     "found {found:?}; allowed is 1 to {MAX_NAME} of a-z, 0-9, '-', '_' and '.', \
      starting with a letter or digit"
 ))]
 pub struct NameError {
-    /// The text as it was given, cut to a printable length.
+    /// The rejected text, truncated to a printable length.
     pub found: String,
 }
 
-/// Checks raw text and shares it as a name.
+/// Validates raw text as a name and returns it as shared text.
 ///
-/// The rule keeps names safe in paths, logs, metric names and HTTP headers alike.
+/// The rule makes every name safe in paths, logs, metric names and HTTP headers.
 pub fn checked_name(raw: &str) -> Result<Arc<str>, NameError> {
     let starts_well = raw
         .bytes()
--- a/crates/anvil_world/src/path.rs
+++ b/crates/anvil_world/src/path.rs
@@ -8,16 +8,16 @@
 
 use crate::name::{NameError, checked_name};
 
-/// Where a document stands in the settings tree; one document a path, one revision a document.
+/// The path of a document in the settings tree. Each path has one document with one revision.
 ///
-/// Written `fleet`, `models/demo-chat`, `teams/mombasa-counter` and so on. A team's subtree is
-/// its one path, so a change there can't touch another team's bytes.
+/// Written `fleet`, `models/demo-chat`, `teams/mombasa-counter` and so on. Everything about a team is
+/// in the document at its one path, so a change of it can't touch another team's settings.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum TreePath {
-    /// What holds for the whole fleet.
+    /// Settings of the whole fleet.
     Fleet,
-    /// The routing table, replaced whole and only by a higher version.
+    /// The routing table, replaced as a whole and only by a higher version.
     Routing,
     /// One budget.
     Budget(Arc<str>),
@@ -31,7 +31,7 @@
     Team(Arc<str>),
 }
 
-/// Text that is not a path of the tree.
+/// Text that is not a valid path of the settings tree.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum PathError {
     /// Neither `fleet`, nor `routing`, nor a known kind before a `/`.
@@ -40,13 +40,13 @@
          organisations/NAME, services/NAME and teams/NAME"
     ))]
     Kind {
-        /// The text as it was given.
+        /// The rejected text.
         found: String,
     },
-    /// The name after the `/` breaks the rule for names.
+    /// The name after the `/` is not valid.
     #[snafu(display("{source}"))]
     Name {
-        /// What is wrong with it.
+        /// Why the name is rejected.
         source: NameError,
     },
 }
--- a/crates/anvil_world/src/settings.rs
+++ b/crates/anvil_world/src/settings.rs
@@ -1,7 +1,7 @@
-//! The TOML file that each process starts from, and how any settings text is checked.
+//! The TOML settings file of each process, and the parsing and validation of any settings text.
 //!
-//! A text is checked whole: unknown keys, wrong types and values out of range are all errors
-//! that name the file, the line, what was found and what is allowed.
+//! Unknown keys, wrong types and values out of range are errors that name the file, the line, what
+//! was found and what is allowed. All values out of range are reported at once.
 
 mod check;
 mod ledger;
--- a/crates/anvil_world/src/settings/check.rs
+++ b/crates/anvil_world/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Reading and checking settings text.
+//! Parsing and validation of settings text.
 
 use std::ops::RangeInclusive;
 
@@ -8,25 +8,25 @@
 
 use crate::name::checked_name;
 
-/// Settings that are not accepted.
+/// Settings text that is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum SettingsError {
-    /// Not TOML, an unknown key or a wrong type.
+    /// The text is not TOML, has an unknown key or a value of a wrong type.
     #[snafu(display("{file}:{line}: {message}"))]
     Text {
         /// The file or tree path.
         file: String,
         /// From 1.
         line: usize,
-        /// What was found and what is allowed.
+        /// The parser's message.
         message: String,
     },
-    /// Values that are not allowed.
+    /// Some values are not allowed.
     #[snafu(display("{}", join(file, problems)))]
     Values {
         /// The file or tree path.
         file: String,
-        /// Each with its line.
+        /// Each problem with the line of its value.
         problems: Vec<(usize, Problem)>,
     },
 }
@@ -35,16 +35,16 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Snafu)]
 #[snafu(display("{key}: found {found}; allowed is {allowed}"))]
 pub struct Problem {
-    /// The key it stands under.
+    /// The key of the value.
     pub key: String,
-    /// What was found.
+    /// The value found.
     pub found: String,
-    /// What is allowed.
+    /// The values allowed.
     pub allowed: String,
 }
 
 impl Problem {
-    /// A problem of one key.
+    /// A problem with the value of `key`.
     pub fn new(key: &str, found: impl Into<String>, allowed: &str) -> Self {
         Self {
             key: key.into(),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Nothing, or that a name breaks the rule.
+    /// Checks that `value` is a valid name; returns the problem if it is not.
     pub fn name(key: &str, value: &str) -> Vec<Self> {
         let allowed = "a name of a-z, 0-9, '-', '_' and '.', 64 bytes at most";
         match checked_name(value) {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Nothing, or that a number is out of range.
+    /// Checks that `value` is in the allowed range; returns the problem if it is not.
     pub fn range(key: &str, value: u64, allowed: RangeInclusive<u64>) -> Vec<Self> {
         if allowed.contains(&value) {
             return Vec::new();
@@ -72,13 +72,13 @@
     }
 }
 
-/// Settings that know what their values may be.
+/// Settings that can validate their values.
 pub trait Check {
-    /// Every value that is not allowed; empty when all is well.
+    /// All values that are not allowed.
     fn problems(&self) -> Vec<Problem>;
 }
 
-/// Reads settings text and checks it whole. `file` is named in errors.
+/// Parses settings text and validates all its values. `file` is the name used in errors.
 pub fn read<T: DeserializeOwned + Check>(file: &str, text: &str) -> Result<T, SettingsError> {
     let value: T = toml::from_str(text).map_err(|e| SettingsError::Text {
         file: file.into(),
@@ -104,7 +104,7 @@
     before.filter(|b| **b == b'\n').count() + 1
 }
 
-/// The first line that sets the key, or 1 where a default was used.
+/// The first line that sets the key, or 1 if none does and the default applies.
 fn line_of_key(text: &str, key: &str) -> usize {
     let last = key.rsplit('.').next().unwrap_or(key);
     let sets_key = |line: &str| {
--- a/crates/anvil_world/src/settings/ledger.rs
+++ b/crates/anvil_world/src/settings/ledger.rs
@@ -19,31 +19,32 @@
     pub addr: SocketAddr,
 }
 
-/// What `anvilreel-ledger --settings FILE` reads.
+/// The settings file of `anvilreel-ledger --settings FILE`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LedgerSettings {
     /// Name of this instance.
     pub id: InstanceId,
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: Zone,
-    /// Where the other processes connect.
+    /// Address that other processes connect to.
     pub wire_listen: SocketAddr,
-    /// Where this process listens, if the address above is passed on to it by something between.
+    /// Local address to listen on, if connections to `wire_listen` are forwarded to this process.
     #[serde(default)]
     pub bind: Option<SocketAddr>,
-    /// The data folder. Its disk is the replica's identity.
+    /// The data folder. The replica's identity is bound to the disk that holds it.
     pub data: PathBuf,
-    /// The replicas that found the ledger, this one among them. Read only when the data folder
-    /// is empty; afterwards the log itself says who votes.
+    /// The initial replicas of a new ledger, including this one. Used only if the data folder is
+    /// empty; afterwards the voters are those recorded in the log.
     pub founders: Vec<Peer>,
-    /// Whether an empty data folder joins a running ledger as a learner instead of founding.
+    /// Whether a replica with an empty data folder joins a running ledger as a learner instead of
+    /// founding a new one.
     #[serde(default)]
     pub join: bool,
     /// Log lines as JSON instead of terminal text.
     #[serde(default)]
     pub log_json: bool,
-    /// Where metrics go by UDP, in the statsd form; none means nowhere.
+    /// UDP address that receives metrics in the statsd format; without it none are sent.
     #[serde(default)]
     pub statsd: Option<SocketAddr>,
 }
@@ -58,8 +59,8 @@
         }
         let count = u64::try_from(self.founders.len()).unwrap_or(u64::MAX);
         found.extend(Problem::range("founders", count, 1..=7));
-        let names_itself = self.founders.iter().any(|peer| peer.id == self.id);
-        if !names_itself && !self.join {
+        let is_founder = self.founders.iter().any(|peer| peer.id == self.id);
+        if !is_founder && !self.join {
             found.push(Problem::new(
                 "founders",
                 "others only",
--- a/crates/anvil_world/src/settings/router.rs
+++ b/crates/anvil_world/src/settings/router.rs
@@ -8,17 +8,17 @@
 use crate::ids::InstanceId;
 use crate::zone::Zone;
 
-/// What `anvilreel-router --settings FILE` reads.
+/// The settings file of `anvilreel-router --settings FILE`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouterSettings {
     /// Name of this instance.
     pub id: InstanceId,
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: Zone,
-    /// Where callers connect, over HTTP.
+    /// HTTP address that callers connect to.
     pub listen: SocketAddr,
-    /// Where other processes of the fleet connect.
+    /// Address that other processes of the fleet connect to.
     pub wire_listen: SocketAddr,
     /// Wire addresses of the ledger's replicas.
     pub ledgers: Vec<SocketAddr>,
@@ -28,7 +28,7 @@
     /// Log lines as JSON instead of terminal text.
     #[serde(default)]
     pub log_json: bool,
-    /// Where metrics go by UDP, in the statsd form; none means nowhere.
+    /// UDP address that receives metrics in the statsd format; without it none are sent.
     #[serde(default)]
     pub statsd: Option<SocketAddr>,
 }
--- a/crates/anvil_world/src/settings/sidecar.rs
+++ b/crates/anvil_world/src/settings/sidecar.rs
@@ -9,7 +9,7 @@
 use crate::ids::{InstanceId, ModelId, ServiceId};
 use crate::zone::Zone;
 
-/// What stands behind a sidecar.
+/// The kind of a sidecar's endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndpointKind {
@@ -20,7 +20,7 @@
     Plain,
 }
 
-/// The endpoint beside a sidecar.
+/// Settings of the endpoint beside a sidecar.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointSettings {
@@ -28,16 +28,16 @@
     pub addr: SocketAddr,
     /// The service it belongs to.
     pub service: ServiceId,
-    /// Engine or plain service.
+    /// Its kind.
     #[serde(default)]
     pub kind: EndpointKind,
-    /// Models it holds at start.
+    /// Models it has loaded at start.
     #[serde(default)]
     pub models: BTreeSet<ModelId>,
-    /// How many runs it works on side by side.
+    /// How many runs it works on concurrently.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Whether it refuses an order with an old fencing number itself.
+    /// Whether it refuses orders with a stale fencing number itself.
     #[serde(default)]
     pub checks_fencing: bool,
 }
@@ -46,31 +46,31 @@
     16
 }
 
-/// What `anvilreel-sidecar --settings FILE` reads.
+/// The settings file of `anvilreel-sidecar --settings FILE`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SidecarSettings {
     /// Name of this instance.
     pub id: InstanceId,
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: Zone,
-    /// Where routers connect.
+    /// Address that routers connect to.
     pub wire_listen: SocketAddr,
     /// Wire addresses of the ledger's replicas.
     pub ledgers: Vec<SocketAddr>,
     /// The endpoint beside it.
     pub endpoint: EndpointSettings,
-    /// Where the platform lists live and leaving instances, over HTTP; none means that only the
-    /// ledger and this process's own stop say that it leaves.
+    /// HTTP address of the platform's list of live and leaving instances. Without it the sidecar
+    /// learns that it is leaving only from the ledger or when its own process is stopped.
     #[serde(default)]
     pub platform: Option<SocketAddr>,
-    /// Most bytes of output kept for all runs together.
+    /// Maximum bytes of output kept for all runs together.
     #[serde(default = "default_buffer")]
     pub buffer_bytes: u64,
     /// Log lines as JSON instead of terminal text.
     #[serde(default)]
     pub log_json: bool,
-    /// Where metrics go by UDP, in the statsd form; none means nowhere.
+    /// UDP address that receives metrics in the statsd format; without it none are sent.
     #[serde(default)]
     pub statsd: Option<SocketAddr>,
 }
--- a/crates/anvil_world/src/suspect.rs
+++ b/crates/anvil_world/src/suspect.rs
@@ -1,4 +1,8 @@
-//! A request under which endpoints crashed and which none has answered since.
+//! Suspect requests: requests that were in flight on endpoints when these crashed, and that no
+//! endpoint has answered since.
+//!
+//! Each crash adds a weight. From [`QUARANTINED_FROM`] on, routers keep the request away from
+//! endpoints for a time, so that one request can't crash them one after the other.
 
 use std::time::{Duration, SystemTime};
 
@@ -6,27 +10,29 @@
 
 use crate::ids::InstanceId;
 
-/// Weight from which on a request is kept from endpoints: three crashes before its run had any output. One or two may
-/// have come from another reason, or from a neighbour that was waiting as well.
+/// Weight from which a request is quarantined: three crashes before its run had any output. One or two
+/// crashes may have had another cause, or come from another request waiting on the same endpoint.
 pub const QUARANTINED_FROM: u32 = 6;
-/// For how long it is kept from them after the last crash.
+/// How long a request is quarantined after its last crash.
 pub const QUARANTINED_FOR: Duration = Duration::from_hours(1);
-/// For how long crashes are remembered after the last one. Within this time a single further one is enough.
+/// How long crashes are kept after the last one. Within this time a single further crash renews an
+/// expired quarantine.
 pub const REMEMBERED_FOR: Duration = Duration::from_hours(24);
-/// Reports on one endpoint within this time are of the same crash. One that starts again under its name is back later.
-const SAME_CRASH: Duration = Duration::from_secs(3);
+/// Reports on one endpoint within this time are of the same crash. An endpoint that restarts under the
+/// same name takes longer to come back.
+const SAME_CRASH_WINDOW: Duration = Duration::from_secs(3);
 
-/// How far a request's run had come when its endpoint crashed.
+/// How far a request's run had got when its endpoint crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum CrashedRun {
-    /// It had some output, so its beginning had crashed nothing.
+    /// Some output was received, so the prompt itself did not crash the endpoint.
     AfterOutput,
-    /// No output of it was seen.
+    /// No output was received.
     BeforeOutput,
 }
 
 impl CrashedRun {
-    /// How much it speaks against the request.
+    /// How strongly the crash counts against the request.
     pub fn weight(self) -> u32 {
         match self {
             Self::AfterOutput => 1,
@@ -35,28 +41,28 @@
     }
 }
 
-/// One crash under a request.
+/// One endpoint crash while the request was in flight on the endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
     /// The endpoint.
     pub endpoint: InstanceId,
-    /// How far the run had come.
+    /// How far the run had got.
     pub run: CrashedRun,
-    /// When it was told of, by the ledger's clock.
+    /// When it was reported, by the ledger's clock.
     pub at: SystemTime,
 }
 
-/// What is known of such a request.
+/// The crash record of one suspect request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// Crashes under it, no more than it takes for the quarantine.
+    /// Its crashes, no more than are needed for the quarantine.
     pub crashes: Vec<Crash>,
-    /// When the last one was told of, by the ledger's clock.
+    /// When the last one was reported, by the ledger's clock.
     pub since: SystemTime,
 }
 
 impl Suspect {
-    /// Nothing crashed yet.
+    /// A record without crashes.
     pub fn new(since: SystemTime) -> Self {
         Self {
             crashes: Vec::new(),
@@ -64,16 +70,16 @@
         }
     }
 
-    /// An endpoint crashed under it. Returns whether that is news.
+    /// Records a crash of `endpoint`. Returns whether this changed the record.
     pub fn crashed(&mut self, endpoint: &InstanceId, run: CrashedRun, at: SystemTime) -> bool {
         let is_same = |crash: &&mut Crash| {
-            let apart = at.duration_since(crash.at).unwrap_or_default();
-            crash.endpoint == *endpoint && apart < SAME_CRASH
+            let elapsed = at.duration_since(crash.at).unwrap_or_default();
+            crash.endpoint == *endpoint && elapsed < SAME_CRASH_WINDOW
         };
         if let Some(known) = self.crashes.iter_mut().find(is_same) {
-            let is_news = run > known.run;
+            let is_changed = run > known.run;
             known.run = known.run.max(run);
-            return is_news;
+            return is_changed;
         }
         self.since = self.since.max(at);
         if self.weight() < QUARANTINED_FROM {
@@ -86,12 +92,12 @@
         true
     }
 
-    /// How much speaks against it.
+    /// Total weight of its crashes.
     pub fn weight(&self) -> u32 {
         self.crashes.iter().map(|crash| crash.run.weight()).sum()
     }
 
-    /// For how much longer it is kept from endpoints; nothing where it may go to them.
+    /// Remaining quarantine time; zero when the request may be dispatched.
     pub fn quarantined_for(&self, now: SystemTime) -> Duration {
         if self.weight() < QUARANTINED_FROM {
             return Duration::ZERO;
@@ -99,13 +105,13 @@
         QUARANTINED_FOR.saturating_sub(self.age(now))
     }
 
-    /// Whether its crashes are too long ago to be remembered.
+    /// Whether the record has expired.
     pub fn is_over(&self, now: SystemTime) -> bool {
         self.age(now) >= REMEMBERED_FOR
     }
 
     fn age(&self, now: SystemTime) -> Duration {
-        // A clock behind the ledger's has waited for nothing yet.
+        // A clock behind the ledger's counts as no time elapsed.
         now.duration_since(self.since).unwrap_or_default()
     }
 }
--- a/crates/anvil_world/src/tree.rs
+++ b/crates/anvil_world/src/tree.rs
@@ -1,4 +1,4 @@
-//! The settings tree as it is kept and spread.
+//! The entries of the settings tree, as the ledger stores and distributes them.
 
 use std::sync::Arc;
 
@@ -13,6 +13,6 @@
     pub revision: Revision,
     /// The operator's text, byte for byte.
     pub text: Arc<str>,
-    /// Who wrote it.
+    /// The operator who wrote it.
     pub operator: OperatorId,
 }
--- a/crates/anvil_world/src/zone.rs
+++ b/crates/anvil_world/src/zone.rs
@@ -1,10 +1,10 @@
-//! Where an instance stands.
+//! Availability zones and regions.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{RegionId, ZoneId};
 
-/// An availability zone and the region it belongs to.
+/// An availability zone and its region.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
@@ -15,7 +15,7 @@
 }
 
 impl Zone {
-    /// A zone by its two names.
+    /// Creates a zone from the names of its region and itself.
     pub fn new(region: &str, id: &str) -> Self {
         Self {
             region: region.into(),
--- a/crates/anvil_world/tests/contracts.rs
+++ b/crates/anvil_world/tests/contracts.rs
@@ -1,4 +1,4 @@
-//! Splits, budgets and prices.
+//! Tests of splits, budgets and prices.
 
 use anvil_world::prelude::*;
 use proptest::prelude::*;
@@ -10,8 +10,8 @@
     Split::try_from(payers).expect("distinct payers")
 }
 
-/// The same cases every time: CI's verdict must not change from run to run.
-fn fixed() -> ProptestConfig {
+/// A fixed seed, so that CI checks the same cases in every run.
+fn fixed_seed_config() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(7),
         failure_persistence: None,
@@ -20,11 +20,11 @@
 }
 
 proptest! {
-    #![proptest_config(fixed())]
+    #![proptest_config(fixed_seed_config())]
 
-    /// Three partners pay one request; rounding must neither lose a token nor bill one twice.
+    /// Several budgets pay for one request: rounding must neither lose a token nor charge one twice.
     #[test]
-    fn parts_sum_to_the_cost(
+    fn parts_of_a_split_sum_to_the_cost(
         weights in prop::collection::vec(1_u32..1_000, 1..6),
         cost in 0_u64..1_000_000_000,
     ) {
@@ -33,16 +33,16 @@
         prop_assert_eq!(sum, cost);
     }
 
-    /// A router reserves each payer's bound and later settles a smaller cost. If one payer's part
-    /// came out above its bound, the settlement would overspend that payer's grant.
+    /// A router reserves each budget's bound and later settles a smaller cost. A part above its bound
+    /// would overspend the grant of that budget.
     #[test]
-    fn no_part_of_a_smaller_cost_is_over_its_bound(
+    fn no_part_of_a_smaller_cost_exceeds_its_bound(
         weights in prop::collection::vec(1_u32..1_000, 1..6),
         bound in 0_u64..100,
         less in 0_u64..3,
     ) {
         let split = split(&weights);
-        // Rounding bites where the cost is close to the bound.
+        // Rounding errors matter when the cost is close to the bound.
         let cost = bound.saturating_sub(less);
         let bounds = split.bounds(bound).map(|(_, tokens)| tokens);
         let parts = split.divide(cost).map(|(_, tokens)| tokens);
@@ -51,17 +51,17 @@
 }
 
 #[test]
-fn a_split_needs_payers_with_weight() {
-    let nobody: Vec<(BudgetId, u32)> = Vec::new();
-    assert_eq!(Split::try_from(nobody), Err(ContractError::BadSplit));
-    let idle: Vec<(BudgetId, u32)> = vec![("a".into(), 0)];
-    assert_eq!(Split::try_from(idle), Err(ContractError::BadSplit));
-    let twice: Vec<(BudgetId, u32)> = vec![("a".into(), 1), ("a".into(), 2)];
-    assert_eq!(Split::try_from(twice), Err(ContractError::BadSplit));
+fn split_without_distinct_weighted_payers_is_rejected() {
+    let no_payers: Vec<(BudgetId, u32)> = Vec::new();
+    assert_eq!(Split::try_from(no_payers), Err(ContractError::BadSplit));
+    let zero_weight: Vec<(BudgetId, u32)> = vec![("a".into(), 0)];
+    assert_eq!(Split::try_from(zero_weight), Err(ContractError::BadSplit));
+    let duplicate: Vec<(BudgetId, u32)> = vec![("a".into(), 1), ("a".into(), 2)];
+    assert_eq!(Split::try_from(duplicate), Err(ContractError::BadSplit));
 }
 
 #[test]
-fn a_price_never_wraps_round() {
+fn cost_saturates_instead_of_overflowing() {
     let price = Price {
         output: Tokens::MAX,
         ..Price::default()
@@ -75,9 +75,9 @@
 }
 
 #[test]
-fn no_grant_is_opened_beyond_what_is_left() {
+fn grant_larger_than_the_tokens_left_is_refused() {
     let mut budget = Budget::default();
-    budget.credit(100).expect("fits");
+    budget.credit(100).expect("credit does not overflow");
     let grant = |id, amount| Grant {
         id,
         budget: "nairobi".into(),
--- a/crates/anvil_world/tests/settings.rs
+++ b/crates/anvil_world/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files and documents are checked whole, and errors say where and what is allowed.
+//! Tests of the validation of settings files and documents, and of its error messages.
 
 use anvil_world::document::{ServiceDocument, key_hash};
 use anvil_world::prelude::*;
@@ -13,24 +13,24 @@
 "#;
 
 fn router_error(text: &str) -> String {
-    let read = read::<RouterSettings>("router.toml", text);
-    read.expect_err("wrong settings").to_string()
+    let result = read::<RouterSettings>("router.toml", text);
+    result.expect_err("invalid settings").to_string()
 }
 
 #[test]
-fn whole_settings_are_taken() {
+fn valid_settings_are_accepted() {
     assert!(read::<RouterSettings>("router.toml", ROUTER).is_ok());
 }
 
 #[test]
-fn an_unknown_key_is_named_with_its_line() {
+fn error_for_an_unknown_key_names_key_and_line() {
     let e = router_error(&format!("{ROUTER}lisen = 3\n"));
     assert!(e.starts_with("router.toml:7: "), "{e}");
     assert!(e.contains("lisen") && e.contains("listen"), "{e}");
 }
 
 #[test]
-fn a_wrong_value_is_named_with_what_was_found_and_what_is_allowed() {
+fn error_for_an_invalid_value_names_found_and_allowed_values() {
     let text = ROUTER.replace("router-1", "Router 1");
     let e = router_error(&text);
     assert!(
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn every_wrong_value_is_named_at_once() {
+fn all_invalid_values_are_reported_at_once() {
     let text = ROUTER
         .replace("router-1", "R")
         .replace("[\"127.0.0.1:9100\"]", "[]");
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_founder_must_know_itself() {
+fn founders_without_the_replica_itself_are_rejected() {
     let text = r#"
 id = "ledger-1"
 zone = { region = "ke-central", id = "ke-central-a" }
@@ -62,9 +62,9 @@
 }
 
 #[test]
-fn only_what_is_said_to_be_repeatable_may_be_repeated() {
+fn only_get_and_listed_calls_may_be_repeated() {
     let text = "kind = \"plain\"\nrepeatable = [\"search\"]\n";
-    let service: ServiceDocument = read("services/orders", text).expect("well-formed");
+    let service: ServiceDocument = read("services/orders", text).expect("valid document");
     assert!(service.may_repeat("GET", "orders/7"));
     assert!(service.may_repeat("POST", "search?q=card"));
     assert!(!service.may_repeat("POST", "orders"));
@@ -72,11 +72,11 @@
 }
 
 #[test]
-fn a_team_stores_only_digests_of_its_keys() {
-    let path = TreePath::try_from("teams/counter").expect("a path");
+fn team_document_with_a_plain_text_key_is_rejected() {
+    let path = TreePath::try_from("teams/counter").expect("valid path");
     let text =
         |key: &str| format!("organisation = \"paper\"\nkeys = [\"{key}\"]\n[split]\nnairobi = 1\n");
     assert!(Document::check(&path, &text(&key_hash(b"secret"))).is_ok());
-    let e = Document::check(&path, &text("secret")).expect_err("a bare key");
+    let e = Document::check(&path, &text("secret")).expect_err("plain-text key");
     assert!(e.to_string().starts_with("teams/counter:2: keys"), "{e}");
 }
