--- a/crates/anvil_wire/src/call.rs
+++ b/crates/anvil_wire/src/call.rs
@@ -1,14 +1,14 @@
-//! What one kind of exchange looks like.
+//! The definition of one kind of call: its path, request type and reply type.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// One kind of exchange between processes: a request, then any number of replies.
+/// One kind of call between processes: a request, then any number of replies.
 pub trait Call: 'static {
-    /// The h2 path it goes to, such as `/ledger`.
+    /// The h2 path of the call, such as `/ledger`.
     const PATH: &'static str;
-    /// What is asked.
+    /// The request.
     type Req: Serialize + DeserializeOwned + Send + 'static;
-    /// What comes back, once or many times.
+    /// Each of the replies.
     type Resp: Serialize + DeserializeOwned + Send + 'static;
 }
--- a/crates/anvil_wire/src/channel.rs
+++ b/crates/anvil_wire/src/channel.rs
@@ -1,4 +1,4 @@
-//! The asking side: a connection that is made when needed and made again when lost.
+//! The client side: a connection that is opened on demand and reopened after it was lost.
 
 use std::marker::PhantomData;
 use std::net::SocketAddr;
@@ -21,47 +21,47 @@
 use crate::call::Call;
 use crate::codec::{decode, encode};
 use crate::error::{BrokenSnafu, ConnectSnafu, OpenSnafu, WireError};
-use crate::keepalive::{OpenStream, OpenStreams, until_silent};
+use crate::keepalive::{OpenStreamGuard, OpenStreams, until_unresponsive};
 use crate::server::{CONNECTION_WINDOW, STREAM_WINDOW};
 
-/// Longest time to make a connection.
+/// Maximum time to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// An opening packet that has no answer after this time is taken for lost, and another one is sent. Two
-/// regions are some 50 ms apart.
-const OPENING_LOST: Duration = Duration::from_millis(250);
+/// A SYN packet without an answer after this time is assumed lost, and a new connection attempt is made.
+/// The latency between two regions is about 50 ms.
+const SYN_TIMEOUT: Duration = Duration::from_millis(250);
 
 #[derive(Clone)]
 struct Connected {
-    /// Of the connections that this channel made.
+    /// Sequence number of the connection in its channel.
     number: u64,
     sender: SendRequest<Bytes>,
     open: OpenStreams,
 }
 
-/// A way to one other process. Cheap to clone; all clones share one connection.
+/// A client for one other process. Cheap to clone; all clones share one connection.
 #[derive(Clone)]
 pub struct Channel {
     addr: SocketAddr,
     connected: Arc<Mutex<Option<Connected>>>,
-    made: Arc<AtomicU64>,
+    next_number: Arc<AtomicU64>,
 }
 
 impl Channel {
-    /// A channel to this address. Nothing is connected yet.
+    /// Creates a channel to this address without connecting yet.
     pub fn new(addr: SocketAddr) -> Self {
         Self {
             addr,
             connected: Arc::default(),
-            made: Arc::default(),
+            next_number: Arc::default(),
         }
     }
 
-    /// Where it leads.
+    /// Address of the other process.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Asks and waits for one reply.
+    /// Sends a request and waits for one reply.
     pub async fn call<C: Call>(
         &self,
         req: &C::Req,
@@ -78,24 +78,24 @@
             return reply;
         }
         if let Some(number) = used {
-            self.forget(number);
+            self.discard(number);
         }
         Err(WireError::Timeout { after: within })
     }
 
-    /// Drops this connection for the calls to come; streams that are open on it go on.
+    /// Stops using this connection for further calls; streams that are open on it continue.
     ///
-    /// Failure: a connection goes silent for good while new ones work. It shows as calls that time
-    /// out one after the other until a ping does. Nothing is waited for: while another call
-    /// connects, the connection that timed out is replaced anyway.
-    fn forget(&self, number: u64) {
+    /// A connection can become unresponsive for good while new ones work; without this, every call
+    /// would time out until a ping fails. The lock is only tried: if another call holds it to connect,
+    /// that call replaces the connection anyway.
+    fn discard(&self, number: u64) {
         let Ok(mut slot) = self.connected.try_lock() else {
             return;
         };
         slot.take_if(|connected| connected.number == number);
     }
 
-    /// Asks and returns the replies as they come. Dropping them tells the other side to stop.
+    /// Sends a request and returns the stream of replies. Dropping the stream cancels the call.
     pub async fn open<C: Call>(&self, req: &C::Req) -> Result<Replies<C::Resp>, WireError> {
         self.open_on::<C>(self.connection().await?, req).await
     }
@@ -131,7 +131,7 @@
         })
     }
 
-    /// The present connection, or a new one where it is gone.
+    /// The current connection, or a new one if there is none or it was lost.
     async fn connection(&self) -> Result<Connected, WireError> {
         let mut slot = self.connected.lock().await;
         if let Some(connected) = slot.as_ref() {
@@ -140,7 +140,7 @@
             }
             *slot = None;
         }
-        let number = self.made.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let connecting = connect(self.addr, number);
         let connected = timeout(CONNECT_TIMEOUT, connecting).await;
         let connected = connected.unwrap_or(Err(WireError::ConnectTimeout {
@@ -152,21 +152,21 @@
     }
 }
 
-/// Opens a socket, with a new opening packet whenever the last one seems to be lost.
+/// Opens a socket, with a new connection attempt whenever the SYN packet seems to be lost.
 ///
-/// Failure: a process connects to one whose machine has no power yet. Its opening packet is gone, and the
-/// operating system sends it again only after a second, though the other process is there a tenth of
-/// a second later. After all replicas lost power it shows as a second more without a leader.
-async fn dial(addr: SocketAddr) -> std::io::Result<TcpStream> {
+/// A SYN packet to a machine that is still powering up is lost, and the operating system retransmits it
+/// only after a second, although the other process may be up 100 ms later. After a power loss of all
+/// replicas this would delay the election of a leader by a second.
+async fn connect_socket(addr: SocketAddr) -> std::io::Result<TcpStream> {
     loop {
-        if let Ok(dialled) = timeout(OPENING_LOST, TcpStream::connect(addr)).await {
-            return dialled;
+        if let Ok(connected) = timeout(SYN_TIMEOUT, TcpStream::connect(addr)).await {
+            return connected;
         }
     }
 }
 
 async fn connect(addr: SocketAddr, number: u64) -> Result<Connected, WireError> {
-    let socket = dial(addr).await.context(ConnectSnafu { addr })?;
+    let socket = connect_socket(addr).await.context(ConnectSnafu { addr })?;
     socket.set_nodelay(true).context(ConnectSnafu { addr })?;
     let (sender, mut connection) = Builder::new()
         .initial_window_size(STREAM_WINDOW)
@@ -175,11 +175,11 @@
         .await
         .context(OpenSnafu { addr })?;
     let open = OpenStreams::default();
-    let silent = until_silent(connection.ping_pong(), open.clone());
+    let unresponsive = until_unresponsive(connection.ping_pong(), open.clone());
     tokio::spawn(async move {
         tokio::select! {
             _ = connection => {}
-            () = silent => {}
+            () = unresponsive => {}
         }
     });
     Ok(Connected {
@@ -195,15 +195,15 @@
     out: SendStream<Bytes>,
     buf: BytesMut,
     ended: bool,
-    _guard: OpenStream,
+    _guard: OpenStreamGuard,
     resp: PhantomData<fn() -> T>,
 }
 
 impl<T: DeserializeOwned> Replies<T> {
-    /// The next reply; `None` when the other side has said all.
+    /// The next reply; `None` after the last one.
     ///
-    /// Bytes are given back to the flow control as they are taken, so that a reader who waits
-    /// makes the sender wait, with at most a window in between.
+    /// Flow-control capacity is released only as data is read, so a slow reader slows down the sender:
+    /// at most one window of data is buffered.
     pub async fn next(&mut self) -> Result<Option<T>, WireError> {
         loop {
             if let Some(message) = decode(&mut self.buf)? {
--- a/crates/anvil_wire/src/codec.rs
+++ b/crates/anvil_wire/src/codec.rs
@@ -1,7 +1,7 @@
-//! Messages as bytes: bincode behind a length of four bytes, little end first.
+//! The encoding of messages: a length of four bytes in little-endian order, then the message in bincode.
 //!
-//! Long messages are deflated; the highest bit of the length says so. A routing table of 415 KB
-//! goes to every replica and every router, and shrinks to about a fortieth.
+//! Long messages are compressed with deflate, marked by the highest bit of the length. A routing table
+//! of 415 KB is sent to every replica and every router, and compresses to about a fortieth.
 
 use std::io::{Read, Write};
 
@@ -15,17 +15,17 @@
 
 use crate::error::{DecodeSnafu, DeflateSnafu, EncodeSnafu, TooLargeSnafu, WireError};
 
-/// Largest message, in bytes: a full settings tree of the design size with room to spare.
+/// Maximum size of a message, in bytes: enough for the largest settings tree the design allows for.
 pub const MAX_MESSAGE: usize = 64 << 20;
 
 const LENGTH_BYTES: usize = 4;
-/// Set in the length of a message that is deflated.
-const DEFLATED: u32 = 1 << 31;
-/// Messages are deflated from this length on, in bytes: below it the frames of the network and the
-/// time for it cost more than the bytes that are saved.
-const DEFLATE_FROM: usize = 8 << 10;
+/// Bit set in the length of a compressed message.
+const DEFLATED_BIT: u32 = 1 << 31;
+/// Minimum length of messages that are compressed, in bytes. Below it, compression takes more time than
+/// sending fewer bytes saves.
+const DEFLATE_MIN_BYTES: usize = 8 << 10;
 
-/// Writes one message behind its length.
+/// Encodes one message with its length in front.
 pub fn encode<T: Serialize>(message: &T) -> Result<Bytes, WireError> {
     let mut buf = BytesMut::with_capacity(256);
     buf.put_u32_le(0);
@@ -35,15 +35,15 @@
             .context(EncodeSnafu)?;
     ensure!(written <= MAX_MESSAGE, TooLargeSnafu { bytes: written });
     let mut buf = writer.into_inner();
-    let mut mark = 0;
-    if written >= DEFLATE_FROM {
+    let mut deflated_bit = 0;
+    if written >= DEFLATE_MIN_BYTES {
         let deflated = deflate(&buf[LENGTH_BYTES..])?;
         buf.truncate(LENGTH_BYTES);
         buf.extend_from_slice(&deflated);
-        mark = DEFLATED;
+        deflated_bit = DEFLATED_BIT;
     }
     let length = u32::try_from(buf.len() - LENGTH_BYTES).unwrap_or(u32::MAX);
-    buf[..LENGTH_BYTES].copy_from_slice(&(length | mark).to_le_bytes());
+    buf[..LENGTH_BYTES].copy_from_slice(&(length | deflated_bit).to_le_bytes());
     Ok(buf.freeze())
 }
 
@@ -53,11 +53,12 @@
     writer.finish().context(DeflateSnafu)
 }
 
-/// Never gives back more than the longest message: a few bytes must not fill the memory.
+/// Decompresses a message. Stops beyond the maximum message size, so that a few bytes can't exhaust the
+/// memory.
 fn inflate(body: &[u8]) -> Result<Vec<u8>, WireError> {
-    let most = MAX_MESSAGE as u64 + 1;
+    let read_limit = MAX_MESSAGE as u64 + 1;
     let mut bytes = Vec::new();
-    let mut reader = DeflateDecoder::new(body).take(most);
+    let mut reader = DeflateDecoder::new(body).take(read_limit);
     reader.read_to_end(&mut bytes).context(DeflateSnafu)?;
     ensure!(
         bytes.len() <= MAX_MESSAGE,
@@ -66,14 +67,14 @@
     Ok(bytes)
 }
 
-/// Takes the first whole message out of what has arrived; `None` while more bytes are needed.
+/// Removes the first complete message from `buf` and decodes it; `None` while more bytes are needed.
 pub fn decode<T: DeserializeOwned>(buf: &mut BytesMut) -> Result<Option<T>, WireError> {
     let Some(head) = buf.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
     };
     let head = u32::from_le_bytes(*head);
-    let deflated = head & DEFLATED != 0;
-    let length = usize::try_from(head & !DEFLATED).unwrap_or(usize::MAX);
+    let deflated = head & DEFLATED_BIT != 0;
+    let length = usize::try_from(head & !DEFLATED_BIT).unwrap_or(usize::MAX);
     ensure!(length <= MAX_MESSAGE, TooLargeSnafu { bytes: length });
     if buf.len() < LENGTH_BYTES + length {
         return Ok(None);
--- a/crates/anvil_wire/src/error.rs
+++ b/crates/anvil_wire/src/error.rs
@@ -1,87 +1,87 @@
-//! What can go wrong between two processes.
+//! Errors of calls between processes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use snafu::Snafu;
 
-/// A failed exchange. [`WireError::never_sent`] tells whether the other side may have seen it.
+/// A failed call. [`WireError::never_sent`] tells whether the other side may have received it.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum WireError {
-    /// A message can't be deflated or inflated.
-    #[snafu(display("a message can't be deflated or inflated: {source}"))]
+    /// A message can't be compressed or decompressed.
+    #[snafu(display("message compression or decompression failed: {source}"))]
     Deflate {
         /// Why.
         source: std::io::Error,
     },
-    /// No connection; nothing was sent.
-    #[snafu(display("no connection to {addr}: {source}"))]
+    /// The connection could not be opened; nothing was sent.
+    #[snafu(display("connection to {addr} failed: {source}"))]
     Connect {
-        /// Where to.
+        /// Address of the other process.
         addr: SocketAddr,
         /// Why.
         source: std::io::Error,
     },
-    /// The connection is there, but the stream could not be opened; nothing was sent.
-    #[snafu(display("no stream to {addr}: {source}"))]
+    /// The connection is open, but the stream could not be opened; nothing was sent.
+    #[snafu(display("opening a stream to {addr} failed: {source}"))]
     Open {
-        /// Where to.
+        /// Address of the other process.
         addr: SocketAddr,
         /// Why.
         source: h2::Error,
     },
-    /// No connection within the time; nothing was sent.
-    #[snafu(display("no connection to {addr} within {after:?}"))]
+    /// The connection was not opened in time; nothing was sent.
+    #[snafu(display("connection to {addr} timed out after {after:?}"))]
     ConnectTimeout {
-        /// Where to.
+        /// Address of the other process.
         addr: SocketAddr,
-        /// How long was waited.
+        /// The timeout.
         after: Duration,
     },
-    /// The stream broke after the request had left.
+    /// The stream broke after the request may have been sent.
     #[snafu(display("stream broken: {source}"))]
     Broken {
         /// Why.
         source: h2::Error,
     },
-    /// The replies ended before the one that was waited for.
-    #[snafu(display("the replies ended early"))]
+    /// The stream ended before the expected reply.
+    #[snafu(display("stream ended before the expected reply"))]
     Ended,
-    /// No reply within the time; the request may have been acted on.
-    #[snafu(display("no reply within {after:?}"))]
+    /// No reply arrived in time; the request may have been executed.
+    #[snafu(display("call timed out: no reply within {after:?}"))]
     Timeout {
-        /// How long was waited.
+        /// The timeout.
         after: Duration,
     },
-    /// Bytes that are not a message.
-    #[snafu(display("not a message: {source}"))]
+    /// The received bytes are not a valid message.
+    #[snafu(display("message decoding failed: {source}"))]
     Decode {
         /// Why.
         source: bincode::error::DecodeError,
     },
-    /// A message that can't be written.
-    #[snafu(display("message not written: {source}"))]
+    /// The message can't be encoded.
+    #[snafu(display("message encoding failed: {source}"))]
     Encode {
         /// Why.
         source: bincode::error::EncodeError,
     },
-    /// A message over [`crate::MAX_MESSAGE`].
-    #[snafu(display("a message of {bytes} bytes is too large"))]
+    /// The message is larger than [`crate::MAX_MESSAGE`].
+    #[snafu(display("message too large: {bytes} bytes"))]
     TooLarge {
-        /// Its length, in bytes.
+        /// Its size, in bytes.
         bytes: usize,
     },
-    /// The other side doesn't serve this path.
-    #[snafu(display("the other side answered with status {status}"))]
+    /// The other side has no handler for this path.
+    #[snafu(display("call rejected: HTTP status {status}"))]
     Status {
         /// HTTP status.
         status: u16,
     },
-    /// The address can't be listened on.
-    #[snafu(display("can't listen on {addr}: {source}"))]
+    /// Listening on the address failed.
+    #[snafu(display("listening on {addr} failed: {source}"))]
     Listen {
-        /// Where.
+        /// The address.
         addr: SocketAddr,
         /// Why.
         source: std::io::Error,
@@ -89,10 +89,10 @@
 }
 
 impl WireError {
-    /// Whether the other machine answered that no process listens there.
+    /// Whether the other machine refused the connection because no process listens on the address.
     ///
-    /// Stronger than [`WireError::never_sent`]: a process that could be reached by nobody may
-    /// still run; one whose address refuses connections does not.
+    /// Stronger than [`WireError::never_sent`]: an unreachable process may still be running, but one
+    /// whose address refuses connections is not.
     pub fn nobody_listens(&self) -> bool {
         let Self::Connect { source, .. } = self else {
             return false;
@@ -100,9 +100,9 @@
         source.kind() == std::io::ErrorKind::ConnectionRefused
     }
 
-    /// Whether it is certain that the other side never saw the request.
+    /// Whether the other side certainly never received the request.
     ///
-    /// Only then may a non-idempotent request be sent elsewhere.
+    /// Only then may a non-idempotent request be sent to another process.
     pub fn never_sent(&self) -> bool {
         matches!(
             self,
--- a/crates/anvil_wire/src/lib.rs
+++ b/crates/anvil_wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Typed messages between the fleet's own processes, over h2 streams with bincode.
+//! Typed messages between the processes of the fleet, encoded with bincode and sent over h2 streams.
 //!
-//! A [`Call`] names a path, a request and a reply. One h2 stream carries one request and any
-//! number of replies, each behind its length. The only sockets between processes of the fleet
-//! are opened here.
+//! A [`Call`] defines a path, a request type and a reply type. One h2 stream carries one request and
+//! any number of replies, each preceded by its length. All sockets between processes of the fleet are
+//! opened here.
 //!
 //! ```no_run
 //! # async fn demo() -> Result<(), anvil_wire::WireError> {
@@ -11,13 +11,13 @@
 //! use anvil_wire::Channel;
 //!
 //! let ledger = Channel::new("127.0.0.1:9100".parse().unwrap());
-//! let ask = LedgerRequest::Query(Query::Status);
-//! let reply = ledger.call::<LedgerCall>(&ask, Duration::from_secs(1)).await?;
+//! let req = LedgerRequest::Query(Query::Status);
+//! let reply = ledger.call::<LedgerCall>(&req, Duration::from_secs(1)).await?;
 //! # Ok(()) }
 //! ```
 //!
-//! Read on: [`Call`], then [`Channel`] (the asking side), [`Server`] (the answering side), and
-//! the messages under [`msg`].
+//! Start reading at [`Call`], then [`Channel`] (the client side), [`Server`] (the server side), and the
+//! messages in [`msg`].
 
 mod call;
 mod channel;
--- a/crates/anvil_wire/src/msg.rs
+++ b/crates/anvil_wire/src/msg.rs
@@ -1,4 +1,4 @@
-//! The messages, by who answers them.
+//! The messages, in one module per kind of call.
 
 mod ledger;
 mod listing;
--- a/crates/anvil_wire/src/msg/ledger.rs
+++ b/crates/anvil_wire/src/msg/ledger.rs
@@ -1,4 +1,4 @@
-//! What the ledger answers.
+//! Calls to the ledger: commands, queries, heartbeats, and the stream of state changes to followers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 
 use crate::Call;
 
-/// Exchange with a ledger replica.
+/// A call to a ledger replica.
 pub struct LedgerCall;
 
 impl Call for LedgerCall {
@@ -21,22 +21,22 @@
     type Resp = LedgerReply;
 }
 
-/// What is asked of a ledger replica.
+/// A request to a ledger replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerRequest {
-    /// Put this command into the log. Only the leader takes it.
+    /// Proposes a command for the log. Only the leader accepts it.
     Propose(Command),
-    /// Read; confirmed by a majority before it is answered.
+    /// Reads state; a majority confirms it before it is answered.
     Query(Query),
-    /// I am alive.
+    /// Renews the sender's membership.
     Heartbeat(Heartbeat),
-    /// Send me what I am interested in, now and whenever it changes. Any replica serves it.
+    /// Follows a part of the state: replies with it now and whenever it changes. Any replica serves it.
     Follow {
-        /// Who follows.
+        /// The follower.
         instance: InstanceId,
-        /// What is of interest.
+        /// The part of the state to send.
         interest: Interest,
-        /// The newest version already held, 0 for none.
+        /// The newest version the follower has, 0 for none.
         version: LogIndex,
     },
 }
@@ -44,91 +44,91 @@
 /// Which part of the state a follower needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Interest {
-    /// The whole settings tree, the members, the fenced routers, and what routers tell of endpoints.
+    /// The whole settings tree, the members, the fenced routers, and the routers' reports on endpoints.
     Router,
-    /// The fleet's document, the follower's own presence and the fenced routers.
+    /// The fleet document, the follower's own presence and the fenced routers.
     Sidecar,
-    /// The members alone: for those who only want to know who is where. A routing table may be
-    /// megabytes, and there are as many of these followers as endpoints.
+    /// Only the members, for followers that need nothing but their addresses. There are as many of these
+    /// followers as endpoints, and a routing table may have megabytes.
     Members,
 }
 
-/// A sign of life, every second.
+/// A heartbeat, sent every second.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Who, in which life. An unknown one is joined.
+    /// The sender, in its incarnation. An unknown one joins the membership.
     pub instance: Instance,
-    /// The newest version it has in force.
+    /// The newest version of the state that the sender has in force.
     pub version: LogIndex,
-    /// From a sidecar: what was charged under fenced routers' grants. One for each fenced router,
-    /// also when nothing was charged; held back while a run of that router goes on.
+    /// From a sidecar: the charges under the grants of fenced routers. One entry for each fenced router,
+    /// even without charges; withheld while a run of that router is in flight.
     pub evidence: Vec<Evidence>,
-    /// Whether it wishes to leave: no new work, please.
+    /// Whether the sender is leaving and takes no new work.
     pub leaving: bool,
 }
 
-/// What one sidecar charged under the grants of one fenced router.
+/// The charges that one sidecar made under the grants of one fenced router.
 ///
-/// Final: the sidecar refuses that router's lives from before it was taken, and none of their
-/// runs goes on.
+/// It is final: the sidecar has refused the fenced incarnations since before it collected the charges,
+/// and none of their runs is in flight.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
     /// The fenced router.
     pub router: InstanceId,
-    /// The newest fenced life; older ones are meant too.
+    /// The newest fenced incarnation; older ones are included.
     pub incarnation: Incarnation,
-    /// Each charge. Two sidecars may both have charged a key that was continued elsewhere, so
-    /// sums can't be sent: the collector counts each key once.
+    /// The single charges. Two sidecars may both have charged a key whose answer was continued on the
+    /// other one, so sums would count it twice; the ledger counts each key once.
     pub charges: Vec<KeyCharge>,
 }
 
-/// What one run charged to one grant.
+/// The charge of one run to one grant.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyCharge {
     /// The grant.
     pub grant: GrantId,
     /// The request.
     pub key: RequestKey,
-    /// The attempt that ran here; of one key's charges the highest attempt counts.
+    /// The attempt that ran here; of the charges for one key only that of the highest attempt counts.
     pub attempt: u32,
-    /// Charged, in tokens.
+    /// Tokens charged.
     pub charged: Tokens,
 }
 
-/// Answer to a sign of life.
+/// The reply to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
     /// The newest version of the state.
     pub version: LogIndex,
-    /// What the fleet holds this instance to be.
+    /// The presence recorded for this instance.
     pub presence: Presence,
-    /// Fenced routers whose evidence was taken and need not be sent again.
+    /// Fenced routers whose evidence was accepted and need not be sent again.
     pub taken: Vec<(InstanceId, Incarnation)>,
-    /// Where the ledger's replicas are, voters and learners.
+    /// Addresses of the ledger's replicas, voters and learners.
     pub replicas: Vec<SocketAddr>,
 }
 
-/// What a follower is sent.
+/// A state update for a follower.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FollowEvent {
-    /// All of it.
+    /// The complete state, as far as the follower's [`Interest`] goes.
     Full {
-        /// Log position it stands for.
+        /// Log position of the state.
         version: LogIndex,
         /// Documents.
         tree: BTreeMap<TreePath, TreeEntry>,
         /// Instances.
         members: BTreeMap<InstanceId, Member>,
-        /// Routers whose grants are refused, with the newest fenced life.
+        /// Routers whose grants are refused, with the newest fenced incarnation.
         fenced: BTreeMap<InstanceId, Incarnation>,
-        /// Requests under which endpoints crashed.
+        /// Suspect requests.
         suspects: BTreeMap<RequestDigest, Suspect>,
-        /// Limits that endpoints announced.
+        /// Rate limits that endpoints announced.
         limits: BTreeMap<InstanceId, EndpointLimit>,
     },
-    /// What changed since the last event; `None` for what went away.
+    /// The changes since the last event; `None` for what was removed.
     Delta {
-        /// Log position it leads to.
+        /// Log position of the state after these changes.
         version: LogIndex,
         /// Documents.
         tree: Vec<(TreePath, Option<TreeEntry>)>,
@@ -136,33 +136,33 @@
         members: Vec<(InstanceId, Option<Member>)>,
         /// Newly fenced routers.
         fenced: Vec<(InstanceId, Incarnation)>,
-        /// Requests under which endpoints crashed.
+        /// Suspect requests.
         suspects: Vec<(RequestDigest, Option<Suspect>)>,
-        /// Limits that endpoints announced.
+        /// Rate limits that endpoints announced.
         limits: Vec<(InstanceId, Option<EndpointLimit>)>,
     },
-    /// Nothing changed; the replica confirms that this version is the newest it knows of and
-    /// that it heard from the leader lately.
+    /// Nothing changed: the replica confirms that this is the newest version it knows and that it has
+    /// recently received a message from the leader.
     Current {
         /// Log position.
         version: LogIndex,
     },
 }
 
-/// What is read.
+/// A read of the ledger's state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Query {
-    /// How the ledger is.
+    /// The status of the answering replica.
     Status,
     /// Documents whose path starts with this text.
     Tree(Arc<str>),
     /// One budget.
     Budget(BudgetId),
-    /// All budgets, in order, after this one, at most so many.
+    /// One page of all budgets, in order.
     Budgets {
-        /// Start after it.
+        /// Start after this budget.
         after: Option<BudgetId>,
-        /// At most so many.
+        /// Maximum number of budgets.
         limit: u32,
     },
     /// The audit trail.
@@ -177,20 +177,20 @@
     Members,
 }
 
-/// Which lines of the audit trail.
+/// Selects entries of the audit trail.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditFilter {
-    /// Only subjects that start with this.
+    /// Only subjects with this prefix.
     pub subject: Option<Arc<str>>,
-    /// Only this operator.
+    /// Only changes by this operator.
     pub operator: Option<OperatorId>,
-    /// Only after this revision.
+    /// Only changes after this revision.
     pub after: Revision,
-    /// At most so many, the newest; 0 means all that fit.
+    /// Maximum number of entries, the newest ones; 0 means as many as fit in one message.
     pub limit: u32,
 }
 
-/// What was read.
+/// The answer to a [`Query`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QueryAnswer {
     /// See [`Query::Status`].
@@ -216,63 +216,63 @@
 pub struct BudgetView {
     /// Its name.
     pub id: BudgetId,
-    /// Paid in, charged and open grants.
+    /// Its credit, charges and open grants.
     pub budget: Budget,
 }
 
-/// How the ledger is.
+/// The status of the ledger, as seen by one replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerStatus {
-    /// Who answers.
+    /// The replica that answers.
     pub replica: InstanceId,
     /// The leader's term.
     pub term: Term,
-    /// Newest committed position.
+    /// Newest committed log position.
     pub committed: LogIndex,
-    /// Newest version of tree, members and fences.
+    /// Newest version of the state that followers receive.
     pub version: LogIndex,
     /// Voting replicas.
     pub voters: Vec<InstanceId>,
-    /// Replicas that catch up.
+    /// Non-voting replicas that are catching up.
     pub learners: Vec<InstanceId>,
 }
 
-/// How far a version has spread.
+/// The rollout of a version: which instances have it in force.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InForce {
     /// Instances that have it in force.
     pub there: BTreeSet<InstanceId>,
-    /// Live instances that still hold an older one, or were not heard of, with the time since
-    /// their last sign of life.
+    /// Live instances that still have an older version or sent no heartbeat yet, with the time since
+    /// their last heartbeat.
     pub missing: BTreeMap<InstanceId, Duration>,
 }
 
-/// What a ledger replica says.
+/// A reply of a ledger replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LedgerReply {
-    /// The command was committed at this position and applied.
+    /// The command was committed and applied.
     Applied {
-        /// Log position.
+        /// Its log position.
         index: LogIndex,
-        /// What it answered.
+        /// Its result.
         answer: Answer,
     },
-    /// What was read.
+    /// The answer to a query.
     Read(QueryAnswer),
-    /// Sign of life taken.
+    /// The heartbeat was accepted.
     Alive(HeartbeatReply),
-    /// For a follower.
+    /// A state update for a follower.
     Follow(FollowEvent),
-    /// Another replica leads; nothing was done.
+    /// Another replica is the leader; nothing was done.
     NotLeader {
-        /// Its wire address, where known.
+        /// The leader's wire address, if known.
         leader: Option<SocketAddr>,
     },
-    /// No majority can be reached; nothing was put into the log.
+    /// No quorum can be reached; nothing was appended to the log.
     NoQuorum,
-    /// The leader changed while the command waited: it may or may not be committed. Resend it
-    /// with the same id to learn which.
+    /// The leader changed while the command was in flight, so it may or may not be committed. Resending
+    /// it with the same id tells which.
     InDoubt,
-    /// The replica has stopped for good and says why in its log: disk full, sync failed.
+    /// The replica has stopped for good. Its log says why, for example disk full or a failed sync.
     Stopped,
 }
--- a/crates/anvil_wire/src/msg/listing.rs
+++ b/crates/anvil_wire/src/msg/listing.rs
@@ -1,4 +1,6 @@
-//! What a router tells its siblings of the platform's list of endpoints.
+//! Calls between routers that share the platform's list of endpoints.
+//!
+//! Each read of the platform's list is expensive, so routers pass on what one of them has read.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,7 +10,7 @@
 
 use crate::Call;
 
-/// Question and answer about the list of endpoints.
+/// A call from one router to another, for its copy of the endpoint list.
 pub struct ListCall;
 
 impl Call for ListCall {
@@ -17,68 +19,68 @@
     type Resp = ListReply;
 }
 
-/// A digest of a list's content; 0 for none.
+/// Digest of the content of an endpoint list; 0 for no list.
 pub type ListVersion = u64;
 
 /// One endpoint on the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
-    /// The endpoint in its present life.
+    /// Id of the endpoint in its current incarnation.
     pub id: InstanceId,
-    /// What it serves.
+    /// The service it belongs to.
     pub service: ServiceId,
-    /// Where it listens.
+    /// Its address.
     pub addr: SocketAddr,
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: ZoneId,
-    /// Requests that it works on side by side.
+    /// Requests it works on concurrently.
     pub slots: u32,
-    /// It takes no new work.
+    /// Whether it is leaving and takes no new work.
     pub leaving: bool,
 }
 
-/// A router asks for a list newer than its own.
+/// A router's request for a list newer than its own.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListAsk {
-    /// What the asker holds.
+    /// Digest of the sender's list.
     pub have: ListVersion,
-    /// Answer as soon as a list is held that was read at most this long before the question. With zero
-    /// the asker has found its list wrong, and wants it read anew.
+    /// Maximum age of the list, counted back from this request: the reply is sent as soon as such a list
+    /// is available. With zero the sender has found its list to be wrong and wants it read again.
     pub read_within: Duration,
-    /// Answer after this time at the latest, with what is held then.
+    /// Maximum time until the reply, which then has the list available by that time.
     pub wait: Duration,
 }
 
-/// What a router holds of the list.
+/// The replying router's list, as the difference from the sender's.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListReply {
-    /// Longest time since it was read.
+    /// Maximum time since the list was read.
     pub age: Duration,
-    /// For how long the question was held, by the answering router's clock.
+    /// How long the reply was delayed, by the replying router's clock.
     pub held_for: Duration,
-    /// What changed.
+    /// The difference.
     pub news: ListNews,
 }
 
-/// How the answering router's list differs from the asker's.
+/// How the replying router's list differs from the list of the router that sent the request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListNews {
-    /// Nothing was ever read.
+    /// No list has been read yet.
     Nothing,
-    /// In nothing.
+    /// The lists are equal.
     Same,
-    /// In these endpoints.
+    /// The lists differ in these endpoints.
     Changes {
-        /// The list that they lead to.
+        /// Digest of the list after these changes.
         version: ListVersion,
-        /// Endpoints that came or changed.
+        /// New and changed endpoints.
         listed: Vec<Listed>,
-        /// Endpoints that are not on it any more.
+        /// Endpoints that are no longer listed.
         gone: Vec<InstanceId>,
     },
-    /// The asker's list is not known any more; this is the whole one.
+    /// The other router's list is no longer known here; this is the complete list.
     Whole {
-        /// Which list it is.
+        /// Digest of the list.
         version: ListVersion,
         /// All endpoints.
         listed: Vec<Listed>,
--- a/crates/anvil_wire/src/msg/router.rs
+++ b/crates/anvil_wire/src/msg/router.rs
@@ -1,4 +1,7 @@
-//! What a router answers other routers: claims of idempotent requests.
+//! Calls between routers: claims of idempotent requests.
+//!
+//! The claim of an idempotent request is held by a few routers instead of the ledger. It records which
+//! sidecar runs the request, so that a retry attaches to the same run.
 
 use std::time::Duration;
 
@@ -7,7 +10,7 @@
 
 use crate::Call;
 
-/// Exchange between routers.
+/// A call from one router to another.
 pub struct RouterCall;
 
 impl Call for RouterCall {
@@ -16,7 +19,7 @@
     type Resp = RouterReply;
 }
 
-/// Which sidecar runs an idempotent request.
+/// The claim of an idempotent request: which sidecar runs it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacedClaim {
     /// The request.
@@ -25,54 +28,56 @@
     pub body: BodyHash,
     /// The sidecar.
     pub sidecar: InstanceId,
-    /// Its life.
+    /// The sidecar's incarnation.
     pub incarnation: Incarnation,
-    /// How long the claim is worth keeping.
+    /// How long the claim is kept.
     pub keep: Duration,
 }
 
-/// One life of a router that keeps claims.
+/// A router, in one incarnation, that holds claims.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderLife {
     /// The router.
     pub id: InstanceId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
-/// What is asked of a router.
+/// A request to a router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouterRequest {
-    /// Keep this claim, unless the key has one already. Reply: `Claim` with the first one.
+    /// Stores this claim, unless the key has one already. Reply: `Claim` with the first one.
     Put(PlacedClaim),
-    /// Keep this claim, unless the key has one already, and vouch for it if you can. Reply:
-    /// `Claim` with the first one; `Leaving` from one that keeps it but can't vouch.
+    /// Stores this claim, unless the key has one already, and confirms it as one of the key's holders
+    /// if possible. Reply: `Claim` with the first one; `Leaving` from a router that stores the claim
+    /// but can't confirm it.
     PutAs {
-        /// What.
+        /// The claim.
         claim: PlacedClaim,
-        /// Who holds this key, as the asker knows the members.
+        /// The holders of this key, according to the sender's view of the membership.
         holders: Vec<HolderLife>,
     },
-    /// Replace a claim whose sidecar is lost or said that it will never run. Reply: `Claim`.
+    /// Replaces a claim whose sidecar is lost or has reported that it will never run the request.
+    /// Reply: `Claim`.
     Replace {
-        /// What is to go; nothing happens when another one stands there.
+        /// The sidecar of the claim to replace; a claim with another sidecar is kept.
         old: InstanceId,
-        /// What comes.
+        /// The new claim.
         new: PlacedClaim,
     },
-    /// Which claim does the key have? Reply: `Claim`.
+    /// Reads the claim of a key. Reply: `Claim`.
     Get(RequestKey),
-    /// A leaving router's claims. Reply: `Kept`.
+    /// Transfers the claims of a leaving router. Reply: `Kept`.
     HandOver(Vec<PlacedClaim>),
 }
 
-/// What a router says.
+/// A reply of a router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouterReply {
-    /// The claim that stands.
+    /// The claim of the key, if any.
     Claim(Option<PlacedClaim>),
-    /// Taken over.
+    /// The transferred claims are stored.
     Kept,
-    /// This router is leaving and keeps nothing new.
+    /// This router is leaving, so it can't confirm a new claim.
     Leaving,
 }
--- a/crates/anvil_wire/src/msg/sidecar.rs
+++ b/crates/anvil_wire/src/msg/sidecar.rs
@@ -1,4 +1,4 @@
-//! What a sidecar answers.
+//! Calls to sidecars: runs of requests, orders to the endpoint, and its load.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 
 use crate::Call;
 
-/// Exchange with a sidecar.
+/// A call to a sidecar.
 pub struct SidecarCall;
 
 impl Call for SidecarCall {
@@ -21,123 +21,124 @@
     type Resp = SidecarReply;
 }
 
-/// What is asked of a sidecar.
+/// A request to a sidecar.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SidecarRequest {
-    /// Run this once, or attach to the run that this key already has. Replies: `Accepted`,
-    /// perhaps `Head`, `Frame`s, `End`; or `Refused` alone.
+    /// Runs a request once, or attaches to the run that its key already has. Replies: `Accepted`,
+    /// optionally `Head`, then `Frame`s and `End`; or only `Refused`.
     Start(Box<Start>),
-    /// Only attach; never runs anything. Replies as for `Start`, or `Probed(Unheard)`.
+    /// Attaches to a run without ever starting one. Replies as for `Start`, or `Probed(Unheard)`.
     Attach {
         /// The request.
         key: RequestKey,
-        /// First byte wanted.
+        /// First output byte to send.
         offset: Offset,
     },
-    /// The caller left for good: stop the engine and bill what was made. Reply: `Probed`.
+    /// The caller has disconnected for good: stops the run and charges the output so far. Reply:
+    /// `Probed`.
     Cancel {
         /// The request.
         key: RequestKey,
-        /// The sidecar's life that the request was dispatched to, as in `Forbid`.
+        /// The sidecar's incarnation that the request was dispatched to, as in `Forbid`.
         life: Incarnation,
     },
-    /// What of this key? Reply: `Probed`.
+    /// Reads the state of a key. Reply: `Probed`.
     Probe {
         /// The request.
         key: RequestKey,
     },
-    /// Never start this key from now on, unless it has started. Reply: `Probed`; after
-    /// `Probed(Forbidden)` a router may truthfully say "not run".
+    /// Forbids any later start of this key, unless it has started. Reply: `Probed`; after
+    /// `Probed(Forbidden)` a router may report the request as not run.
     Forbid {
         /// The request.
         key: RequestKey,
-        /// The sidecar's life that the request was dispatched to. Another life answers
-        /// `Probed(OtherLife)`, for it can't speak for what an earlier one ran.
+        /// The sidecar's incarnation that the request was dispatched to. Another incarnation replies
+        /// `Probed(OtherLife)`, because it can't know what an earlier one ran.
         life: Incarnation,
-        /// Only starts under this claim; nothing means every start of the key. A claim that was
-        /// freed must not keep a later one from running on the same sidecar.
+        /// Forbids only starts under this claim; `None` forbids every start of the key. A claim that
+        /// was freed must not prevent a later one from running on the same sidecar.
         claim: Option<ClaimId>,
     },
-    /// An order to the endpoint. Reply: `Ordered`.
+    /// Executes an order on the endpoint. Reply: `Ordered`.
     Order {
-        /// Its number; one lower than a number already seen is refused.
+        /// Its fencing number; one lower than a number already seen is refused.
         fence: FenceNumber,
-        /// What to do.
+        /// The action.
         kind: OrderKind,
     },
-    /// How loaded is the endpoint? Replies `Load` now and then, until the stream is dropped.
+    /// Watches the load of the endpoint. Replies `Load` repeatedly until the stream is dropped.
     Watch,
 }
 
-/// What is to be run.
+/// A request to be run, with its payment and limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
     /// The request.
     pub key: RequestKey,
-    /// The sidecar's life that is meant; another one refuses.
+    /// The sidecar's incarnation that it is sent to; another one refuses it.
     pub life: Incarnation,
-    /// The claim under which it is sent.
+    /// The claim under which it is dispatched.
     pub claim: ClaimId,
-    /// Counts from 0; one more for each endpoint that an answer is continued on. Of the charges
-    /// for one key under one grant, that of the highest attempt counts.
+    /// Counts from 0, one more for each endpoint on which the answer is continued. If one key is charged
+    /// several times under one grant, the charge of the highest attempt is the valid one.
     pub attempt: u32,
     /// Hash of the caller's body.
     pub body: BodyHash,
-    /// Who pays.
+    /// The reservation that pays for it.
     pub payment: Payment,
-    /// What to do.
+    /// The call to the endpoint.
     pub work: Work,
-    /// Whether it may run at most once, ever.
+    /// Whether it is non-idempotent and may run at most once.
     pub once: bool,
-    /// How it waits at the endpoint.
+    /// The queue in which it waits.
     pub class: WorkClass,
     /// Time left until the caller's deadline.
     pub time_left: Duration,
     /// How long the finished answer is kept for a retry.
     pub keep: Duration,
-    /// First output byte wanted.
+    /// First output byte to send.
     pub offset: Offset,
-    /// Output that was delivered before by another endpoint, which is to be continued.
+    /// Output that was already delivered by another endpoint and is to be continued.
     pub prefix: Bytes,
-    /// Tokens of the answer that the prefix holds.
+    /// Output tokens in the prefix.
     pub prefix_tokens: Tokens,
 }
 
-/// Who pays for a run, and at most how much.
+/// The reservation that pays for a run, and its limit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Payment {
-    /// The router that reserved it.
+    /// The router that made the reservation.
     pub router: InstanceId,
-    /// Its life. A fenced one is refused.
+    /// The router's incarnation. A fenced one is refused.
     pub incarnation: Incarnation,
-    /// Number of the reservation in this life. Two reservations for one key may share a grant,
-    /// so the grants don't tell whose run it is.
+    /// Number of the reservation in this incarnation. Two reservations for one key may share a grant,
+    /// so the grants alone don't identify the reservation.
     pub number: u64,
-    /// How the cost is split.
+    /// How the cost is split among budgets.
     pub split: Split,
-    /// Which grant pays each budget's part, and the reserved tokens.
+    /// For each budget, the grant that pays its part and the reserved tokens.
     pub grants: BTreeMap<BudgetId, (GrantId, Tokens)>,
-    /// The router's oldest open grant: what was charged under older ones is closed for good.
+    /// The router's oldest open grant: charges under older grants are final.
     pub oldest: GrantId,
-    /// Tokens for each unit of use.
+    /// Budget tokens per unit of usage.
     pub price: Price,
-    /// The run is stopped before it costs more than this, in tokens.
+    /// Maximum cost in tokens; the run is stopped before it exceeds this.
     pub bound: Tokens,
 }
 
-/// One reservation of one life of a router.
+/// Identifies one reservation of one router incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Payer {
     /// The router.
     pub router: InstanceId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
     /// Number of the reservation.
     pub number: u64,
 }
 
 impl Payment {
-    /// Whose reservation it is.
+    /// The identity of the reservation.
     pub fn payer(&self) -> Payer {
         Payer {
             router: self.router.clone(),
@@ -147,7 +148,7 @@
     }
 }
 
-/// What the endpoint is asked.
+/// The call that a run makes to the endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Work {
     /// A chat completion.
@@ -165,7 +166,7 @@
         method: Arc<str>,
         /// Path and query below the service's root.
         tail: Arc<str>,
-        /// Headers that are passed on.
+        /// Headers forwarded to the endpoint.
         headers: Vec<(Arc<str>, Bytes)>,
         /// The caller's body.
         body: Bytes,
@@ -177,47 +178,47 @@
 pub struct Head {
     /// HTTP status.
     pub status: u16,
-    /// Headers that are passed on.
+    /// Headers forwarded to the caller.
     pub headers: Vec<(Arc<str>, Bytes)>,
 }
 
-/// A piece of output.
+/// A chunk of output.
 ///
-/// For a chat the output is the answer's text in UTF-8, so that offsets mean the same on every
-/// endpoint; for a plain service it is the body.
+/// For a chat completion the output is the text of the answer in UTF-8, so that offsets mean the same
+/// on every endpoint; for a plain service it is the body.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Frame {
-    /// Whose it is. A router delivers no frame of another key.
+    /// The request it belongs to. A router delivers no frame of another key.
     pub key: RequestKey,
-    /// Where it belongs. A router delivers no frame that leaves a gap.
+    /// Its position in the output. A router delivers no frame that leaves a gap.
     pub offset: Offset,
     /// The bytes.
     pub bytes: Bytes,
-    /// Tokens of the answer up to the end of this frame.
+    /// Output tokens up to the end of this frame.
     pub tokens: Tokens,
 }
 
 /// The end of a run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunEnd {
-    /// Whose it is.
+    /// The request.
     pub key: RequestKey,
-    /// Bytes of output in all.
+    /// Total bytes of output.
     pub length: Offset,
-    /// Measured use.
+    /// Measured usage.
     pub usage: Usage,
-    /// How it ended. An answer is whole only when this is `Completed`.
+    /// How it ended. The answer is complete only if this is `Completed`.
     pub outcome: Outcome,
     /// Why the engine stopped: `stop` or `length`.
     pub finish: Arc<str>,
-    /// Whose reservation carries the charge.
+    /// The reservation that is charged.
     pub paid_by: Payer,
-    /// Which grants carry the charge, in tokens. Those of the router that started the run.
+    /// Tokens charged to each grant. The grants are those of the router that started the run.
     pub charged: BTreeMap<GrantId, Tokens>,
 }
 
 impl Default for Work {
-    /// Nothing to do: what is kept of a run whose body was dropped.
+    /// An empty call, which replaces the call of a run whose body was dropped.
     fn default() -> Self {
         Self::Plain {
             method: Arc::from(""),
@@ -228,16 +229,16 @@
     }
 }
 
-/// What a sidecar knows of a key.
+/// The state of a key at a sidecar.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProbeAnswer {
-    /// Never heard of it in this life of the sidecar.
+    /// This incarnation of the sidecar has never received the key.
     Unheard,
     /// It never started and never will.
     Forbidden,
-    /// This is another life of the sidecar than the one that was asked for.
+    /// This is not the incarnation of the sidecar that the request names.
     OtherLife,
-    /// It runs.
+    /// It is running.
     Running {
         /// Output so far, in bytes.
         length: Offset,
@@ -246,55 +247,55 @@
     Ended(Box<RunEnd>),
 }
 
-/// What came of an order.
+/// The result of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderResult {
     /// The endpoint carried it out.
     Done,
-    /// A higher number was seen before.
+    /// The order is stale: this higher fencing number was seen before.
     Stale(FenceNumber),
-    /// This sidecar restarted and has not learned the newest number from the ledger yet.
+    /// This sidecar restarted and has not yet learned the newest fencing number from the ledger.
     NumberUnknown,
     /// The endpoint refused or failed.
     Failed,
 }
 
-/// How loaded an endpoint is, by its own lagging report and by its sidecar's count.
+/// The load of an endpoint, from its own delayed reports and from its sidecar's count.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointLoad {
-    /// Runs in the endpoint, by the sidecar's count.
+    /// Runs in flight on the endpoint, counted by the sidecar.
     pub running: u32,
-    /// Runs that wait in the endpoint, by its own report.
+    /// Runs queued in the endpoint, as reported by it.
     pub queued: u32,
-    /// Runs it can work on side by side.
+    /// Runs it can work on concurrently.
     pub slots: u32,
-    /// Tokens a second that it makes, by its own report.
+    /// Tokens it generates per second, as reported by it.
     pub tokens_per_second: u32,
-    /// Models it holds.
+    /// Models it has loaded.
     pub models: BTreeSet<ModelId>,
-    /// Whether it takes new work.
+    /// Whether it is draining and takes no new work.
     pub leaving: bool,
 }
 
-/// What a sidecar says.
+/// A reply of a sidecar.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SidecarReply {
-    /// The run is this one's; frames follow.
+    /// This sidecar runs the request; its output follows.
     Accepted {
-        /// The sidecar's life.
+        /// The sidecar's incarnation.
         incarnation: Incarnation,
-        /// Whether the key was running or ended before.
+        /// Whether the key was already running or had ended.
         attached: bool,
-        /// Hash of the body that runs, so that the same key with another body is refused.
+        /// Hash of the body of the run, so that the same key with a different body is refused.
         body: BodyHash,
     },
-    /// Status and headers.
+    /// See [`Head`].
     Head(Head),
-    /// Output.
+    /// See [`Frame`].
     Frame(Frame),
-    /// The end.
+    /// See [`RunEnd`].
     End(Box<RunEnd>),
-    /// It will not run here; nothing was or will be charged for this try.
+    /// The request will not run here; nothing was or will be charged for this attempt.
     Refused(Refusal),
     /// See [`ProbeAnswer`].
     Probed(ProbeAnswer),
--- a/crates/anvil_wire/src/server.rs
+++ b/crates/anvil_wire/src/server.rs
@@ -1,4 +1,4 @@
-//! The answering side.
+//! The server side: accepts connections and dispatches each call to its handler.
 
 use std::collections::BTreeMap;
 use std::future::{Future, poll_fn};
@@ -22,25 +22,25 @@
 use crate::call::Call;
 use crate::codec::{decode, encode};
 use crate::error::{BrokenSnafu, ListenSnafu, WireError};
-use crate::keepalive::{OpenStreams, until_silent};
+use crate::keepalive::{OpenStreams, until_unresponsive};
 
-/// Bytes under way on one stream before its reader must have taken some.
+/// Flow-control window of one stream, in bytes.
 pub(crate) const STREAM_WINDOW: u32 = 64 << 10;
-/// Bytes under way on one connection before its readers must have taken some.
+/// Flow-control window of one connection, in bytes.
 pub(crate) const CONNECTION_WINDOW: u32 = 16 << 20;
-/// Streams open side by side on one connection.
+/// Maximum concurrent streams on one connection.
 const MAX_STREAMS: u32 = 20_000;
 
 type Handler = Arc<dyn Fn(RecvStream, SendResponse<Bytes>) -> BoxFuture<'static, ()> + Send + Sync>;
 
-/// Which closure answers which [`Call`].
+/// The handlers of a server, one for each kind of [`Call`].
 #[derive(Clone, Default)]
 pub struct Handlers {
     by_path: BTreeMap<&'static str, Handler>,
 }
 
 impl Handlers {
-    /// Answers calls of this kind with `f`, which gets the request and a way to reply.
+    /// Adds `f` as the handler of this kind of call. It receives the request and a [`Replier`].
     pub fn with<C, F, Fut>(mut self, f: F) -> Self
     where
         C: Call,
@@ -51,7 +51,7 @@
         let handler: Handler = Arc::new(move |input, respond| {
             let f = f.clone();
             async move {
-                if let Ok((req, replier)) = accept::<C>(input, respond).await {
+                if let Ok((req, replier)) = read_request::<C>(input, respond).await {
                     f(req, replier).await;
                 }
             }
@@ -62,8 +62,8 @@
     }
 }
 
-/// Reads the request whole, then opens the way back.
-async fn accept<C: Call>(
+/// Reads the whole request, then opens the stream of replies.
+async fn read_request<C: Call>(
     mut input: RecvStream,
     mut respond: SendResponse<Bytes>,
 ) -> Result<(C::Req, Replier<C::Resp>), WireError> {
@@ -87,22 +87,22 @@
     Ok((req, replier))
 }
 
-/// The way back to whoever asked. Dropping it ends the replies.
+/// Sends the replies of one call to the client. Dropping it ends the stream of replies.
 pub struct Replier<T> {
     out: SendStream<Bytes>,
     resp: PhantomData<fn(T)>,
 }
 
 impl<T: Serialize + DeserializeOwned> Replier<T> {
-    /// Sends one reply; waits while the other side does not read.
+    /// Sends one reply; waits while the flow-control window is exhausted.
     pub async fn send(&mut self, reply: &T) -> Result<(), WireError> {
         let mut rest = encode(reply)?;
         while !rest.is_empty() {
             self.out.reserve_capacity(rest.len());
-            let granted = poll_fn(|cx| self.out.poll_capacity(cx)).await;
-            let room = granted.ok_or(WireError::Ended)?.context(BrokenSnafu)?;
-            let piece = rest.split_to(room.min(rest.len()));
-            self.out.send_data(piece, false).context(BrokenSnafu)?;
+            let assigned = poll_fn(|cx| self.out.poll_capacity(cx)).await;
+            let capacity = assigned.ok_or(WireError::Ended)?.context(BrokenSnafu)?;
+            let chunk = rest.split_to(capacity.min(rest.len()));
+            self.out.send_data(chunk, false).context(BrokenSnafu)?;
         }
         Ok(())
     }
@@ -112,43 +112,43 @@
         self.send(reply).await
     }
 
-    /// Returns when the other side no longer wants replies.
+    /// Returns when the client has cancelled the call or its connection is lost.
     pub async fn abandoned(&mut self) {
-        // Either a reset or a broken connection: nobody listens any more.
+        // A reset and a broken connection mean the same here: the client receives nothing any more.
         let _ = poll_fn(|cx| self.out.poll_reset(cx)).await;
     }
 }
 
 impl<T> Drop for Replier<T> {
     fn drop(&mut self) {
-        // Fails only where the stream is gone already.
+        // Fails only if the stream has ended already.
         let _ = self.out.send_data(Bytes::new(), true);
     }
 }
 
-/// Listens and answers until told to stop.
+/// A server that listens on one address and answers calls until it is stopped.
 pub struct Server {
     listener: TcpListener,
 }
 
 impl Server {
-    /// Listens on this address; port 0 takes a free one.
+    /// Listens on this address; port 0 selects a free port.
     pub async fn bind(addr: SocketAddr) -> Result<Self, WireError> {
         let listener = TcpListener::bind(addr).await;
         let listener = listener.context(ListenSnafu { addr })?;
         Ok(Self { listener })
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn addr(&self) -> Result<SocketAddr, WireError> {
         let unknown = SocketAddr::from(([0, 0, 0, 0], 0));
         let addr = self.listener.local_addr();
         addr.context(ListenSnafu { addr: unknown })
     }
 
-    /// Answers calls. After `stop` it takes no new streams and returns when the open ones ended.
+    /// Answers calls. After `stop` it accepts no new streams and returns when the open ones have ended.
     pub async fn serve(self, handlers: Handlers, stop: impl Future<Output = ()>) {
-        let (tell, told) = watch::channel(false);
+        let (stop_tx, stop_rx) = watch::channel(false);
         let mut connections = JoinSet::new();
         tokio::pin!(stop);
         loop {
@@ -157,22 +157,26 @@
                 Some(_) = connections.join_next() => {}
                 accepted = self.listener.accept() => match accepted {
                     Ok((socket, _)) => {
-                        connections.spawn(connection(socket, handlers.clone(), told.clone()));
+                        connections.spawn(serve_connection(socket, handlers.clone(), stop_rx.clone()));
                     }
-                    // Out of file descriptors or the like: let some connections end first.
+                    // For example out of file descriptors: lets some connections end first.
                     Err(_) => tokio::task::yield_now().await,
                 },
             }
         }
         drop(self.listener);
-        // Fails only when no connection is left to be told.
-        let _ = tell.send(true);
+        // Fails only if there is no connection to notify.
+        let _ = stop_tx.send(true);
         while connections.join_next().await.is_some() {}
     }
 }
 
-async fn connection(socket: TcpStream, handlers: Handlers, mut told: watch::Receiver<bool>) {
-    // Without it small frames wait for an acknowledgement; with a failure they are only slower.
+async fn serve_connection(
+    socket: TcpStream,
+    handlers: Handlers,
+    mut stop_rx: watch::Receiver<bool>,
+) {
+    // Sends small frames without waiting for an acknowledgement; a failure only makes them slower.
     let _ = socket.set_nodelay(true);
     let handshake = Builder::new()
         .initial_window_size(STREAM_WINDOW)
@@ -183,13 +187,13 @@
         return;
     };
     let open = OpenStreams::default();
-    let silent = until_silent(connection.ping_pong(), open.clone());
-    tokio::pin!(silent);
+    let unresponsive = until_unresponsive(connection.ping_pong(), open.clone());
+    tokio::pin!(unresponsive);
     let mut stopping = false;
     loop {
         tokio::select! {
-            () = &mut silent => return,
-            _ = told.wait_for(|stop| *stop), if !stopping => {
+            () = &mut unresponsive => return,
+            _ = stop_rx.wait_for(|stop| *stop), if !stopping => {
                 stopping = true;
                 connection.graceful_shutdown();
             }
@@ -210,14 +214,14 @@
     let Some(handler) = handlers.by_path.get(req.uri().path()) else {
         let mut answer = Response::new(());
         *answer.status_mut() = StatusCode::NOT_FOUND;
-        // Fails only where the asker is gone.
+        // Fails only if the client has disconnected.
         let _ = respond.send_response(answer, true);
         return;
     };
-    let work = handler(req.into_body(), respond);
+    let running = handler(req.into_body(), respond);
     let guard = open.enter();
     tokio::spawn(async move {
-        work.await;
+        running.await;
         drop(guard);
     });
 }
--- a/crates/anvil_wire/tests/exchange.rs
+++ b/crates/anvil_wire/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Calls between two ends on loopback.
+//! Tests of calls between a client and a server on the loopback interface.
 
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn replies_come_whole_and_in_order() -> Result<(), WireError> {
+async fn replies_arrive_completely_and_in_order() -> Result<(), WireError> {
     let channel = start().await?;
     let mut replies = channel.open::<Count>(&100_000).await?;
     let mut expected = 0;
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn a_refused_connection_is_known_as_never_sent() -> Result<(), WireError> {
+async fn refused_connection_counts_as_never_sent() -> Result<(), WireError> {
     let unused = Server::bind(([127, 0, 0, 1], 0).into()).await?.addr()?;
     let channel = Channel::new(unused);
     let failed = channel.call::<Count>(&1, Duration::from_secs(1)).await;
@@ -57,71 +57,71 @@
 }
 
 #[tokio::test]
-async fn a_path_nobody_serves_is_an_error() -> Result<(), WireError> {
+async fn call_without_a_handler_fails_with_status_404() -> Result<(), WireError> {
     let channel = start().await?;
     let failed = channel.call::<Missing>(&(), Duration::from_secs(1)).await;
     assert!(matches!(failed, Err(WireError::Status { status: 404 })));
     Ok(())
 }
 
-/// One of a process's peers takes no connections. A call to it that may take 100 ms takes as long as
-/// another call's attempt to connect, two seconds, and whoever asks the next peer asks too late.
+/// A peer accepts no connections, and another call is trying to connect to it, for up to two seconds. If a
+/// call with a timeout of 100 ms waited for that attempt, the caller would try the next peer too late.
 #[tokio::test]
-async fn a_call_does_not_wait_for_another_that_connects() {
+async fn call_timeout_does_not_wait_for_another_call_that_connects() {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind(([127, 0, 0, 1], 0).into()).expect("a port");
     let listener = socket.listen(1).expect("listening");
     let addr = listener.local_addr().expect("an address");
-    // Nobody accepts: once these wait, the next opening packets are dropped.
-    let mut waiting = Vec::new();
+    // Nothing accepts connections: once these fill the backlog, further SYN packets are dropped.
+    let mut backlog = Vec::new();
     for _ in 0..8 {
         let connecting = tokio::net::TcpStream::connect(addr);
-        waiting.push(tokio::time::timeout(Duration::from_millis(50), connecting).await);
+        backlog.push(tokio::time::timeout(Duration::from_millis(50), connecting).await);
     }
     let channel = Channel::new(addr);
     let other = channel.clone();
-    let patient =
+    let other_call =
         tokio::spawn(async move { other.call::<Count>(&1, Duration::from_secs(5)).await });
     tokio::time::sleep(Duration::from_millis(50)).await;
-    let begun = std::time::Instant::now();
-    let called = channel.call::<Count>(&1, Duration::from_millis(100)).await;
+    let started = std::time::Instant::now();
+    let result = channel.call::<Count>(&1, Duration::from_millis(100)).await;
     assert!(
-        matches!(called, Err(WireError::Timeout { .. })),
-        "{called:?}"
+        matches!(result, Err(WireError::Timeout { .. })),
+        "{result:?}"
     );
     assert!(
-        begun.elapsed() < Duration::from_millis(600),
+        started.elapsed() < Duration::from_millis(600),
         "{:?}",
-        begun.elapsed()
+        started.elapsed()
     );
-    patient.abort();
+    other_call.abort();
 }
 
-/// All machines lose power, and one process is back a moment before its peer. Its opening packet is gone,
-/// and the operating system sends it again only after a second: all callers wait that long although the
-/// peer has been there since.
+/// After a power loss of all machines, one process is back shortly before its peer, and its SYN packet is
+/// lost. The operating system retransmits it only after a second: all callers would wait that long although
+/// the peer has been back since.
 #[tokio::test]
-async fn a_lost_opening_packet_costs_no_second() {
+async fn lost_syn_packet_does_not_delay_a_connection_by_a_second() {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind(([127, 0, 0, 1], 0).into()).expect("a port");
     let listener = socket.listen(1).expect("listening");
     let addr = listener.local_addr().expect("an address");
-    // Once these wait, the next opening packets are dropped.
-    let mut waiting = Vec::new();
+    // Once these fill the backlog, further SYN packets are dropped.
+    let mut backlog = Vec::new();
     for _ in 0..4 {
         let connecting = tokio::net::TcpStream::connect(addr);
-        waiting.push(tokio::time::timeout(Duration::from_millis(50), connecting).await);
+        backlog.push(tokio::time::timeout(Duration::from_millis(50), connecting).await);
     }
-    let known: Vec<_> = waiting.iter().flatten().flatten().collect();
-    let known: Vec<_> = known.iter().map(|s| s.local_addr().ok()).collect();
-    let begun = std::time::Instant::now();
+    let established: Vec<_> = backlog.iter().flatten().flatten().collect();
+    let established: Vec<_> = established.iter().map(|s| s.local_addr().ok()).collect();
+    let started = std::time::Instant::now();
     let channel = Channel::new(addr);
     let call = tokio::spawn(async move { channel.call::<Count>(&1, Duration::from_secs(5)).await });
     tokio::time::sleep(Duration::from_millis(300)).await;
     let accepting = async {
         loop {
             let (_, peer) = listener.accept().await.expect("a connection");
-            if !known.contains(&Some(peer)) {
+            if !established.contains(&Some(peer)) {
                 return;
             }
         }
@@ -129,9 +129,9 @@
     let accepted = tokio::time::timeout(Duration::from_secs(4), accepting).await;
     assert!(accepted.is_ok());
     assert!(
-        begun.elapsed() < Duration::from_millis(800),
+        started.elapsed() < Duration::from_millis(800),
         "{:?}",
-        begun.elapsed()
+        started.elapsed()
     );
     call.abort();
 }
