--- a/crates/anvil_wire/src/codec.rs
+++ b/crates/anvil_wire/src/codec.rs
@@ -16,7 +16,7 @@
 use crate::error::{DecodeSnafu, DeflateSnafu, EncodeSnafu, TooLargeSnafu, WireError};
 
 /// Maximum size of a message, in bytes: enough for the largest settings tree the design allows for.
-pub const MAX_MESSAGE: usize = 64 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 64 << 20;
 
 const LENGTH_BYTES: usize = 4;
 /// Bit set in the length of a compressed message.
@@ -33,7 +33,10 @@
     let written =
         bincode::serde::encode_into_std_write(message, &mut writer, bincode::config::standard())
             .context(EncodeSnafu)?;
-    ensure!(written <= MAX_MESSAGE, TooLargeSnafu { bytes: written });
+    ensure!(
+        written <= MAX_MESSAGE_BYTES,
+        TooLargeSnafu { bytes: written }
+    );
     let mut buf = writer.into_inner();
     let mut deflated_bit = 0;
     if written >= DEFLATE_MIN_BYTES {
@@ -56,12 +59,12 @@
 /// Decompresses a message. Stops beyond the maximum message size, so that a few bytes can't exhaust the
 /// memory.
 fn inflate(body: &[u8]) -> Result<Vec<u8>, WireError> {
-    let read_limit = MAX_MESSAGE as u64 + 1;
+    let read_limit = MAX_MESSAGE_BYTES as u64 + 1;
     let mut bytes = Vec::new();
     let mut reader = DeflateDecoder::new(body).take(read_limit);
     reader.read_to_end(&mut bytes).context(DeflateSnafu)?;
     ensure!(
-        bytes.len() <= MAX_MESSAGE,
+        bytes.len() <= MAX_MESSAGE_BYTES,
         TooLargeSnafu { bytes: bytes.len() }
     );
     Ok(bytes)
@@ -75,7 +78,7 @@
     let head = u32::from_le_bytes(*head);
     let deflated = head & DEFLATED_BIT != 0;
     let length = usize::try_from(head & !DEFLATED_BIT).unwrap_or(usize::MAX);
-    ensure!(length <= MAX_MESSAGE, TooLargeSnafu { bytes: length });
+    ensure!(length <= MAX_MESSAGE_BYTES, TooLargeSnafu { bytes: length });
     if buf.len() < LENGTH_BYTES + length {
         return Ok(None);
     }
--- a/crates/anvil_wire/src/error.rs
+++ b/crates/anvil_wire/src/error.rs
@@ -66,7 +66,7 @@
         /// Why.
         source: bincode::error::EncodeError,
     },
-    /// The message is larger than [`crate::MAX_MESSAGE`].
+    /// The message is larger than [`crate::MAX_MESSAGE_BYTES`].
     #[snafu(display("message too large: {bytes} bytes"))]
     TooLarge {
         /// Its size, in bytes.
--- a/crates/anvil_wire/src/lib.rs
+++ b/crates/anvil_wire/src/lib.rs
@@ -29,6 +29,6 @@
 
 pub use call::Call;
 pub use channel::{Channel, Replies};
-pub use codec::{MAX_MESSAGE, decode, encode};
+pub use codec::{MAX_MESSAGE_BYTES, decode, encode};
 pub use error::WireError;
 pub use server::{Handlers, Replier, Server};
--- a/crates/anvil_wire/src/msg.rs
+++ b/crates/anvil_wire/src/msg.rs
@@ -12,6 +12,6 @@
 pub use listing::{ListAsk, ListCall, ListNews, ListReply, ListVersion, Listed};
 pub use router::{HolderLife, PlacedClaim, RouterCall, RouterReply, RouterRequest};
 pub use sidecar::{
-    EndpointLoad, Frame, Head, OrderResult, Payer, Payment, ProbeAnswer, RunEnd, SidecarCall,
-    SidecarReply, SidecarRequest, Start, Work,
+    EndpointLoad, Frame, Head, OrderResult, Payment, ProbeAnswer, ReservationId, RunEnd,
+    SidecarCall, SidecarReply, SidecarRequest, Start, Work,
 };
--- a/crates/anvil_wire/src/msg/sidecar.rs
+++ b/crates/anvil_wire/src/msg/sidecar.rs
@@ -128,7 +128,7 @@
 
 /// Identifies one reservation of one router incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Payer {
+pub struct ReservationId {
     /// The router.
     pub router: InstanceId,
     /// Its incarnation.
@@ -139,8 +139,8 @@
 
 impl Payment {
     /// The identity of the reservation.
-    pub fn payer(&self) -> Payer {
-        Payer {
+    pub fn payer(&self) -> ReservationId {
+        ReservationId {
             router: self.router.clone(),
             incarnation: self.incarnation,
             number: self.number,
@@ -212,7 +212,7 @@
     /// Why the engine stopped: `stop` or `length`.
     pub finish: Arc<str>,
     /// The reservation that is charged.
-    pub paid_by: Payer,
+    pub paid_by: ReservationId,
     /// Tokens charged to each grant. The grants are those of the router that started the run.
     pub charged: BTreeMap<GrantId, Tokens>,
 }
--- a/crates/anvil_wire/tests/codec.rs
+++ b/crates/anvil_wire/tests/codec.rs
@@ -1,6 +1,6 @@
 //! Tests of the encoding of short and long messages.
 
-use anvil_wire::{MAX_MESSAGE, decode, encode};
+use anvil_wire::{MAX_MESSAGE_BYTES, decode, encode};
 use bytes::{BufMut, BytesMut};
 
 /// A routing table with thousands of similar routes is sent to hundreds of processes over links with
@@ -30,7 +30,7 @@
 /// exhaust the receiver's memory.
 #[test]
 fn message_that_decompresses_beyond_the_maximum_size_is_refused() {
-    let oversized = vec![0_u8; MAX_MESSAGE + 1_000_000];
+    let oversized = vec![0_u8; MAX_MESSAGE_BYTES + 1_000_000];
     let mut deflated = flate2::write::DeflateEncoder::new(Vec::new(), flate2::Compression::fast());
     std::io::Write::write_all(&mut deflated, &oversized).expect("compressed");
     let deflated = deflated.finish().expect("compressed");
--- a/crates/anvil_world/src/name.rs
+++ b/crates/anvil_world/src/name.rs
@@ -5,12 +5,12 @@
 use snafu::Snafu;
 
 /// Maximum length of a name, in bytes.
-pub const MAX_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// Text that is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display(
-    "found {found:?}; allowed is 1 to {MAX_NAME} of a-z, 0-9, '-', '_' and '.', \
+    "found {found:?}; allowed is 1 to {MAX_NAME_BYTES} of a-z, 0-9, '-', '_' and '.', \
      starting with a letter or digit"
 ))]
 pub struct NameError {
@@ -29,10 +29,10 @@
     let all_well = raw
         .bytes()
         .all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-_.".contains(&b));
-    if raw.len() <= MAX_NAME && starts_well && all_well {
+    if raw.len() <= MAX_NAME_BYTES && starts_well && all_well {
         return Ok(Arc::from(raw));
     }
     Err(NameError {
-        found: raw.chars().take(MAX_NAME).collect(),
+        found: raw.chars().take(MAX_NAME_BYTES).collect(),
     })
 }
