--- a/crates/anvil_wire/src/msg/ledger.rs
+++ b/crates/anvil_wire/src/msg/ledger.rs
@@ -111,7 +111,7 @@
 /// A state update for a follower.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FollowEvent {
-    /// The complete state, as far as the follower's [`Interest`] goes.
+    /// The complete part of the state that the follower has requested.
     Full {
         /// Log position of the state.
         version: LogIndex,
--- a/crates/anvil_wire/src/msg/sidecar.rs
+++ b/crates/anvil_wire/src/msg/sidecar.rs
@@ -289,11 +289,11 @@
         /// Hash of the body of the run, so that the same key with a different body is refused.
         body: BodyHash,
     },
-    /// See [`Head`].
+    /// Status and headers of the answer.
     Head(Head),
-    /// See [`Frame`].
+    /// A chunk of output.
     Frame(Frame),
-    /// See [`RunEnd`].
+    /// The end of the run.
     End(Box<RunEnd>),
     /// The request will not run here; nothing was or will be charged for this attempt.
     Refused(Refusal),
--- a/crates/anvil_wire/src/server.rs
+++ b/crates/anvil_wire/src/server.rs
@@ -40,7 +40,7 @@
 }
 
 impl Handlers {
-    /// Adds `f` as the handler of this kind of call. It receives the request and a [`Replier`].
+    /// Adds `f` as the handler of this kind of call. It receives the request and the sender of replies.
     pub fn with<C, F, Fut>(mut self, f: F) -> Self
     where
         C: Call,
--- a/crates/anvil_world/src/command/answer.rs
+++ b/crates/anvil_world/src/command/answer.rs
@@ -48,14 +48,14 @@
         text: std::sync::Arc<str>,
     },
     /// The change id was used before with different content.
-    #[snafu(display("change id {id} was used before for something else"))]
+    #[snafu(display("change id reused: {id} was used before with different content"))]
     ChangeIdReused {
         /// The id.
         id: ChangeId,
     },
     /// The change id has no valid time, or its time is too long ago or in the future.
     #[snafu(display(
-        "change id {id} is not of the form MILLISECONDS-TEXT with a time within the last week"
+        "invalid change id: {id} is not of the form MILLISECONDS-TEXT with a time within the last week"
     ))]
     BadChangeId {
         /// The id.
--- a/crates/anvil_world/src/contract.rs
+++ b/crates/anvil_world/src/contract.rs
@@ -20,7 +20,7 @@
 #[snafu(visibility(pub))]
 pub enum ContractError {
     /// The budget has fewer tokens left than requested.
-    #[snafu(display("budget {budget} has {left} tokens left, {asked} asked"))]
+    #[snafu(display("budget exhausted: {budget} has {left} tokens left, {asked} requested"))]
     Exhausted {
         /// The budget.
         budget: BudgetId,
@@ -30,7 +30,7 @@
         asked: Tokens,
     },
     /// The charge exceeds its grant.
-    #[snafu(display("grant {grant} holds {amount} tokens, {charged} charged"))]
+    #[snafu(display("charge exceeds grant: grant {grant} has {amount} tokens, {charged} charged"))]
     OverGrant {
         /// The grant.
         grant: GrantId,
@@ -46,9 +46,9 @@
         grant: GrantId,
     },
     /// A sum overflows 64 bits.
-    #[snafu(display("the amount does not fit in 64 bits"))]
+    #[snafu(display("token amount overflow: the sum does not fit in 64 bits"))]
     Overflow,
     /// A split without payers, with a duplicate payer or with a weight of 0.
-    #[snafu(display("a split needs distinct payers with weights above 0"))]
+    #[snafu(display("invalid split: distinct payers with weights above 0 are required"))]
     BadSplit,
 }
--- a/crates/anvil_world/src/contract/budget.rs
+++ b/crates/anvil_world/src/contract/budget.rs
@@ -9,9 +9,9 @@
 
 /// A prepaid budget: tokens paid in, tokens charged, and open grants that routers may spend.
 ///
-/// Invariant: `billed + outstanding part of open grants <= credited`. [`Budget::holds`] checks it
-/// whenever a command is applied. `billed` includes the settled tokens of open grants, so an open
-/// grant adds only its outstanding part.
+/// Invariant: `billed + outstanding part of open grants <= credited`. It is checked whenever a command
+/// is applied. `billed` includes the settled tokens of open grants, so an open grant adds only its
+/// outstanding part.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Budget {
     /// Tokens paid in.
--- a/crates/anvil_world/src/suspect.rs
+++ b/crates/anvil_world/src/suspect.rs
@@ -1,7 +1,7 @@
 //! Suspect requests: requests that were in flight on endpoints when these crashed, and that no
 //! endpoint has answered since.
 //!
-//! Each crash adds a weight. From [`QUARANTINED_FROM`] on, routers keep the request away from
+//! Each crash adds a weight. From a minimum weight on the request is quarantined: it is not sent to
 //! endpoints for a time, so that one request can't crash them one after the other.
 
 use std::time::{Duration, SystemTime};
