--- a/crates/anvil_wire/src/codec.rs
+++ b/crates/anvil_wire/src/codec.rs
@@ -21,8 +21,8 @@
 const LENGTH_BYTES: usize = 4;
 /// Bit set in the length of a compressed message.
 const DEFLATED_BIT: u32 = 1 << 31;
-/// Minimum length of messages that are compressed, in bytes. Below it, compression takes more time than
-/// sending fewer bytes saves.
+/// Minimum length of messages that are compressed, in bytes. Below it, the overhead of network frames and
+/// the time for compression cost more than the saved bytes.
 const DEFLATE_MIN_BYTES: usize = 8 << 10;
 
 /// Encodes one message with its length in front.
--- a/crates/anvil_wire/src/msg/listing.rs
+++ b/crates/anvil_wire/src/msg/listing.rs
@@ -1,6 +1,6 @@
 //! Calls between routers that share the platform's list of endpoints.
 //!
-//! Each read of the platform's list is expensive, so routers pass on what one of them has read.
+//! A router that has read the list passes on to others how it differs from theirs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
