--- a/crates/anvilreel/src/money.rs
+++ b/crates/anvilreel/src/money.rs
@@ -1,13 +1,14 @@
-//! A router's money: grants, reservations out of them, and what is told to the ledger.
+//! A router's grant account: grants, reservations from them, and the batches exchanged with the
+//! ledger.
 //!
-//! A [`Purse`] holds the grants of one router incarnation. A request reserves its upper bound
-//! out of one open grant of every payer before it is dispatched, and settles what it cost when
-//! it has ended. What is granted was committed by the ledger's majority first, so neither a
-//! clock nor a connection is needed for "never overspent".
+//! The account (`account`) holds the grants of one router incarnation. A request reserves its upper
+//! bound from one open grant of every budget that pays before it is dispatched, and settles its
+//! cost when it has ended. Grants are committed by the ledger's majority before they can be spent,
+//! so a budget can't be overspent, whatever clocks and connections do.
 //!
-//! Reservations are atomic operations on a grant; a lock is taken only where grants come and go.
-//! Read on: [`Purse`], [`Reservation`], [`Shortage`], then [`Closing`] (how the ledger closes the
-//! grants of a router that was lost).
+//! Reservations are atomic operations on a grant; a lock is taken only where grants are added or
+//! removed. Reading order: `account`, [`Reservation`], [`Shortage`], `batch_exchange`, then
+//! `closing` (how the ledger closes the grants of a lost router).
 
 mod closing;
 mod demand;
@@ -22,6 +23,6 @@
 pub use closing::Closing;
 pub use error::MoneyError;
 pub use open_grant::OpenGrant;
-pub use purse::{BudgetView, Purse};
+pub use purse::{BudgetStatus, Purse};
 pub use reservation::{Reservation, Shortage};
 pub use sizing::GrantPolicy;
--- a/crates/anvilreel/src/money/closing.rs
+++ b/crates/anvilreel/src/money/closing.rs
@@ -1,37 +1,38 @@
-//! How the ledger closes the grants of a lost router: by evidence, never by a time-out.
+//! How the ledger closes the grants of a lost router: by the sidecars' evidence, never by a
+//! timeout.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use anvil_wire::msg::{Evidence, KeyCharge};
 use anvil_world::prelude::*;
 
-/// Which life of a sidecar.
-pub type SidecarLife = (InstanceId, Incarnation);
+/// One incarnation of a sidecar.
+pub type SidecarIncarnation = (InstanceId, Incarnation);
 
-/// Collects what the sidecars charged under one fenced router's grants.
+/// Collects what the sidecars charged to one fenced router's grants.
 ///
-/// Every life of a sidecar that could have run something for the router must have answered. A
-/// life that ended without an answer keeps the grants outstanding until an operator writes them
-/// off: late money, never double money.
+/// Every sidecar incarnation that could have run something for the router must have answered. If
+/// one ended without an answer, the grants stay outstanding until an operator writes them off:
+/// tokens are returned late rather than spent twice.
 #[derive(Debug, Clone, Default)]
 pub struct Closing {
-    waiting: BTreeSet<SidecarLife>,
+    pending: BTreeSet<SidecarIncarnation>,
     charges: BTreeMap<GrantId, BTreeMap<RequestKey, (u32, Tokens)>>,
 }
 
 impl Closing {
-    /// Waits for these lives of sidecars: all that lived at any time since the router's oldest
-    /// open grant.
-    pub fn new(sidecars: impl IntoIterator<Item = SidecarLife>) -> Self {
+    /// Expects answers from these sidecar incarnations: all that existed at any time since the
+    /// router's oldest open grant was opened.
+    pub fn new(sidecars: impl IntoIterator<Item = SidecarIncarnation>) -> Self {
         Self {
-            waiting: sidecars.into_iter().collect(),
+            pending: sidecars.into_iter().collect(),
             charges: BTreeMap::new(),
         }
     }
 
-    /// Takes one sidecar's evidence; doubled evidence changes nothing.
-    pub fn take(&mut self, sidecar: &SidecarLife, evidence: &Evidence) {
-        if !self.waiting.remove(sidecar) {
+    /// Records one sidecar's evidence; duplicate evidence has no effect.
+    pub fn take(&mut self, sidecar: &SidecarIncarnation, evidence: &Evidence) {
+        if !self.pending.remove(sidecar) {
             return;
         }
         for charge in &evidence.charges {
@@ -39,14 +40,14 @@
         }
     }
 
-    /// Sidecar lives that have not answered.
-    pub fn waiting(&self) -> &BTreeSet<SidecarLife> {
-        &self.waiting
+    /// Sidecar incarnations that have not answered.
+    pub fn pending_sidecars(&self) -> &BTreeSet<SidecarIncarnation> {
+        &self.pending
     }
 
-    /// What was charged under a grant, in tokens; `None` while a sidecar has not answered.
+    /// Tokens charged to a grant; `None` while a sidecar has not answered.
     pub fn charged(&self, grant: GrantId) -> Option<Tokens> {
-        if !self.waiting.is_empty() {
+        if !self.pending.is_empty() {
             return None;
         }
         let keys = self.charges.get(&grant);
@@ -54,15 +55,16 @@
         Some(sum.unwrap_or_default())
     }
 
-    /// Charges under a grant, each key once.
+    /// Charges to a grant by key, each key once.
     pub fn keys(&self, grant: GrantId) -> impl Iterator<Item = (RequestKey, Tokens)> + '_ {
         let keys = self.charges.get(&grant).into_iter().flatten();
         keys.map(|(key, (_, tokens))| (key.clone(), *tokens))
     }
 
-    /// Counts a key once. Failure: a sidecar that was only cut off finished a run that had been
-    /// continued elsewhere; both charged the same reservation. It would show as one request
-    /// billed twice. The highest attempt is the one whose answer the caller got.
+    /// Counts a key once, with the charge of its highest attempt, whose answer the caller got.
+    ///
+    /// If a sidecar that was only cut off finishes a run that has been continued elsewhere, both
+    /// charge the same reservation, and the sum would charge one request twice.
     fn count(&mut self, charge: &KeyCharge) {
         let keys = self.charges.entry(charge.grant).or_default();
         let known = keys.entry(charge.key.clone()).or_default();
--- a/crates/anvilreel/src/money/error.rs
+++ b/crates/anvilreel/src/money/error.rs
@@ -1,14 +1,17 @@
-//! Broken invariants of money.
+//! Violated invariants of the grant account.
 
 use anvil_world::prelude::*;
 use snafu::Snafu;
 
-/// An invariant that does not hold. Never ignored: the purse stops reserving and says why.
+/// A violated invariant. It is never ignored: the account makes no further reservations and reports
+/// why.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum MoneyError {
-    /// `settled + reserved <= amount` is broken.
-    #[snafu(display("grant {grant} of {amount} tokens has {taken} settled and reserved"))]
+    /// `settled + reserved <= amount` does not hold.
+    #[snafu(display(
+        "grant overdrawn: {taken} tokens settled and reserved of grant {grant} with {amount}"
+    ))]
     GrantOverdrawn {
         /// The grant.
         grant: GrantId,
@@ -17,8 +20,10 @@
         /// Settled and reserved, in tokens.
         taken: Tokens,
     },
-    /// A settlement above what was reserved for it.
-    #[snafu(display("grant {grant}: a cost of {cost} tokens on a reservation of {reserved}"))]
+    /// A settlement above the reserved amount.
+    #[snafu(display(
+        "cost exceeds the reservation: {cost} tokens settled, {reserved} reserved of grant {grant}"
+    ))]
     OverReservation {
         /// The grant.
         grant: GrantId,
@@ -27,8 +32,8 @@
         /// What it cost, in tokens.
         cost: Tokens,
     },
-    /// The ledger granted something that belongs to another router or life.
-    #[snafu(display("grant {grant} is another router's"))]
+    /// The ledger's answer contains a grant of another router or incarnation.
+    #[snafu(display("grant of another router: {grant}"))]
     NotOurs {
         /// The grant.
         grant: GrantId,
--- a/crates/anvilreel/src/money/exchange.rs
+++ b/crates/anvilreel/src/money/exchange.rs
@@ -1,4 +1,4 @@
-//! What a purse and the ledger tell each other: one batch at a time.
+//! The batches of reports and asks that a grant account exchanges with the ledger, one at a time.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,37 +10,38 @@
 };
 use anvil_world::prelude::*;
 
-use super::held::{Held, Verdict};
-use super::purse::{ANSWERED, Purse, millis};
+use super::held::{BudgetGrants, LedgerRefusal};
+use super::purse::{NO_BATCH_PENDING, Purse, millis};
 use super::sizing::needed_for;
 use super::{MoneyError, OpenGrant};
 
-/// A grant is renewed when what is free would last less than this part of the horizon.
-const RENEW_PART: u32 = 3;
+/// A grant is renewed when its free tokens would last for less than the horizon divided by this.
+const RENEWAL_DIVISOR: u32 = 3;
 
-/// The batch under way and what was reported before.
+/// The batch in flight, and what was reported before.
 #[derive(Debug, Default)]
-pub(super) struct Batches {
+pub(super) struct BatchState {
     seq: BatchSeq,
     sent_at: Option<Now>,
-    folded_at: Now,
+    last_full_at: Now,
     pending: Option<GrantBatch>,
-    /// What the ledger is known to have of each open grant.
+    /// The settled and returned tokens of each open grant, as known to the ledger.
     reported: std::collections::BTreeMap<GrantId, (Tokens, Tokens)>,
 }
 
 impl Purse {
     /// The batch to be sent now, if one is due.
     ///
-    /// An unanswered batch is given again unchanged, under its number: the ledger applies it
+    /// An unanswered batch is returned again unchanged, with the same number: the ledger applies it
     /// once, so a lost answer opens no second grant.
     pub fn batch(&self, now: Now) -> Option<GrantBatch> {
         if self.is_fenced() {
             return None;
         }
-        let mut batches = self.lock();
-        // Failure: the first request on a budget waits for the next second to ask for a grant. It
-        // shows as a first token after up to a second where the rest takes 25 ms.
+        let mut batches = self.lock_batches();
+        // An urgent batch is sent sooner: if the first request on a budget waited for the next
+        // regular batch to ask for a grant, its first token would take up to a second, where 25 ms
+        // are usual.
         let every = if batches.pending.is_none() && self.is_urgent() {
             self.policy.urgent_every
         } else {
@@ -54,103 +55,109 @@
         }
         if batches.pending.is_some() {
             batches.sent_at = Some(now);
-            self.unanswered.fetch_min(millis(now), Ordering::AcqRel);
+            self.unanswered_since
+                .fetch_min(millis(now), Ordering::AcqRel);
         }
         batches.pending.clone()
     }
 
-    /// Takes in the answer to a batch. Late and doubled answers change nothing.
+    /// Applies the answer to a batch. Late and duplicate answers have no effect.
     pub fn answered(&self, now: Now, answer: &GrantBatchAnswer) -> Result<(), MoneyError> {
-        let mut batches = self.lock();
-        self.heard_at(now);
+        let mut batches = self.lock_batches();
+        self.record_answer_at(now);
         let Some(batch) = batches.pending.take_if(|batch| batch.seq == answer.seq) else {
             return Ok(());
         };
         for report in &batch.reports {
-            let told = (report.settled, report.returned);
-            batches.reported.insert(report.grant, told);
+            let amounts = (report.settled, report.returned);
+            batches.reported.insert(report.grant, amounts);
         }
         for id in &answer.closed {
             batches.reported.remove(id);
-            self.each_held(|held| held.remove(*id));
+            self.for_each_budget(|budget_grants| budget_grants.remove(*id));
         }
         self.recall(&answer.recalled);
         for refusal in &answer.refused {
-            self.note(now, refusal);
+            self.record_refusal(now, refusal);
         }
         for grant in &answer.opened {
-            let short = answer.refused.iter().any(|r| r.budget == grant.budget);
-            self.take_in(&mut batches, grant, short)?;
+            let still_short = answer.refused.iter().any(|r| r.budget == grant.budget);
+            self.add_grant(&mut batches, grant, still_short)?;
         }
         let oldest = batches.reported.first_key_value();
         let oldest = oldest.map_or(0, |(id, _)| *id);
-        self.oldest.store(oldest, Ordering::Release);
+        self.oldest_open_grant.store(oldest, Ordering::Release);
         drop(batches);
-        self.wake();
+        self.notify_changed();
         Ok(())
     }
 
-    /// Takes in that the ledger refused a whole batch. Returns whether this life is over.
+    /// Handles the ledger's refusal of a whole batch. Returns whether this incarnation is over.
     pub fn denied(&self, now: Now, denial: &Denial) -> bool {
-        self.heard_at(now);
+        self.record_answer_at(now);
         match denial {
-            // Guards against a router that was declared lost while it was frozen: it would go
-            // on reserving out of grants that are being closed by evidence.
+            // Otherwise a router that was declared lost while it was frozen would continue to
+            // reserve from grants that are being closed by evidence.
             Denial::Fenced | Denial::OldIncarnation => self.fence(),
-            // The first answer is too long ago: the batch was applied, its answer is lost. What
-            // it opened stays idle until this router leaves.
-            _ => self.lock().pending = None,
+            // The batch was applied long ago and its answer is lost. Any grant it opened stays
+            // unused until this router leaves.
+            _ => self.lock_batches().pending = None,
         }
         self.is_fenced()
     }
 
-    /// This life of the router was fenced: nothing is reserved any more.
+    /// Fences this incarnation of the router: nothing can be reserved any more.
     pub fn fence(&self) {
         self.fenced.store(true, Ordering::Release);
-        self.wake();
+        self.notify_changed();
     }
 
-    /// The planned stop: every grant is given back as soon as nothing runs under it.
+    /// Planned stop: returns every grant as soon as no request uses it.
     pub fn stop(&self) {
         self.stopping.store(true, Ordering::Release);
     }
 
-    /// Whether no grant is left: all is settled, reported and given back.
+    /// Whether no grant is left: all are settled, reported and returned.
     pub fn is_empty(&self) -> bool {
         let budgets = self.budgets.load();
-        budgets.values().all(|held| held.grants.load().is_empty())
+        budgets
+            .values()
+            .all(|budget_grants| budget_grants.grants.load().is_empty())
     }
 
-    fn heard_at(&self, now: Now) {
-        self.heard.fetch_max(millis(now), Ordering::AcqRel);
-        self.unanswered.store(ANSWERED, Ordering::Release);
+    fn record_answer_at(&self, now: Now) {
+        self.last_answer.fetch_max(millis(now), Ordering::AcqRel);
+        self.unanswered_since
+            .store(NO_BATCH_PENDING, Ordering::Release);
     }
 
-    /// Once a second a batch speaks of every budget; in between only of those that lack, so that
-    /// an urgent ask costs its own bytes and not everybody's reports.
-    fn compose(&self, now: Now, batches: &mut Batches) -> Option<GrantBatch> {
-        let since = now.saturating_sub(batches.folded_at);
-        let whole = since >= self.policy.batch_every || self.stopping.load(Ordering::Acquire);
-        if whole {
-            batches.folded_at = now;
+    /// Composes the next batch. Once a second it covers every budget; in between only those with a
+    /// shortage, so that an urgent ask does not carry the reports of all others.
+    fn compose(&self, now: Now, batches: &mut BatchState) -> Option<GrantBatch> {
+        let since = now.saturating_sub(batches.last_full_at);
+        let covers_all = since >= self.policy.batch_every || self.stopping.load(Ordering::Acquire);
+        if covers_all {
+            batches.last_full_at = now;
         }
         self.urgent.store(false, Ordering::Release);
         let mut reports = Vec::new();
         let mut asks = Vec::new();
-        self.each_held(|held| {
-            if whole {
-                // A rate over less than a second would take one request for a flood.
-                held.demand.fold(since, self.policy.smooth_over);
-            } else if !held.lacks() {
+        self.for_each_budget(|budget_grants| {
+            if covers_all {
+                // Measured over less than a second, a single request would look like a burst.
+                budget_grants
+                    .demand
+                    .update_averages(since, self.policy.smooth_over);
+            } else if !budget_grants.has_shortage() {
                 return;
             }
-            let wanted = self.asks(now, held);
-            let close = self.closable(now, held, wanted.last());
-            for grant in held.grants.load().iter() {
-                let goes = close.contains(&grant.id);
-                let close = goes && grant.close_if_idle();
-                if goes && !close {
-                    grant.give_back();
+            let budget_asks = self.grant_asks(now, budget_grants);
+            let close = self.grants_to_close(now, budget_grants, budget_asks.last());
+            for grant in budget_grants.grants.load().iter() {
+                let should_close = close.contains(&grant.id);
+                let close = should_close && grant.close_if_idle();
+                if should_close && !close {
+                    grant.return_free();
                 }
                 reports.push(GrantReport {
                     grant: grant.id,
@@ -159,16 +166,16 @@
                     close: close || grant.is_closed(),
                 });
             }
-            asks.extend(wanted);
+            asks.extend(budget_asks);
         });
-        let told =
+        let already_reported =
             |r: &GrantReport| batches.reported.get(&r.grant) == Some(&(r.settled, r.returned));
-        reports.retain(|r| r.close || !told(r));
-        // Closes first: they bring money back for others.
+        reports.retain(|r| r.close || !already_reported(r));
+        // Closed grants first: they return tokens that others can use.
         reports.sort_by_key(|report| !report.close);
         reports.truncate(self.policy.max_reports);
         asks.truncate(self.policy.max_asks);
-        if reports.is_empty() && asks.is_empty() && !self.is_due(now) {
+        if reports.is_empty() && asks.is_empty() && !self.keepalive_due(now) {
             return None;
         }
         batches.seq += 1;
@@ -181,72 +188,99 @@
         })
     }
 
-    /// An empty batch now and then keeps "heard lately" true while there is nothing to say.
-    fn is_due(&self, now: Now) -> bool {
-        let heard = self.heard.load(Ordering::Acquire);
-        let since = now.saturating_sub(Duration::from_millis(heard));
+    /// Whether an empty batch is due. While there is nothing to report, these keep the time of the
+    /// ledger's last answer recent.
+    fn keepalive_due(&self, now: Now) -> bool {
+        let last_answer = self.last_answer.load(Ordering::Acquire);
+        let since = now.saturating_sub(Duration::from_millis(last_answer));
         since >= self.policy.patience / 2 && !self.budgets.load().is_empty()
     }
 
-    /// Asks for a budget whose free tokens would not last, or that requests lacked; the one with
-    /// the smallest `least` last.
+    /// The asks for a budget whose free tokens would not last, or which had a shortage; the one
+    /// with the smallest `least` comes last.
     ///
-    /// Failure: near the end of a budget one large request lacks more than is left, and small
-    /// ones that would fit wait behind it. So the largest and the smallest are asked for each.
-    fn asks(&self, now: Now, held: &Held) -> Vec<GrantAsk> {
-        let lacking = held.lacking.swap(0, Ordering::AcqRel);
-        let lacking_least = held.lacking_least.swap(u64::MAX, Ordering::AcqRel);
+    /// The largest and the smallest shortage are asked for separately. Otherwise, near the end of a
+    /// budget, small requests that would fit wait behind one large request that needs more than is
+    /// left.
+    fn grant_asks(&self, now: Now, budget_grants: &BudgetGrants) -> Vec<GrantAsk> {
+        let largest_shortage = budget_grants.largest_shortage.swap(0, Ordering::AcqRel);
+        let smallest_shortage = budget_grants
+            .smallest_shortage
+            .swap(u64::MAX, Ordering::AcqRel);
         if self.stopping.load(Ordering::Acquire) {
             return Vec::new();
         }
-        let rate = held.demand.rate();
-        let largest = held.demand.largest().max(lacking);
-        let idle = now > held.demand.last() + self.policy.idle;
-        let whole = self.horizon();
-        let expected = held.demand.expected_within(whole);
+        let rate = budget_grants.demand.rate();
+        let largest = budget_grants.demand.largest().max(largest_shortage);
+        let idle = now > budget_grants.demand.last_request() + self.policy.idle;
+        let full_horizon = self.horizon();
+        let expected = budget_grants.demand.expected_within(full_horizon);
         let is_sparse = expected < self.policy.least_expected;
-        let horizon = if is_sparse { Duration::ZERO } else { whole };
+        let horizon = if is_sparse {
+            Duration::ZERO
+        } else {
+            full_horizon
+        };
         let spare = self.policy.spare_requests;
-        let ahead = needed_for(rate, horizon / RENEW_PART).saturating_add(spare * largest);
-        let enough = held.free() >= ahead || idle;
-        // A budget that has just been said to be used up is asked for only on demand.
-        let verdict = **held.verdict.load();
-        let told = verdict.is_some_and(|v| now < v.at + self.policy.verdict_holds);
-        if lacking == 0 && (enough || told) {
+        let ahead = needed_for(rate, horizon / RENEWAL_DIVISOR).saturating_add(spare * largest);
+        let enough = budget_grants.free() >= ahead || idle;
+        // A budget that was just refused is asked for again only on demand.
+        let last_refusal = **budget_grants.last_refusal.load();
+        let recently_refused = last_refusal.is_some_and(|v| now < v.at + self.policy.verdict_holds);
+        if largest_shortage == 0 && (enough || recently_refused) {
             return Vec::new();
         }
         let horizon = needed_for(rate, horizon);
-        let of = |least: Tokens, ahead: Tokens| GrantAsk {
-            budget: held.budget.clone(),
+        let ask_for = |least: Tokens, ahead: Tokens| GrantAsk {
+            budget: budget_grants.budget.clone(),
             wanted: ahead.saturating_add(least.saturating_mul(spare)).max(least),
             least,
         };
-        if lacking > lacking_least {
-            // The demand ahead is asked for once; the small request's ask covers that one.
-            return vec![of(lacking, horizon), of(lacking_least, 0)];
+        if largest_shortage > smallest_shortage {
+            // The first ask covers the expected demand; the second one only the smallest shortage.
+            return vec![
+                ask_for(largest_shortage, horizon),
+                ask_for(smallest_shortage, 0),
+            ];
         }
-        vec![of(if lacking > 0 { lacking } else { largest }, horizon)]
+        vec![ask_for(
+            if largest_shortage > 0 {
+                largest_shortage
+            } else {
+                largest
+            },
+            horizon,
+        )]
     }
 
-    /// Grants of a budget that should go back: recalled, used up, idle, or too small for what is
-    /// lacking, so that the ledger can put their rest and its own into one grant.
-    fn closable(&self, now: Now, held: &Held, ask: Option<&GrantAsk>) -> BTreeSet<GrantId> {
+    /// Grants of a budget that should be returned: recalled, used up, idle, or too small for the
+    /// shortage, so that the ledger can combine their rest and its own into one grant.
+    fn grants_to_close(
+        &self,
+        now: Now,
+        budget_grants: &BudgetGrants,
+        ask: Option<&GrantAsk>,
+    ) -> BTreeSet<GrantId> {
         let stopping = self.stopping.load(Ordering::Acquire);
-        let idle = now > held.demand.last() + self.policy.idle;
-        let largest = held.demand.largest();
-        let grants = held.grants.load();
+        let idle = now > budget_grants.demand.last_request() + self.policy.idle;
+        let largest = budget_grants.demand.largest();
+        let grants = budget_grants.grants.load();
         let newest = grants.last().map(|grant| grant.id);
-        let goes = |grant: &&Arc<OpenGrant>| {
+        let should_close = |grant: &&Arc<OpenGrant>| {
             let too_small = ask.is_some_and(|ask| grant.free() < ask.least);
             let used_up = grant.free() < largest && Some(grant.id) != newest;
             stopping || idle || grant.is_recalled() || too_small || used_up
         };
-        grants.iter().filter(goes).map(|grant| grant.id).collect()
+        grants
+            .iter()
+            .filter(should_close)
+            .map(|grant| grant.id)
+            .collect()
     }
 
     fn recall(&self, recalled: &[GrantId]) {
-        self.each_held(|held| {
-            for grant in held.grants.load().iter() {
+        self.for_each_budget(|budget_grants| {
+            for grant in budget_grants.grants.load().iter() {
                 if recalled.contains(&grant.id) {
                     grant.recall();
                 }
@@ -254,44 +288,51 @@
         });
     }
 
-    fn note(&self, now: Now, refusal: &GrantRefusal) {
+    fn record_refusal(&self, now: Now, refusal: &GrantRefusal) {
         let budgets = self.budgets.load();
-        let Some(held) = budgets.get(&refusal.budget) else {
+        let Some(budget_grants) = budgets.get(&refusal.budget) else {
             return;
         };
-        let before = **held.verdict.load();
+        let before = **budget_grants.last_refusal.load();
         let unbroken = before.filter(|before| now < before.at + self.policy.row_within);
-        held.verdict.store(Arc::new(Some(Verdict {
-            at: now,
-            since: unbroken.map_or(now, |before| before.since),
-            left: refusal.left,
-            outstanding: refusal.outstanding,
-        })));
+        budget_grants
+            .last_refusal
+            .store(Arc::new(Some(LedgerRefusal {
+                at: now,
+                unbroken_since: unbroken.map_or(now, |before| before.unbroken_since),
+                left: refusal.left,
+                outstanding: refusal.outstanding,
+            })));
     }
 
-    /// Takes in a new grant. `short` tells that a larger ask for its budget got nothing, so that
-    /// the ledger's "no" still stands.
-    fn take_in(&self, batches: &mut Batches, grant: &Grant, short: bool) -> Result<(), MoneyError> {
+    /// Adds a new grant. `still_short` means that a larger ask for its budget was refused in the
+    /// same answer, so that the ledger's refusal remains valid.
+    fn add_grant(
+        &self,
+        batches: &mut BatchState,
+        grant: &Grant,
+        still_short: bool,
+    ) -> Result<(), MoneyError> {
         let ours = grant.router == self.router && grant.incarnation == self.incarnation;
         if !ours {
             return Err(MoneyError::NotOurs { grant: grant.id });
         }
         let budgets = self.budgets.load();
-        let Some(held) = budgets.get(&grant.budget) else {
+        let Some(budget_grants) = budgets.get(&grant.budget) else {
             return Ok(());
         };
-        let told = (grant.settled, grant.returned);
-        batches.reported.insert(grant.id, told);
-        held.add(OpenGrant::new(grant));
-        if !short {
-            held.verdict.store(Arc::new(None));
+        let amounts = (grant.settled, grant.returned);
+        batches.reported.insert(grant.id, amounts);
+        budget_grants.add(OpenGrant::new(grant));
+        if !still_short {
+            budget_grants.last_refusal.store(Arc::new(None));
         }
         Ok(())
     }
 
-    fn each_held(&self, mut f: impl FnMut(&Held)) {
-        for held in self.budgets.load().values() {
-            f(held);
+    fn for_each_budget(&self, mut f: impl FnMut(&BudgetGrants)) {
+        for budget_grants in self.budgets.load().values() {
+            f(budget_grants);
         }
     }
 }
--- a/crates/anvilreel/src/money/held.rs
+++ b/crates/anvilreel/src/money/held.rs
@@ -1,4 +1,4 @@
-//! Everything a router holds of one budget.
+//! The grants, demand and shortages of one budget at one router.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -9,52 +9,54 @@
 use super::OpenGrant;
 use super::demand::Demand;
 
-/// What the ledger last said to an ask that got nothing.
+/// The ledger's last refusal of an ask.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Verdict {
+pub(super) struct LedgerRefusal {
     pub(super) at: Now,
-    /// When the first one came of the refusals that have followed each other since without a break.
-    pub(super) since: Now,
+    /// When the first refusal of the current unbroken series arrived.
+    pub(super) unbroken_since: Now,
     pub(super) left: Tokens,
     pub(super) outstanding: Tokens,
 }
 
 /// One budget's grants and demand at this router.
 #[derive(Debug)]
-pub(super) struct Held {
+pub(super) struct BudgetGrants {
     pub(super) budget: BudgetId,
     pub(super) demand: Demand,
-    /// In the order of their numbers; replaced whole when a grant comes or goes.
+    /// In the order of their ids; the whole list is replaced when a grant is added or removed.
     pub(super) grants: ArcSwap<Vec<Arc<OpenGrant>>>,
-    pub(super) verdict: ArcSwap<Option<Verdict>>,
-    /// Largest request that found too little since the last batch, in tokens.
-    pub(super) lacking: AtomicU64,
-    /// The smallest one; `u64::MAX` for none.
-    pub(super) lacking_least: AtomicU64,
+    pub(super) last_refusal: ArcSwap<Option<LedgerRefusal>>,
+    /// Largest request that could not be reserved since the last batch, in tokens.
+    pub(super) largest_shortage: AtomicU64,
+    /// The smallest such request; `u64::MAX` for none.
+    pub(super) smallest_shortage: AtomicU64,
 }
 
-impl Held {
+impl BudgetGrants {
     pub(super) fn new(budget: BudgetId) -> Self {
         Self {
             budget,
             demand: Demand::default(),
             grants: ArcSwap::default(),
-            verdict: ArcSwap::default(),
-            lacking: AtomicU64::new(0),
-            lacking_least: AtomicU64::new(u64::MAX),
+            last_refusal: ArcSwap::default(),
+            largest_shortage: AtomicU64::new(0),
+            smallest_shortage: AtomicU64::new(u64::MAX),
         }
     }
 
-    /// Reserves out of the first grant that has so much free. Old grants come first, so that
+    /// Reserves from the first grant that has enough free tokens. Older grants come first, so that
     /// they are used up and closed.
     pub(super) fn reserve(&self, tokens: Tokens) -> Option<Arc<OpenGrant>> {
         let grants = self.grants.load();
         grants.iter().find(|grant| grant.reserve(tokens)).cloned()
     }
 
-    /// Whether a request found too little since the last batch.
-    pub(super) fn lacks(&self) -> bool {
-        self.lacking.load(std::sync::atomic::Ordering::Acquire) > 0
+    /// Whether a request could not be reserved since the last batch.
+    pub(super) fn has_shortage(&self) -> bool {
+        self.largest_shortage
+            .load(std::sync::atomic::Ordering::Acquire)
+            > 0
     }
 
     /// Tokens free in all grants.
@@ -67,7 +69,7 @@
         self.grants.load().iter().map(|g| g.reserved()).sum()
     }
 
-    /// Takes in a grant. Call only while the batches' lock is held.
+    /// Adds a grant. Must be called only while the batches' lock is held.
     pub(super) fn add(&self, grant: OpenGrant) {
         let mut grants = Vec::clone(&self.grants.load());
         if grants.iter().all(|known| known.id != grant.id) {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Drops a grant. Call only while the batches' lock is held.
+    /// Removes a grant. Must be called only while the batches' lock is held.
     pub(super) fn remove(&self, id: GrantId) {
         let mut grants = Vec::clone(&self.grants.load());
         grants.retain(|grant| grant.id != id);
--- a/crates/anvilreel/src/money/open_grant.rs
+++ b/crates/anvilreel/src/money/open_grant.rs
@@ -1,4 +1,4 @@
-//! One grant on the path of a request: two atomics.
+//! One grant from which requests reserve tokens, without locks.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
@@ -6,22 +6,22 @@
 
 use super::MoneyError;
 
-/// Set in `taken` when no more may be reserved.
+/// Bit set in `taken` once nothing more may be reserved.
 const CLOSED: u64 = 1 << 63;
 
-/// A grant that is spent from. Reserving and settling take no lock.
+/// An open grant. Reserving and settling take no lock.
 #[derive(Debug)]
 pub struct OpenGrant {
-    /// Its number.
+    /// The grant's id.
     pub id: GrantId,
-    /// The budget it comes out of.
+    /// The budget it belongs to.
     pub budget: BudgetId,
-    /// How many tokens in all.
+    /// Its size in tokens.
     pub amount: Tokens,
-    /// Settled and reserved together, in tokens, with [`CLOSED`] in the top bit.
+    /// Tokens settled, returned or reserved, with [`CLOSED`] in the top bit.
     taken: AtomicU64,
     settled: AtomicU64,
-    /// Given back to the ledger, in tokens: counted in `taken`, never free again.
+    /// Tokens returned to the ledger: included in `taken`, never free again.
     returned: AtomicU64,
     recalled: AtomicBool,
 }
@@ -39,26 +39,26 @@
         }
     }
 
-    /// Tokens settled so far: what is reported to the ledger.
+    /// Tokens settled so far, as reported to the ledger.
     pub fn settled(&self) -> Tokens {
         self.settled.load(Ordering::Acquire)
     }
 
-    /// Tokens given back to the ledger so far.
+    /// Tokens returned to the ledger so far.
     pub fn returned(&self) -> Tokens {
         self.returned.load(Ordering::Acquire)
     }
 
-    /// Tokens settled, given back or reserved.
+    /// Tokens settled, returned or reserved.
     pub fn taken(&self) -> Tokens {
         self.taken.load(Ordering::Acquire) & !CLOSED
     }
 
     /// Tokens reserved and not settled.
     pub fn reserved(&self) -> Tokens {
-        // `taken` is read last: the others never pass it, so the difference can't wrap.
-        let gone = self.settled() + self.returned();
-        self.taken().saturating_sub(gone)
+        // `taken` is read last: the other two never exceed it, so the difference can't wrap.
+        let settled_and_returned = self.settled() + self.returned();
+        self.taken().saturating_sub(settled_and_returned)
     }
 
     /// Tokens still free in this grant; none once it is closed or recalled.
@@ -69,19 +69,19 @@
         self.amount.saturating_sub(self.taken())
     }
 
-    /// Whether no more may be reserved.
+    /// Whether nothing more may be reserved.
     pub fn is_closed(&self) -> bool {
         self.taken.load(Ordering::Acquire) & CLOSED != 0
     }
 
-    /// Whether the ledger wants the rest back.
+    /// Whether the ledger has recalled the rest.
     pub fn is_recalled(&self) -> bool {
         self.recalled.load(Ordering::Acquire)
     }
 
-    /// Gives back what is free now. Taken first and counted as given back after that, so that no
-    /// token is both reserved and given back.
-    pub(super) fn give_back(&self) {
+    /// Returns the tokens that are free now. They are taken first and counted as returned
+    /// afterwards, so that no token is both reserved and returned.
+    pub(super) fn return_free(&self) {
         let mut free = 0;
         let fill = |taken: u64| {
             free = self.amount.saturating_sub(taken);
@@ -99,9 +99,10 @@
         self.recalled.store(true, Ordering::Release);
     }
 
-    /// Reserves, if so much is free. Failure guarded against: two requests that both see the
-    /// same free tokens; it would show as a grant spent above its amount. The compare-and-swap
-    /// lets only one of them have them.
+    /// Reserves tokens if enough are free.
+    ///
+    /// Two requests can see the same free tokens; the compare-and-swap lets only one of them have
+    /// them, so that the grant is never spent beyond its amount.
     pub(super) fn reserve(&self, tokens: Tokens) -> bool {
         if self.is_recalled() {
             return false;
@@ -116,7 +117,7 @@
     }
 
     /// Settles `cost` of `reserved` tokens and frees the rest. A cost above the reservation is
-    /// settled at the reservation and told.
+    /// capped at the reservation and reported as an error.
     pub(super) fn settle(&self, reserved: Tokens, cost: Tokens) -> Result<(), MoneyError> {
         let settled = cost.min(reserved);
         // In this order `settled <= taken` holds at every moment.
@@ -129,11 +130,11 @@
                 cost,
             });
         }
-        self.check()
+        self.check_invariant()
     }
 
-    /// The invariant, checked at every step, in release too.
-    pub(super) fn check(&self) -> Result<(), MoneyError> {
+    /// Checks the invariant at every step, also in release builds.
+    pub(super) fn check_invariant(&self) -> Result<(), MoneyError> {
         let taken = self.taken();
         if taken <= self.amount {
             return Ok(());
@@ -145,14 +146,19 @@
         })
     }
 
-    /// Closes the grant if nothing is reserved. Closed, it stays so.
+    /// Closes the grant if nothing is reserved. A closed grant stays closed.
     pub(super) fn close_if_idle(&self) -> bool {
-        let gone = self.settled() + self.returned();
-        let closed = gone | CLOSED;
+        let settled_and_returned = self.settled() + self.returned();
+        let closed = settled_and_returned | CLOSED;
         self.is_closed()
             || self
                 .taken
-                .compare_exchange(gone, closed, Ordering::AcqRel, Ordering::Acquire)
+                .compare_exchange(
+                    settled_and_returned,
+                    closed,
+                    Ordering::AcqRel,
+                    Ordering::Acquire,
+                )
                 .is_ok()
     }
 }
--- a/crates/anvilreel/src/money/purse.rs
+++ b/crates/anvilreel/src/money/purse.rs
@@ -1,4 +1,4 @@
-//! The purse: reservations on the path of a request.
+//! The grant account: reservations for requests.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -11,63 +11,63 @@
 use tokio::sync::Notify;
 use tokio::sync::futures::Notified;
 
-use super::exchange::Batches;
-use super::held::Held;
-use super::reservation::Part;
+use super::exchange::BatchState;
+use super::held::BudgetGrants;
+use super::reservation::ReservationPart;
 use super::{GrantPolicy, MoneyError, Reservation, Shortage};
 
-/// When to come back after a budget was found used up: only a top-up helps.
-const RETRY_EXHAUSTED: Duration = Duration::from_secs(30);
-/// When to come back after the ledger could not be asked.
-const RETRY_UNREACHABLE: Duration = Duration::from_secs(2);
+/// Retry-After once a budget is exhausted: only a top-up helps.
+const EXHAUSTED_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Retry-After when the ledger could not be asked.
+const UNREACHABLE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// In [`Purse::unanswered`]: no batch is under way.
-pub(super) const ANSWERED: u64 = u64::MAX;
+/// Value of `unanswered_since` while no batch is in flight.
+pub(super) const NO_BATCH_PENDING: u64 = u64::MAX;
 
-pub(super) type Budgets = BTreeMap<BudgetId, Arc<Held>>;
+pub(super) type Budgets = BTreeMap<BudgetId, Arc<BudgetGrants>>;
 
-/// What a router holds of one budget, for metrics and status.
+/// The state of one budget at a router, for metrics and status.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct BudgetView {
-    /// Tokens that can be reserved at once.
+pub struct BudgetStatus {
+    /// Tokens that can be reserved now.
     pub free: Tokens,
     /// Tokens reserved by running requests.
     pub reserved: Tokens,
-    /// Reserved tokens a second, smoothed.
+    /// Tokens charged per second, smoothed.
     pub rate: Tokens,
 }
 
 /// The grants of one router incarnation.
 ///
-/// [`Purse::reserve`], [`Purse::settle`] and [`Purse::release`] are for the path of a request
-/// and take no lock. [`Purse::batch`] and [`Purse::answered`] are for the one task that talks to
-/// the ledger.
+/// [`Self::reserve`], [`Self::settle`] and [`Self::release`] are called by requests and take no
+/// lock once the budget is known. The methods for batches are for the only task that exchanges
+/// them with the ledger.
 #[derive(Debug)]
 pub struct Purse {
     pub(super) router: InstanceId,
     pub(super) incarnation: Incarnation,
     pub(super) policy: GrantPolicy,
     pub(super) budgets: ArcSwap<Budgets>,
-    pub(super) batches: Mutex<Batches>,
+    pub(super) batches: Mutex<BatchState>,
     /// When the ledger last answered, in milliseconds.
-    pub(super) heard: AtomicU64,
-    /// When the batch that has no answer yet was first sent, in milliseconds; [`ANSWERED`] when
-    /// none is under way.
-    pub(super) unanswered: AtomicU64,
-    /// Whether a shortage wants a batch before the next second is over.
+    pub(super) last_answer: AtomicU64,
+    /// When the unanswered batch was first sent, in milliseconds; [`NO_BATCH_PENDING`] if there is
+    /// none.
+    pub(super) unanswered_since: AtomicU64,
+    /// Whether a shortage needs a batch sooner than the next regular one.
     pub(super) urgent: AtomicBool,
     pub(super) stopping: AtomicBool,
     pub(super) fenced: AtomicBool,
-    /// The oldest grant that the ledger has not confirmed as closed.
-    pub(super) oldest: AtomicU64,
-    numbers: AtomicU64,
+    /// The oldest grant whose closing the ledger has not confirmed.
+    pub(super) oldest_open_grant: AtomicU64,
+    next_number: AtomicU64,
     horizon_millis: AtomicU64,
-    broken: ArcSwapOption<MoneyError>,
+    violation: ArcSwapOption<MoneyError>,
     changed: Notify,
 }
 
 impl Purse {
-    /// An empty purse.
+    /// An account without grants.
     pub fn new(router: InstanceId, incarnation: Incarnation, policy: GrantPolicy) -> Self {
         Self {
             router,
@@ -76,19 +76,19 @@
             policy,
             budgets: ArcSwap::default(),
             batches: Mutex::default(),
-            heard: AtomicU64::new(0),
-            unanswered: AtomicU64::new(ANSWERED),
+            last_answer: AtomicU64::new(0),
+            unanswered_since: AtomicU64::new(NO_BATCH_PENDING),
             urgent: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
             fenced: AtomicBool::new(false),
-            oldest: AtomicU64::new(0),
-            numbers: AtomicU64::new(1),
-            broken: ArcSwapOption::empty(),
+            oldest_open_grant: AtomicU64::new(0),
+            next_number: AtomicU64::new(1),
+            violation: ArcSwapOption::empty(),
             changed: Notify::new(),
         }
     }
 
-    /// Takes over how long a grant is meant to last, from the fleet's document.
+    /// Sets how long a grant is meant to last, from the fleet's document.
     pub fn set_horizon(&self, horizon: Duration) {
         self.horizon_millis
             .store(millis(horizon), Ordering::Relaxed);
@@ -98,30 +98,31 @@
         Duration::from_millis(self.horizon_millis.load(Ordering::Relaxed))
     }
 
-    /// Sets aside the upper bound of one request: out of a grant of every payer, or of none.
+    /// Reserves the upper bound of one request from a grant of every budget that pays, or from
+    /// none.
     pub fn reserve(&self, now: Now, split: &Split, bound: Tokens) -> Result<Reservation, Shortage> {
         if self.is_fenced() || self.broken().is_some() {
-            return Err(refused(Reason::Leaving, RETRY_UNREACHABLE));
+            return Err(refused(Reason::Leaving, UNREACHABLE_RETRY_AFTER));
         }
         let mut parts = Vec::new();
         for (budget, tokens) in split.bounds(bound) {
-            let held = self.held(budget);
-            held.demand.note(now, tokens);
-            let Some(grant) = held.reserve(tokens) else {
-                undo(parts);
-                return Err(self.shortage(now, &held, tokens));
+            let budget_grants = self.budget_grants(budget);
+            budget_grants.demand.record_request(now, tokens);
+            let Some(grant) = budget_grants.reserve(tokens) else {
+                release_parts(parts);
+                return Err(self.shortage(now, &budget_grants, tokens));
             };
-            parts.push(Part { grant, tokens });
+            parts.push(ReservationPart { grant, tokens });
         }
         Ok(Reservation {
-            number: self.numbers.fetch_add(1, Ordering::Relaxed),
+            number: self.next_number.fetch_add(1, Ordering::Relaxed),
             split: split.clone(),
             bound,
             parts,
         })
     }
 
-    /// What a sidecar is told of who pays.
+    /// Describes the payment for the sidecar.
     pub fn payment(&self, reservation: &Reservation, price: Price) -> Payment {
         Payment {
             router: self.router.clone(),
@@ -129,161 +130,171 @@
             number: reservation.number,
             split: reservation.split.clone(),
             grants: reservation.grants(),
-            oldest: self.oldest.load(Ordering::Acquire),
+            oldest: self.oldest_open_grant.load(Ordering::Acquire),
             price,
             bound: reservation.bound,
         }
     }
 
-    /// Charges what a request cost and frees the rest of its reservation.
+    /// Charges the cost of a request and frees the rest of its reservation.
     ///
-    /// An error means a broken invariant; the purse has settled at the reservation and reserves
-    /// nothing more.
+    /// An error means a violated invariant; the cost has been capped at the reservation, and this
+    /// account makes no further reservations.
     pub fn settle(&self, reservation: Reservation, cost: Tokens) -> Result<(), MoneyError> {
         let Reservation { split, parts, .. } = reservation;
         let costs = split.divide(cost);
         let mut result = Ok(());
         // Both are in the order of the budgets.
         for (part, (_, cost)) in parts.into_iter().zip(costs) {
-            self.held(&part.grant.budget).demand.note_cost(cost);
+            self.budget_grants(&part.grant.budget)
+                .demand
+                .record_cost(cost);
             let settled = part.grant.settle(part.tokens, cost);
             result = result.and(settled);
         }
         if let Err(e) = &result {
-            self.broken.store(Some(Arc::new(e.clone())));
+            self.violation.store(Some(Arc::new(e.clone())));
         }
         self.changed.notify_waiters();
         result
     }
 
-    /// Frees all of a reservation: the request did not run, or another router's grants pay it.
+    /// Frees a whole reservation: the request did not run, or another router's grants pay for it.
     pub fn release(&self, reservation: Reservation) {
-        undo(reservation.parts);
+        release_parts(reservation.parts);
         self.changed.notify_waiters();
     }
 
-    /// Resolves when money came, was freed, or the ledger said that there is none.
+    /// Resolves when a grant arrives, tokens are freed, or the ledger refuses a grant.
     ///
-    /// Take it before [`Purse::reserve`], so that nothing is missed in between.
+    /// Call it before [`Self::reserve`], so that no change between the two is missed.
     pub fn changed(&self) -> Notified<'_> {
         self.changed.notified()
     }
 
-    /// The broken invariant for which this purse stopped, if there is one.
+    /// The violated invariant because of which this account stopped making reservations, if any.
     pub fn broken(&self) -> Option<Arc<MoneyError>> {
-        self.broken.load_full()
+        self.violation.load_full()
     }
 
-    /// Whether the ledger has fenced this life of the router.
+    /// Whether the ledger has fenced this incarnation of the router.
     pub fn is_fenced(&self) -> bool {
         self.fenced.load(Ordering::Acquire)
     }
 
-    /// Whether a request waits for money that has not been asked for yet: the ledger should be
-    /// asked as soon as the last batch is answered.
+    /// Whether a request waits for tokens that have not been asked for yet: the next batch should
+    /// be sent as soon as the last one is answered.
     pub fn is_urgent(&self) -> bool {
         self.urgent.load(Ordering::Acquire)
     }
 
-    /// What is held of a budget.
-    pub fn view(&self, budget: &str) -> BudgetView {
+    /// The state of a budget.
+    pub fn view(&self, budget: &str) -> BudgetStatus {
         let budgets = self.budgets.load();
-        let Some(held) = budgets.get(budget) else {
-            return BudgetView::default();
+        let Some(budget_grants) = budgets.get(budget) else {
+            return BudgetStatus::default();
         };
-        BudgetView {
-            free: held.free(),
-            reserved: held.reserved(),
-            rate: held.demand.rate(),
+        BudgetStatus {
+            free: budget_grants.free(),
+            reserved: budget_grants.reserved(),
+            rate: budget_grants.demand.rate(),
         }
     }
 
-    pub(super) fn wake(&self) {
+    pub(super) fn notify_changed(&self) {
         self.changed.notify_waiters();
     }
 
-    pub(super) fn lock(&self) -> MutexGuard<'_, Batches> {
-        // A panic elsewhere leaves the batches as they were between two steps.
+    pub(super) fn lock_batches(&self) -> MutexGuard<'_, BatchState> {
+        // Each update leaves the batches consistent, so a poisoned lock can be used.
         self.batches.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The budget's grants; a new one is made under the lock, so that two requests get the same.
-    pub(super) fn held(&self, budget: &BudgetId) -> Arc<Held> {
-        if let Some(held) = self.budgets.load().get(budget) {
-            return held.clone();
+    /// The grants of a budget. A new entry is made under the lock, so that concurrent requests get
+    /// the same one.
+    pub(super) fn budget_grants(&self, budget: &BudgetId) -> Arc<BudgetGrants> {
+        if let Some(budget_grants) = self.budgets.load().get(budget) {
+            return budget_grants.clone();
         }
-        let _batches = self.lock();
+        let _batches = self.lock_batches();
         let mut budgets = Budgets::clone(&self.budgets.load());
-        let held = budgets
+        let budget_grants = budgets
             .entry(budget.clone())
-            .or_insert_with(|| Arc::new(Held::new(budget.clone())))
+            .or_insert_with(|| Arc::new(BudgetGrants::new(budget.clone())))
             .clone();
         self.budgets.store(Arc::new(budgets));
-        held
+        budget_grants
     }
 
-    /// Says the truth about missing money.
+    /// Decides whether a request that lacks tokens waits, and with which reason it is refused.
     ///
-    /// `budget_exhausted` only on the ledger's own fresh word; a ledger that was not heard for
-    /// longer than the patience is unreachable, and waiting for it would only hold the caller.
-    fn shortage(&self, now: Now, held: &Held, tokens: Tokens) -> Shortage {
-        held.lacking.fetch_max(tokens, Ordering::AcqRel);
-        held.lacking_least.fetch_min(tokens, Ordering::AcqRel);
+    /// `budget_exhausted` requires a recent refusal by the ledger. A ledger that has not answered
+    /// for longer than the maximum wait counts as unreachable, and waiting for it would only delay
+    /// the caller.
+    fn shortage(&self, now: Now, budget_grants: &BudgetGrants, tokens: Tokens) -> Shortage {
+        budget_grants
+            .largest_shortage
+            .fetch_max(tokens, Ordering::AcqRel);
+        budget_grants
+            .smallest_shortage
+            .fetch_min(tokens, Ordering::AcqRel);
         let until = now + self.policy.patience;
-        let verdict = **held.verdict.load();
-        let fresh = verdict.filter(|v| now < v.at + self.policy.verdict_holds);
-        let Some(verdict) = fresh else {
+        let last_refusal = **budget_grants.last_refusal.load();
+        let recent_refusal = last_refusal.filter(|v| now < v.at + self.policy.verdict_holds);
+        let Some(last_refusal) = recent_refusal else {
             self.urgent.store(true, Ordering::Release);
-            let otherwise = refusal(Reason::LedgerUnreachable, RETRY_UNREACHABLE);
-            if self.is_cut_off(now) {
+            let otherwise = refusal(Reason::LedgerUnreachable, UNREACHABLE_RETRY_AFTER);
+            if self.ledger_is_unresponsive(now) {
                 return Shortage::Refused(otherwise);
             }
             return Shortage::WaitFor { until, otherwise };
         };
-        let exhausted = Reason::BudgetExhausted(held.budget.clone());
-        let otherwise = refusal(exhausted, RETRY_EXHAUSTED);
-        // Failure: routers died with money in their grants. The ledger has called it back again and again, it
-        // can't come, and each request still waits for it, is told to come back, and waits again.
-        let recalled = now >= verdict.since + self.policy.recalled_within;
-        let elsewhere = if recalled {
+        let exhausted = Reason::BudgetExhausted(budget_grants.budget.clone());
+        let otherwise = refusal(exhausted, EXHAUSTED_RETRY_AFTER);
+        // Routers that died with unspent tokens in their grants can't return them, although the
+        // ledger recalls them again and again. Without this time limit each request would wait for
+        // these tokens, be told to retry, and wait again.
+        let recalled = now >= last_refusal.unbroken_since + self.policy.recalled_within;
+        let recoverable = if recalled {
             0
         } else {
-            verdict.outstanding + held.reserved()
+            last_refusal.outstanding + budget_grants.reserved()
         };
-        let may_come = verdict.left + held.free() + elsewhere;
-        if may_come < tokens {
+        let obtainable = last_refusal.left + budget_grants.free() + recoverable;
+        if obtainable < tokens {
             return Shortage::Refused(otherwise);
         }
         let until = now + self.policy.recall_patience;
         Shortage::WaitFor { until, otherwise }
     }
 
-    /// For how long the ledger has been asked without an answer.
+    /// How long a batch has been without an answer.
     pub fn unanswered_for(&self, now: Now) -> Duration {
-        let since = self.unanswered.load(Ordering::Acquire);
-        if since == ANSWERED {
+        let since = self.unanswered_since.load(Ordering::Acquire);
+        if since == NO_BATCH_PENDING {
             return Duration::ZERO;
         }
         now.saturating_sub(Duration::from_millis(since))
     }
 
-    /// Whether the ledger was asked and has not answered for longer than the patience.
+    /// Whether a batch has been without an answer for longer than the maximum wait.
     ///
-    /// Failure: a router without callers asks for nothing, so it hears nothing. Taking that
-    /// silence for a partition would refuse the first request after every quiet time.
-    fn is_cut_off(&self, now: Now) -> bool {
+    /// The time counts from the unanswered batch, not from the last answer: a router without
+    /// callers sends no batches and receives no answers, and taking that for a partition would
+    /// refuse the first request after every idle period.
+    fn ledger_is_unresponsive(&self, now: Now) -> bool {
         self.unanswered_for(now) > self.policy.patience
     }
 }
 
-/// A time as the purse's atomics hold it; never [`ANSWERED`].
+/// A time in milliseconds as the atomics store it; never [`NO_BATCH_PENDING`].
 pub(super) fn millis(time: Duration) -> u64 {
-    u64::try_from(time.as_millis()).unwrap_or(ANSWERED - 1)
+    u64::try_from(time.as_millis()).unwrap_or(NO_BATCH_PENDING - 1)
 }
 
-fn undo(parts: Vec<Part>) {
+fn release_parts(parts: Vec<ReservationPart>) {
     for part in parts {
-        // Settling nothing can't go over a reservation.
+        // A cost of zero can't exceed the reservation.
         let _ = part.grant.settle(part.tokens, 0);
     }
 }
--- a/crates/anvilreel/src/money/reservation.rs
+++ b/crates/anvilreel/src/money/reservation.rs
@@ -1,4 +1,4 @@
-//! What a request holds while it runs, and what it is told when there is nothing to hold.
+//! What a request holds while it runs, and why a reservation can fail.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,24 +7,24 @@
 
 use super::OpenGrant;
 
-/// One payer's part of a reservation.
+/// One budget's part of a reservation.
 #[derive(Debug)]
-pub(super) struct Part {
+pub(super) struct ReservationPart {
     pub(super) grant: Arc<OpenGrant>,
     pub(super) tokens: Tokens,
 }
 
-/// Tokens set aside for one request, out of one grant of every payer.
+/// Tokens reserved for one request, from one grant of every budget that pays.
 ///
-/// Give it back through `Purse::settle` or `Purse::release`. One that is dropped instead keeps
-/// its tokens reserved: lost to the router until the grant is closed, never spent twice.
+/// Must be settled or released through the grant account. If it is dropped instead, its tokens stay
+/// reserved: lost to the router until the grant is closed, but never spent twice.
 #[derive(Debug)]
 #[must_use]
 pub struct Reservation {
     pub(super) number: u64,
     pub(super) split: Split,
     pub(super) bound: Tokens,
-    pub(super) parts: Vec<Part>,
+    pub(super) parts: Vec<ReservationPart>,
 }
 
 impl Reservation {
@@ -33,9 +33,10 @@
         self.bound
     }
 
-    /// Which grant pays each budget's part, and the reserved tokens: what a sidecar is told.
+    /// The grant and the reserved tokens of each budget, for the sidecar.
     pub fn grants(&self) -> BTreeMap<BudgetId, (GrantId, Tokens)> {
-        let entry = |part: &Part| (part.grant.budget.clone(), (part.grant.id, part.tokens));
+        let entry =
+            |part: &ReservationPart| (part.grant.budget.clone(), (part.grant.id, part.tokens));
         self.parts.iter().map(entry).collect()
     }
 }
@@ -43,12 +44,12 @@
 /// Why nothing could be reserved.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Shortage {
-    /// More was asked for: try again when [`super::Purse::changed`] tells, and refuse with
-    /// `otherwise` when `until` has come. Of several, the first one's `until` counts.
+    /// More tokens have been asked for: retry when the grant account changes, and refuse with
+    /// `otherwise` at `until`. If it is returned several times, the first `until` counts.
     WaitFor {
-        /// The end of the wait.
+        /// When waiting ends.
         until: Now,
-        /// The truth as it is known now.
+        /// The refusal, as far as known now.
         otherwise: Refusal,
     },
     /// Waiting would not help: refuse at once.
@@ -56,7 +57,7 @@
 }
 
 impl Shortage {
-    /// The refusal that would be given now.
+    /// The refusal that would be returned now.
     pub fn refusal(&self) -> &Refusal {
         match self {
             Self::WaitFor { otherwise, .. } => otherwise,
--- a/crates/anvilreel/tests/money/ledger.rs
+++ b/crates/anvilreel/tests/money/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger's real state, asked without a network.
+//! The ledger's real state, called directly without a network.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 
 /// The ledger's state with the budget `nairobi`.
 pub struct Ledger {
-    /// What it holds.
+    /// The state.
     pub state: State,
     index: LogIndex,
 }
 
 impl Ledger {
-    /// With so much credit.
+    /// A ledger whose budget has this much credit.
     pub fn with(credit: Tokens) -> Self {
         let mut ledger = Self {
             state: State::default(),
@@ -27,7 +27,7 @@
             ledger.apply(&Command::Change(Change {
                 id: change_id(std::time::UNIX_EPOCH, path),
                 operator: "wanjiru".into(),
-                path: TreePath::try_from(path).expect("a path"),
+                path: TreePath::try_from(path).expect("a valid path"),
                 expected: 0,
                 edit: Edit::Put(text.into()),
                 at: std::time::UNIX_EPOCH,
@@ -43,15 +43,17 @@
         ledger
     }
 
-    /// Applies a command; the invariants must hold.
+    /// Applies a command and checks the invariants.
     pub fn apply(&mut self, command: &Command) -> Answer {
         self.index += 1;
         let answer = self.state.apply(self.index, 1, command);
-        self.state.check_all().expect("the invariants hold");
+        self.state
+            .check_all()
+            .expect("the invariants of the ledger hold");
         answer
     }
 
-    /// Answers a purse's batch.
+    /// Answers a grant account's batch.
     pub fn answer(&mut self, batch: GrantBatch) -> GrantBatchAnswer {
         match self.apply(&Command::GrantBatch(batch)) {
             Answer::Grants(answer) => answer,
@@ -60,12 +62,12 @@
     }
 }
 
-/// A time of the purse's clock, in milliseconds.
+/// A time in milliseconds.
 pub fn at(millis: u64) -> Now {
     Duration::from_millis(millis)
 }
 
-/// The one payer.
+/// The split with `nairobi` as the only budget that pays.
 pub fn split() -> Split {
     Split::whole("nairobi".into())
 }
--- a/crates/anvilreel/tests/money/main.rs
+++ b/crates/anvilreel/tests/money/main.rs
@@ -1,4 +1,4 @@
-//! A router's purse against the ledger's real state.
+//! A router's grant account against the ledger's real state.
 
 mod ledger;
 mod purse;
--- a/crates/anvilreel/tests/money/purse.rs
+++ b/crates/anvilreel/tests/money/purse.rs
@@ -1,4 +1,4 @@
-//! A router's purse against the ledger's real state.
+//! Reservations, settlements, recalls and closing of grants.
 
 use std::time::Duration;
 
@@ -9,54 +9,64 @@
 
 use crate::ledger::{Ledger, at, split};
 
-fn purse() -> Purse {
+fn new_account() -> Purse {
     Purse::new("r1".into(), 1, GrantPolicy::default())
 }
 
-/// A purse that lacks 100 tokens, asks and is given some.
+/// An account that could not reserve 100 tokens, asked the ledger and received a grant.
 fn funded(ledger: &mut Ledger) -> Purse {
-    let purse = purse();
-    assert!(purse.reserve(at(0), &split(), 100).is_err());
-    let batch = purse.batch(at(1)).expect("asks");
+    let account = new_account();
+    assert!(account.reserve(at(0), &split(), 100).is_err());
+    let batch = account.batch(at(1)).expect("a batch with an ask");
     let answer = ledger.answer(batch);
-    purse.answered(at(2), &answer).expect("ours");
-    purse
+    account
+        .answered(at(2), &answer)
+        .expect("the answer to this batch");
+    account
 }
 
-/// The answer to a batch is lost, and the batch is sent again. Without its number a second grant
-/// would be opened, which nobody knows of and nobody closes.
+/// The answer to a batch is lost and the batch is sent again. Without its number, the ledger would
+/// open a second grant of which no router knows and which is never closed.
 #[test]
 fn a_resent_batch_opens_no_second_grant() {
     let mut ledger = Ledger::with(10_000);
-    let purse = purse();
-    assert!(purse.reserve(at(0), &split(), 100).is_err());
-    let first = purse.batch(at(1)).expect("asks");
+    let account = new_account();
+    assert!(account.reserve(at(0), &split(), 100).is_err());
+    let first = account.batch(at(1)).expect("a batch with an ask");
     let lost = ledger.answer(first.clone());
-    let again = purse.batch(at(1_100)).expect("sent again");
+    let again = account
+        .batch(at(1_100))
+        .expect("the same batch is due again");
     assert_eq!(again, first);
     assert_eq!(ledger.answer(again), lost);
-    purse.answered(at(1_200), &lost).expect("ours");
-    purse.answered(at(1_300), &lost).expect("a doubled answer");
-    let budget = ledger.state.budget("nairobi").expect("there");
+    account
+        .answered(at(1_200), &lost)
+        .expect("the answer to this batch");
+    account
+        .answered(at(1_300), &lost)
+        .expect("a duplicate answer is accepted");
+    let budget = ledger.state.budget("nairobi").expect("the budget exists");
     assert_eq!(budget.open.len(), 1);
-    assert_eq!(purse.view("nairobi").free, budget.outstanding());
+    assert_eq!(account.view("nairobi").free, budget.outstanding());
 }
 
-/// Four threads reserve out of one grant at once. Two that saw the same free tokens would
+/// Four threads reserve from one grant at once. Two that see the same free tokens must not
 /// overspend it.
 #[test]
 fn threads_never_reserve_more_than_the_grant() {
     let mut ledger = Ledger::with(10_000);
-    let purse = funded(&mut ledger);
-    let free = purse.view("nairobi").free;
+    let account = funded(&mut ledger);
+    let free = account.view("nairobi").free;
     let taken: u64 = std::thread::scope(|scope| {
         let take = || {
             let mut taken = 0;
-            while let Ok(reservation) = purse.reserve(at(10), &split(), 7) {
+            while let Ok(reservation) = account.reserve(at(10), &split(), 7) {
                 taken += 7;
-                // Half of them cost less; what they free is taken again.
+                // Half of the requests cost less than reserved; what they free is reserved again.
                 if taken % 2 == 0 {
-                    purse.settle(reservation, 3).expect("within the bound");
+                    account
+                        .settle(reservation, 3)
+                        .expect("the cost is within the reservation");
                     taken -= 4;
                 } else {
                     std::mem::forget(reservation);
@@ -67,65 +77,71 @@
         let threads: Vec<_> = (0..4).map(|_| scope.spawn(take)).collect();
         threads
             .into_iter()
-            .map(|t| t.join().expect("no panic"))
+            .map(|t| t.join().expect("the thread did not panic"))
             .sum()
     });
     assert!(taken <= free, "{taken} of {free}");
-    assert_eq!(purse.broken(), None);
+    assert_eq!(account.broken(), None);
 }
 
-/// A sidecar reports a cost above what was reserved. Billing it would overspend the grant; the
-/// purse bills the reservation, says so, and reserves nothing more.
+/// A sidecar reports a cost above the reservation, and charging it would overspend the grant. The
+/// account charges the reservation, returns an error and makes no further reservations.
 #[test]
-fn a_cost_above_the_reservation_stops_the_purse() {
+fn cost_above_the_reservation_stops_further_reservations() {
     let mut ledger = Ledger::with(10_000);
-    let purse = funded(&mut ledger);
-    let reservation = purse.reserve(at(10), &split(), 50).expect("money");
-    assert!(purse.settle(reservation, 51).is_err());
-    assert!(purse.broken().is_some());
-    assert!(purse.reserve(at(11), &split(), 1).is_err());
+    let account = funded(&mut ledger);
+    let reservation = account
+        .reserve(at(10), &split(), 50)
+        .expect("enough free tokens");
+    assert!(account.settle(reservation, 51).is_err());
+    assert!(account.broken().is_some());
+    assert!(account.reserve(at(11), &split(), 1).is_err());
 }
 
-/// The ledger is cut off. "Budget exhausted" would be a lie that sends a member to pay.
+/// The ledger can't be reached. With `budget_exhausted` the caller would top up a budget that is
+/// not exhausted.
 #[test]
-fn an_unreachable_ledger_is_not_called_an_exhausted_budget() {
-    let purse = purse();
-    assert!(purse.reserve(at(0), &split(), 100).is_err());
-    assert!(purse.batch(at(1)).is_some());
-    let late = purse.reserve(at(5_000), &split(), 100);
+fn unreachable_ledger_is_not_reported_as_an_exhausted_budget() {
+    let account = new_account();
+    assert!(account.reserve(at(0), &split(), 100).is_err());
+    assert!(account.batch(at(1)).is_some());
+    let late = account.reserve(at(5_000), &split(), 100);
     let Err(Shortage::Refused(refusal)) = late else {
         panic!("{late:?}");
     };
     assert_eq!(refusal.reason, Reason::LedgerUnreachable);
 }
 
-/// All money lies free in another router's grant. The first "no" calls it back, and the second
-/// ask gets it; without the recall a caller is refused although the money is there.
+/// All tokens of a budget are unspent in another router's grant. The first refused ask recalls
+/// them, and the next one gets them; without the recall, a caller is refused although tokens are
+/// available.
 #[test]
-fn idle_money_is_called_back() {
+fn unspent_grant_of_another_router_is_recalled() {
     let mut ledger = Ledger::with(100);
     let idle = funded(&mut ledger);
     let other = Purse::new("r2".into(), 1, GrantPolicy::default());
-    let mut got = false;
+    let mut reserved = false;
     for second in 1..6 {
         let now = at(second * 1_000);
-        got |= other.reserve(now, &split(), 100).is_ok();
-        for purse in [&other, &idle] {
-            if let Some(batch) = purse.batch(now + at(10)) {
+        reserved |= other.reserve(now, &split(), 100).is_ok();
+        for account in [&other, &idle] {
+            if let Some(batch) = account.batch(now + at(10)) {
                 let answer = ledger.answer(batch);
-                purse.answered(now + at(20), &answer).expect("ours");
+                account
+                    .answered(now + at(20), &answer)
+                    .expect("the answer to this batch");
             }
         }
     }
-    assert!(got);
+    assert!(reserved);
 }
 
-/// A run is continued elsewhere while its first sidecar was only cut off; both charged the key.
-/// The sum of both would bill one request twice.
+/// A run is continued elsewhere while its first sidecar was only cut off, and both charge the key.
+/// The sum would charge one request twice.
 #[test]
 fn evidence_counts_a_key_once_by_its_highest_attempt() {
-    let lives = [("s1".into(), 1), ("s2".into(), 1)];
-    let mut closing = Closing::new(lives.clone());
+    let sidecars = [("s1".into(), 1), ("s2".into(), 1)];
+    let mut closing = Closing::new(sidecars.clone());
     let evidence = |attempt, charged| Evidence {
         router: "r1".into(),
         incarnation: 1,
@@ -139,15 +155,15 @@
             charged,
         }],
     };
-    closing.take(&lives[0], &evidence(0, 90));
-    assert_eq!(closing.charged(7), None, "one has not answered");
-    closing.take(&lives[1], &evidence(1, 80));
-    closing.take(&lives[1], &evidence(1, 80));
+    closing.take(&sidecars[0], &evidence(0, 90));
+    assert_eq!(closing.charged(7), None, "one sidecar has not answered");
+    closing.take(&sidecars[1], &evidence(1, 80));
+    closing.take(&sidecars[1], &evidence(1, 80));
     assert_eq!(closing.charged(7), Some(80));
 }
 
-/// A ledger that answers within milliseconds.
-fn quick() -> GrantPolicy {
+/// The policy for a ledger that answers within milliseconds.
+fn fast_ledger_policy() -> GrantPolicy {
     GrantPolicy {
         recalled_within: Duration::from_millis(800),
         row_within: Duration::from_secs(10),
@@ -159,53 +175,56 @@
     }
 }
 
-/// A budget of 1,000 tokens, 900 of which lie with a router that died.
-fn with_a_dead_router() -> Ledger {
+/// A budget of 1,000 tokens, 900 of which are in the grant of a router that died.
+fn ledger_with_dead_router() -> Ledger {
     let mut ledger = Ledger::with(1_000);
-    let dead = Purse::new("dead".into(), 1, quick());
+    let dead = Purse::new("dead".into(), 1, fast_ledger_policy());
     assert!(dead.reserve(at(1), &split(), 900).is_err());
-    let batch = dead.batch(at(1)).expect("an ask");
-    dead.answered(at(2), &ledger.answer(batch)).expect("ours");
+    let batch = dead.batch(at(1)).expect("a batch with an ask");
+    dead.answered(at(2), &ledger.answer(batch))
+        .expect("the answer to this batch");
     assert!(dead.reserve(at(3), &split(), 900).is_ok());
     ledger
 }
 
-/// Guards against a wait for money that was called back long ago at each of a hundred routers that see a
-/// request of an organisation every few seconds: none of them sees refusals in a row.
+/// Each of a hundred routers sees a request of an organisation only every few seconds. Unless these
+/// refusals count as a series, each request waits again for tokens that were recalled long ago.
 #[test]
-fn a_router_with_few_requests_does_not_wait_again_for_money_that_never_came() {
-    let mut ledger = with_a_dead_router();
-    let alive = Purse::new("alive".into(), 1, quick());
+fn infrequent_requests_do_not_wait_again_for_tokens_of_a_dead_router() {
+    let mut ledger = ledger_with_dead_router();
+    let alive = Purse::new("alive".into(), 1, fast_ledger_policy());
     let mut ask = |now: u64| {
-        let mut said = alive.reserve(at(now), &split(), 500);
+        let mut reserve_result = alive.reserve(at(now), &split(), 500);
         if let Some(batch) = alive.batch(at(now)) {
             let answer = ledger.answer(batch);
-            alive.answered(at(now + 5), &answer).expect("ours");
-            said = alive.reserve(at(now + 5), &split(), 500);
+            alive
+                .answered(at(now + 5), &answer)
+                .expect("the answer to this batch");
+            reserve_result = alive.reserve(at(now + 5), &split(), 500);
         }
-        said
+        reserve_result
     };
     assert!(matches!(ask(1_000), Err(Shortage::WaitFor { .. })));
     for now in [5_000, 9_000, 13_000] {
-        let said = ask(now);
+        let reserve_result = ask(now);
         assert!(
-            matches!(&said, Err(Shortage::Refused(r)) if matches!(r.reason, Reason::BudgetExhausted(_)))
+            matches!(&reserve_result, Err(Shortage::Refused(r)) if matches!(r.reason, Reason::BudgetExhausted(_)))
         );
     }
 }
 
-/// A router died with a tenth of a budget in its grant. A clerk's request finds too little, waits for the tenth to be
-/// called back, is told to come again at once, and waits again, for the rest of the day. Once the recall is
-/// old and refusals have followed each other, the budget is said to be used up.
+/// A router died with a tenth of a budget in its grant. Requests that can't be reserved must not
+/// wait for ever for these tokens to be recalled: once the recall is old and refusals have followed
+/// each other without a break, the budget counts as exhausted.
 #[test]
-fn money_of_dead_routers_is_not_waited_for_for_ever() {
-    let mut ledger = with_a_dead_router();
-    let alive = Purse::new("alive".into(), 1, quick());
+fn tokens_of_dead_routers_are_not_awaited_for_ever() {
+    let mut ledger = ledger_with_dead_router();
+    let alive = Purse::new("alive".into(), 1, fast_ledger_policy());
     let mut waited = 0;
     let mut refused_from = None;
     for now in (1_000..4_000).step_by(50) {
         match alive.reserve(at(now), &split(), 500) {
-            Ok(_) => panic!("900 of 1,000 are gone"),
+            Ok(_) => panic!("reserved 500 tokens although 900 of 1,000 are lost"),
             Err(Shortage::WaitFor { .. }) => waited += 1,
             Err(Shortage::Refused(refusal)) => {
                 assert!(matches!(refusal.reason, Reason::BudgetExhausted(_)));
@@ -214,14 +233,16 @@
         }
         if let Some(batch) = alive.batch(at(now)) {
             let answer = ledger.answer(batch);
-            alive.answered(at(now), &answer).expect("ours");
+            alive
+                .answered(at(now), &answer)
+                .expect("the answer to this batch");
         }
     }
-    assert!(waited > 5, "a recall takes some batches");
-    let refused_from = refused_from.expect("a plain word in the end");
+    assert!(waited > 5, "a request waits while the recall is recent");
+    let refused_from = refused_from.expect("refused in the end");
     assert!(refused_from < 2_200, "{refused_from}");
 
-    // A top-up is noticed all the same.
+    // A later top-up still takes effect.
     ledger.apply(&Command::TopUp(TopUp {
         id: change_id(std::time::UNIX_EPOCH, "more"),
         operator: "wanjiru".into(),
@@ -232,7 +253,9 @@
     let served = (4_000..5_000).step_by(50).any(|now| {
         if let Some(batch) = alive.batch(at(now)) {
             let answer = ledger.answer(batch);
-            alive.answered(at(now), &answer).expect("ours");
+            alive
+                .answered(at(now), &answer)
+                .expect("the answer to this batch");
         }
         alive.reserve(at(now), &split(), 500).is_ok()
     });
--- a/crates/anvilreel/tests/money/sparse.rs
+++ b/crates/anvilreel/tests/money/sparse.rs
@@ -6,31 +6,35 @@
 
 use crate::ledger::{Ledger, at, split};
 
-/// Time between two requests, in milliseconds: three a second, each of 9,000 tokens.
-const EVERY: u64 = 330;
-const REQUEST: u64 = 9_000;
+/// Time between two requests, in milliseconds: three requests a second, of 9,000 tokens each.
+const REQUEST_INTERVAL_MS: u64 = 330;
+const REQUEST_TOKENS: u64 = 9_000;
 
-/// Settles the requests that have ended by now, and has the ledger answer the batch that is due.
+/// Settles the requests that have ended by now, and lets the ledger answer the batch that is due.
 fn settle_and_exchange(
-    purse: &Purse,
+    account: &Purse,
     ledger: &mut Ledger,
     open: &mut Vec<(u64, Reservation)>,
     now: u64,
 ) {
     while open.first().is_some_and(|(ends, _)| *ends <= now) {
         let (_, reservation) = open.remove(0);
-        purse.settle(reservation, REQUEST).expect("within");
+        account
+            .settle(reservation, REQUEST_TOKENS)
+            .expect("the cost is within the reservation");
     }
-    if let Some(batch) = purse.batch(at(now)) {
+    if let Some(batch) = account.batch(at(now)) {
         let answer = ledger.answer(batch);
-        purse.answered(at(now), &answer).expect("ours");
+        account
+            .answered(at(now), &answer)
+            .expect("the answer to this batch");
     }
 }
 
-/// Most tokens that lie free in the grants of a purse under this demand, over five seconds.
-fn most_free(smooth_over: Option<Duration>) -> u64 {
+/// The most tokens that are free in an account's grants under this demand, over five seconds.
+fn max_free_tokens(smooth_over: Option<Duration>) -> u64 {
     let mut ledger = Ledger::with(100_000_000);
-    let purse = Purse::new(
+    let account = Purse::new(
         "r1".into(),
         1,
         GrantPolicy {
@@ -42,36 +46,37 @@
             ..GrantPolicy::default()
         },
     );
-    let mut most = 0;
+    let mut highest = 0;
     let mut open = Vec::new();
     for now in 1..5_000 {
-        let asks = now % EVERY == 0 || purse.is_urgent();
-        if asks && let Ok(reservation) = purse.reserve(at(now), &split(), REQUEST) {
+        let asks = now % REQUEST_INTERVAL_MS == 0 || account.is_urgent();
+        if asks && let Ok(reservation) = account.reserve(at(now), &split(), REQUEST_TOKENS) {
             open.push((now + 600, reservation));
         }
-        settle_and_exchange(&purse, &mut ledger, &mut open, now);
+        settle_and_exchange(&account, &mut ledger, &mut open, now);
         if now > 2_000 {
-            most = most.max(purse.view("nairobi").free);
+            highest = highest.max(account.view("nairobi").free);
         }
     }
-    most
+    highest
 }
 
-/// Near the end of a budget callers are refused although a tenth of it is unspent, and after a
-/// power loss that tenth is gone. Each of 25 routers had seen one large request end within one
-/// batch, took that for its demand, and asked for five times what it would use.
+/// Each of 25 routers saw one large request end within one batch, took that for its demand, and
+/// asked for five times what it would use. Callers near the end of the budget were refused although
+/// a tenth of it was unspent, and that tenth was lost in a power failure.
 #[test]
-fn sparse_demand_is_not_taken_for_a_flood() {
-    let horizon = REQUEST * 1_000 / EVERY * 700 / 1_000;
-    let at_once = most_free(None);
-    let averaged = most_free(Some(Duration::from_secs(1)));
-    assert!(averaged <= horizon + REQUEST, "{averaged}");
+fn sparse_demand_is_not_treated_as_a_burst() {
+    let horizon = REQUEST_TOKENS * 1_000 / REQUEST_INTERVAL_MS * 700 / 1_000;
+    let at_once = max_free_tokens(None);
+    let averaged = max_free_tokens(Some(Duration::from_secs(1)));
+    assert!(averaged <= horizon + REQUEST_TOKENS, "{averaged}");
     assert!(at_once > averaged * 3 / 2, "{at_once} and {averaged}");
 }
 
-/// Tokens that lie free in a router's grants 0.35 s after each of its requests has come, on average over 12 s, when
-/// one comes so often and lasts 0.1 s. A request that finds too little waits for the ledger's answer.
-fn free_between(every: u64, least_expected: f64) -> u64 {
+/// Tokens that are free in a router's grants 0.35 s after the arrival of each request, on average
+/// over 12 s, if requests arrive at this interval and last 0.1 s. A request that can't be reserved
+/// waits for the ledger's answer.
+fn average_free_tokens(interval_ms: u64, least_expected: f64) -> u64 {
     let mut ledger = Ledger::with(100_000_000);
     let policy = GrantPolicy {
         horizon: Duration::from_millis(700),
@@ -83,39 +88,41 @@
         least_expected,
         ..GrantPolicy::default()
     };
-    let purse = Purse::new("r1".into(), 1, policy);
+    let account = Purse::new("r1".into(), 1, policy);
     let (mut waiting, mut open) = (0, Vec::new());
-    let (mut free, mut looks) = (0, 0);
+    let (mut free, mut samples) = (0, 0);
     for now in 1..12_000 {
-        waiting += u64::from(now % every == 0);
+        waiting += u64::from(now % interval_ms == 0);
         if waiting > 0
-            && let Ok(reservation) = purse.reserve(at(now), &split(), REQUEST)
+            && let Ok(reservation) = account.reserve(at(now), &split(), REQUEST_TOKENS)
         {
             waiting -= 1;
             open.push((now + 100, reservation));
         }
-        settle_and_exchange(&purse, &mut ledger, &mut open, now);
-        if now > every && now % every == 350 % every {
-            free += purse.view("nairobi").free;
-            looks += 1;
+        settle_and_exchange(&account, &mut ledger, &mut open, now);
+        if now > interval_ms && now % interval_ms == 350 % interval_ms {
+            free += account.view("nairobi").free;
+            samples += 1;
         }
     }
-    free / looks
+    free / samples
 }
 
-/// All routers die and a tenth of a budget is gone with their grants. Each of 17 had seen a large request of that
-/// organisation now and then and held another one's worth ready, hardly ever for a request of its own.
+/// Each of 17 routers saw a large request of the organisation now and then and held tokens for
+/// another one, which hardly ever came. When all routers died, a tenth of the budget was lost with
+/// their grants.
 #[test]
-fn nothing_is_held_ahead_of_sparse_requests() {
-    let held = free_between(1_500, 0.0);
-    let now = free_between(1_500, 1.0);
-    assert!(held >= REQUEST / 2, "{held}");
-    assert!(now < REQUEST / 20, "{now}");
+fn no_tokens_are_held_ahead_of_sparse_requests() {
+    let held_always = average_free_tokens(1_500, 0.0);
+    let held_if_expected = average_free_tokens(1_500, 1.0);
+    assert!(held_always >= REQUEST_TOKENS / 2, "{held_always}");
+    assert!(held_if_expected < REQUEST_TOKENS / 20, "{held_if_expected}");
 }
 
-/// Eight requests a second at one router: grants go on being renewed ahead of them, or each one waits.
+/// At eight requests a second, a router's grants are renewed ahead of demand; otherwise each
+/// request waits for the ledger.
 #[test]
-fn frequent_requests_find_money_ready() {
-    let ready = free_between(125, 1.0);
-    assert!(ready >= REQUEST, "{ready}");
+fn frequent_requests_find_free_tokens() {
+    let ready = average_free_tokens(125, 1.0);
+    assert!(ready >= REQUEST_TOKENS, "{ready}");
 }
--- a/crates/anvilreel/tests/money_first_request.rs
+++ b/crates/anvilreel/tests/money_first_request.rs
@@ -5,25 +5,28 @@
 use anvil_world::prelude::*;
 use anvilreel::money::{GrantPolicy, Purse, Shortage};
 
-fn reserve(purse: &Purse, now: Now) -> Shortage {
+fn reserve(account: &Purse, now: Now) -> Shortage {
     let split = Split::whole("nairobi".into());
-    match purse.reserve(now, &split, 100) {
+    match account.reserve(now, &split, 100) {
         Err(shortage) => shortage,
-        Ok(_) => panic!("an empty purse reserved"),
+        Ok(_) => panic!("reserved from an account without grants"),
     }
 }
 
-/// A router has no caller in its first minute. The first one that comes is refused at once as
-/// `ledger_unreachable`, although the ledger is well: nothing had been heard of it only because
+/// The first request a minute after the router's start was refused at once with
+/// `ledger_unreachable`, although the ledger was available: it had not answered only because
 /// nothing had been asked.
 #[test]
-fn the_first_request_waits_for_its_grant() {
+fn first_request_waits_for_its_grant() {
     let policy = GrantPolicy::default();
-    let purse = Purse::new("router-0".into(), 1, policy.clone());
+    let account = Purse::new("router-0".into(), 1, policy.clone());
     let late = Duration::from_mins(1);
-    assert!(matches!(reserve(&purse, late), Shortage::WaitFor { .. }));
-    assert!(purse.batch(late).is_some(), "it asks for a grant");
-    // A ledger that leaves that batch without an answer is unreachable all the same.
+    assert!(matches!(reserve(&account, late), Shortage::WaitFor { .. }));
+    assert!(
+        account.batch(late).is_some(),
+        "the account asks for a grant"
+    );
+    // If the ledger leaves that batch unanswered, it does count as unreachable.
     let later = late + policy.patience + Duration::from_millis(1);
-    assert!(matches!(reserve(&purse, later), Shortage::Refused(_)));
+    assert!(matches!(reserve(&account, later), Shortage::Refused(_)));
 }
--- a/crates/anvilreel/tests/money_quiet.rs
+++ b/crates/anvilreel/tests/money_quiet.rs
@@ -1,4 +1,4 @@
-//! Shortages at a router that had nothing to say to the ledger for a while.
+//! Shortages at a router that has exchanged no batches with the ledger for a while.
 
 use std::time::Duration;
 
@@ -6,74 +6,78 @@
 use anvil_world::prelude::*;
 use anvilreel::money::{GrantPolicy, Purse, Shortage};
 
-fn purse() -> Purse {
+fn new_account() -> Purse {
     Purse::new("r1".into(), 1, GrantPolicy::default())
 }
 
-/// A shop opens after a quiet night and its first customer asks.
-/// The router had no grants, so it had sent and heard nothing for hours; taking that for a
-/// partition refused the request with `ledger_unreachable` although the ledger was well.
+/// The first request after an idle night was refused with `ledger_unreachable` although the ledger
+/// was available: without grants the router had exchanged no batches for hours, which was taken for
+/// a partition.
 #[test]
-fn the_first_request_after_a_quiet_time_waits_for_money() {
-    let purse = purse();
+fn first_request_after_an_idle_period_waits_for_a_grant() {
+    let account = new_account();
     let morning = Duration::from_hours(9);
     let split = Split::whole("nairobi".into());
-    let shortage = purse.reserve(morning, &split, 10);
+    let shortage = account.reserve(morning, &split, 10);
     assert!(
         matches!(shortage, Err(Shortage::WaitFor { .. })),
         "{shortage:?}"
     );
 }
 
-/// The ledger is cut off: the batch that asks for money stays without an answer.
-/// Once that lasts longer than the patience, callers are told at once instead of waiting.
+/// The ledger can't be reached and the batch that asks for tokens stays unanswered. After the
+/// maximum wait, callers are refused at once instead of waiting.
 #[test]
-fn an_ask_without_an_answer_means_cut_off() {
-    let purse = purse();
+fn unanswered_ask_means_that_the_ledger_is_unreachable() {
+    let account = new_account();
     let split = Split::whole("nairobi".into());
     let start = Duration::from_hours(9);
-    let first = purse.reserve(start, &split, 10);
+    let first = account.reserve(start, &split, 10);
     assert!(matches!(first, Err(Shortage::WaitFor { .. })), "{first:?}");
-    assert!(purse.batch(start).is_some());
+    assert!(account.batch(start).is_some());
     let later = start + GrantPolicy::default().patience * 2;
-    let shortage = purse.reserve(later, &split, 10);
+    let shortage = account.reserve(later, &split, 10);
     let Err(Shortage::Refused(refusal)) = shortage else {
         panic!("{shortage:?}");
     };
     assert_eq!(refusal.reason, Reason::LedgerUnreachable);
 }
 
-/// A router has just told the ledger about one budget when a customer of another one asks.
-/// Waiting for the next second's batch made the first token of every first request on a budget
-/// up to a second late; a first token is wanted within 0.41 s.
+/// A router has just sent a batch for one budget when a request on another budget arrives. Waiting
+/// for the next regular batch delayed the first token of the first request on every budget by up to
+/// a second; 0.41 s are allowed.
 #[test]
-fn the_first_grant_of_a_budget_is_not_kept_for_the_next_second() {
-    let purse = purse();
+fn first_grant_of_a_budget_is_asked_for_at_once() {
+    let account = new_account();
     let start = Duration::from_hours(9);
-    let first = purse.reserve(start, &Split::whole("nairobi".into()), 10);
+    let first = account.reserve(start, &Split::whole("nairobi".into()), 10);
     assert!(first.is_err());
-    let batch = purse.batch(start).expect("asks for nairobi");
+    let batch = account
+        .batch(start)
+        .expect("a batch with an ask for nairobi");
     let answer = GrantBatchAnswer {
         seq: batch.seq,
         ..GrantBatchAnswer::default()
     };
-    purse.answered(start, &answer).expect("fits");
+    account
+        .answered(start, &answer)
+        .expect("the answer to this batch");
     let soon = start + Duration::from_millis(100);
-    let second = purse.reserve(soon, &Split::whole("mombasa".into()), 10);
+    let second = account.reserve(soon, &Split::whole("mombasa".into()), 10);
     assert!(second.is_err());
-    let batch = purse.batch(soon).expect("asks at once");
+    let batch = account.batch(soon).expect("an urgent batch");
     assert!(batch.asks.iter().any(|ask| &*ask.budget == "mombasa"));
 }
 
-/// Money that other routers hold is waited for; asking for it twenty times a second would bring
-/// it no sooner and cost the ledger an entry each time.
+/// A request waits for tokens held by other routers. Asking for them twenty times a second returns
+/// them no sooner and costs the ledger a log entry each time.
 #[test]
-fn what_the_ledger_has_just_refused_is_asked_for_once_a_second() {
-    let purse = purse();
+fn refused_budget_is_asked_for_once_a_second() {
+    let account = new_account();
     let start = Duration::from_hours(9);
     let split = Split::whole("nairobi".into());
-    assert!(purse.reserve(start, &split, 10).is_err());
-    let batch = purse.batch(start).expect("asks");
+    assert!(account.reserve(start, &split, 10).is_err());
+    let batch = account.batch(start).expect("a batch with an ask");
     let answer = GrantBatchAnswer {
         seq: batch.seq,
         refused: vec![GrantRefusal {
@@ -83,9 +87,11 @@
         }],
         ..GrantBatchAnswer::default()
     };
-    purse.answered(start, &answer).expect("fits");
+    account
+        .answered(start, &answer)
+        .expect("the answer to this batch");
     let soon = start + Duration::from_millis(100);
-    assert!(purse.reserve(soon, &split, 10).is_err());
-    assert_eq!(purse.batch(soon), None);
-    assert!(purse.batch(start + Duration::from_secs(1)).is_some());
+    assert!(account.reserve(soon, &split, 10).is_err());
+    assert_eq!(account.batch(soon), None);
+    assert!(account.batch(start + Duration::from_secs(1)).is_some());
 }
