--- a/crates/anvilreel/src/claims.rs
+++ b/crates/anvilreel/src/claims.rs
@@ -1,14 +1,14 @@
-//! Which sidecar runs a request key.
+//! Claims: which sidecar runs a request key.
 //!
-//! The claim of an idempotent request is kept by two routers in different availability zones
-//! ([`placement`]) and, when one of them can't be reached, by the ledger: any two of the three
-//! will do, and any two pairs have one in common. A [`ClaimBook`] is what one router keeps for
-//! its peers.
+//! The claim of an idempotent request is held by two routers in different availability zones
+//! ([`placement`]) and, if one of them can't be reached, by the ledger. Any two of these three
+//! suffice, and any two such pairs have a holder in common. `store` keeps the claims that one
+//! router holds; `holder_history` decides when it may confirm one.
 
 mod book;
 mod placement;
 mod tenure;
 
 pub use book::ClaimBook;
-pub use placement::{GENERATION_MARK, HOLDERS, holder_lives, placement};
+pub use placement::{GENERATION_MARK, HOLDERS_PER_CLAIM, holder_incarnations, placement};
 pub use tenure::Tenure;
--- a/crates/anvilreel/src/claims/book.rs
+++ b/crates/anvilreel/src/claims/book.rs
@@ -1,108 +1,108 @@
-//! The claims that one router keeps for its peers.
+//! The claims that one router holds for itself and other routers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use anvil_wire::msg::{HolderLife, PlacedClaim, RouterReply, RouterRequest};
 use anvil_world::prelude::*;
 
-/// Most claims kept: at the design size 30,000 requests a second for five minutes, twice, over
-/// 500 routers are 36,000; the rest is for days when few routers are left.
-const MOST: usize = 200_000;
+/// Maximum number of stored claims. At the design size, 30,000 requests a second for five minutes,
+/// each held twice, over 500 routers are 36,000; the rest is for times when few routers are left.
+const MAX_CLAIMS: usize = 200_000;
 
 #[derive(Debug, Clone)]
-struct Kept {
+struct StoredClaim {
     claim: PlacedClaim,
-    until: Now,
+    expires_at: Now,
 }
 
-/// Kept claims, by key and by the time they may be forgotten.
+/// Stored claims, by key and by the time when they expire.
 #[derive(Debug, Default)]
 pub struct ClaimBook {
-    by_key: BTreeMap<RequestKey, Kept>,
+    by_key: BTreeMap<RequestKey, StoredClaim>,
     by_time: BTreeSet<(Now, RequestKey)>,
     leaving: bool,
 }
 
 impl ClaimBook {
-    /// Answers one request of a peer or of this router itself.
+    /// Answers a request of another router or of this one.
     ///
-    /// `vouch` tells whether this router may vouch for a claim that is put, see
-    /// [`super::Tenure::vouches`].
+    /// `may_confirm` decides whether this router may confirm a claim that is put, see
+    /// `holder_history`.
     pub fn handle(
         &mut self,
         now: Now,
         req: RouterRequest,
-        vouch: impl FnOnce(&RequestKey, &[HolderLife]) -> bool,
+        may_confirm: impl FnOnce(&RequestKey, &[HolderLife]) -> bool,
     ) -> RouterReply {
         self.expire(now);
         match req {
             RouterRequest::Get(key) => RouterReply::Claim(self.get(&key).cloned()),
             RouterRequest::Put(claim) => self.put(now, claim),
             RouterRequest::PutAs { claim, holders } => {
-                let vouches = vouch(&claim.key, &holders);
-                let stands = self.put(now, claim);
-                if vouches {
-                    stands
+                let confirmed = may_confirm(&claim.key, &holders);
+                let recorded = self.put(now, claim);
+                if confirmed {
+                    recorded
                 } else {
                     RouterReply::Leaving
                 }
             }
             RouterRequest::Replace { old, new } => self.replace(now, &old, new),
-            RouterRequest::HandOver(claims) => self.take_over(now, claims),
+            RouterRequest::HandOver(claims) => self.accept_hand_over(now, claims),
         }
     }
 
-    /// The planned stop: nothing new is kept. Returns all claims, for each to be handed over to
+    /// Planned stop: accepts no new claims. Returns all stored claims, each to be handed over to
     /// the router that holds its key from now on.
     pub fn leave(&mut self, now: Now) -> Vec<PlacedClaim> {
         self.expire(now);
         self.leaving = true;
-        let left = |kept: &Kept| PlacedClaim {
-            keep: kept.until.saturating_sub(now),
-            ..kept.claim.clone()
+        let with_time_left = |stored: &StoredClaim| PlacedClaim {
+            keep: stored.expires_at.saturating_sub(now),
+            ..stored.claim.clone()
         };
-        self.by_key.values().map(left).collect()
+        self.by_key.values().map(with_time_left).collect()
     }
 
-    /// Claims kept, for metrics.
+    /// Number of stored claims, for metrics.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Whether nothing is kept.
+    /// Whether no claim is stored.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
 
     fn get(&self, key: &RequestKey) -> Option<&PlacedClaim> {
-        self.by_key.get(key).map(|kept| &kept.claim)
+        self.by_key.get(key).map(|stored| &stored.claim)
     }
 
-    /// The first claim of a key stands.
+    /// Stores a claim, or returns the one already stored: the first claim of a key is kept.
     fn put(&mut self, now: Now, claim: PlacedClaim) -> RouterReply {
         if let Some(first) = self.get(&claim.key) {
             return RouterReply::Claim(Some(first.clone()));
         }
-        if self.leaving || self.by_key.len() >= MOST {
+        if self.leaving || self.by_key.len() >= MAX_CLAIMS {
             return RouterReply::Leaving;
         }
-        self.keep(now, claim.clone());
+        self.store_claim(now, claim.clone());
         RouterReply::Claim(Some(claim))
     }
 
-    /// Replaces a claim whose sidecar is lost, unless another router was first.
+    /// Replaces a claim whose sidecar is lost, unless another router has already replaced it.
     fn replace(&mut self, now: Now, old: &InstanceId, new: PlacedClaim) -> RouterReply {
-        let stands = self
+        let recorded = self
             .get(&new.key)
             .is_some_and(|claim| claim.sidecar != *old);
-        if stands || self.leaving {
+        if recorded || self.leaving {
             return RouterReply::Claim(self.get(&new.key).cloned());
         }
         self.forget(&new.key);
         self.put(now, new)
     }
 
-    fn take_over(&mut self, now: Now, claims: Vec<PlacedClaim>) -> RouterReply {
+    fn accept_hand_over(&mut self, now: Now, claims: Vec<PlacedClaim>) -> RouterReply {
         if self.leaving {
             return RouterReply::Leaving;
         }
@@ -112,22 +112,22 @@
         RouterReply::Kept
     }
 
-    fn keep(&mut self, now: Now, claim: PlacedClaim) {
-        let until = now + claim.keep;
+    fn store_claim(&mut self, now: Now, claim: PlacedClaim) {
+        let expires_at = now + claim.keep;
         let key = claim.key.clone();
-        self.by_time.insert((until, key.clone()));
-        self.by_key.insert(key, Kept { claim, until });
+        self.by_time.insert((expires_at, key.clone()));
+        self.by_key.insert(key, StoredClaim { claim, expires_at });
     }
 
     fn forget(&mut self, key: &RequestKey) {
-        if let Some(kept) = self.by_key.remove(key) {
-            self.by_time.remove(&(kept.until, key.clone()));
+        if let Some(stored) = self.by_key.remove(key) {
+            self.by_time.remove(&(stored.expires_at, key.clone()));
         }
     }
 
     fn expire(&mut self, now: Now) {
-        while let Some((until, _)) = self.by_time.first()
-            && *until <= now
+        while let Some((expires_at, _)) = self.by_time.first()
+            && *expires_at <= now
         {
             if let Some((_, key)) = self.by_time.pop_first() {
                 self.by_key.remove(&key);
--- a/crates/anvilreel/src/claims/placement.rs
+++ b/crates/anvilreel/src/claims/placement.rs
@@ -1,31 +1,31 @@
-//! Which routers keep a key's claim.
+//! Which routers hold a key's claim.
 
 use anvil_wire::msg::HolderLife;
 use anvil_world::prelude::*;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Stands between a key and the number of a claim's later generation.
+/// Separates a key from the generation number in the key of a claim's later generation.
 pub const GENERATION_MARK: char = '\u{1}';
-/// Routers that keep each claim.
-pub const HOLDERS: usize = 2;
+/// Number of routers that hold each claim.
+pub const HOLDERS_PER_CLAIM: usize = 2;
 
-/// The routers that keep a key's claim: of the live routers of a region, the one with the
-/// highest score for this key, then the next one in another availability zone. Where there is
-/// only one zone, the next one at all.
+/// The routers that hold a key's claim: of the live routers of a region, the one with the highest
+/// score for this key, then the one with the next highest score in another availability zone, or in
+/// the same zone if there is only one.
 ///
-/// Rendezvous hashing: a router that comes or goes moves only the keys it holds, and all routers
-/// that know the same members come to the same answer without asking anybody.
+/// This is rendezvous hashing: a router that joins or leaves moves only the keys it holds, and all
+/// routers with the same members' list agree without communication.
 pub fn placement<'a>(
     key: &RequestKey,
     region: &str,
     members: impl IntoIterator<Item = &'a Member>,
 ) -> Vec<InstanceId> {
-    let lives = holder_lives(key, region, members);
-    lives.into_iter().map(|holder| holder.id).collect()
+    let holders = holder_incarnations(key, region, members);
+    holders.into_iter().map(|holder| holder.id).collect()
 }
 
-/// As [`placement`], with the life of each router.
-pub fn holder_lives<'a>(
+/// As [`placement`], with the incarnation of each router.
+pub fn holder_incarnations<'a>(
     key: &RequestKey,
     region: &str,
     members: impl IntoIterator<Item = &'a Member>,
@@ -40,14 +40,14 @@
         return Vec::new();
     };
     let others = || scored.iter().skip(1).map(|(_, instance)| instance);
-    let elsewhere = others().find(|other| other.zone != first.zone);
-    let second = elsewhere.or_else(|| others().next());
+    let in_other_zone = others().find(|other| other.zone != first.zone);
+    let second = in_other_zone.or_else(|| others().next());
     let holders = std::iter::once(first).chain(second);
-    let life = |instance: &Instance| HolderLife {
+    let incarnation_of = |instance: &Instance| HolderLife {
         id: instance.id.clone(),
         incarnation: instance.incarnation,
     };
-    holders.map(|instance| life(instance)).collect()
+    holders.map(|instance| incarnation_of(instance)).collect()
 }
 
 fn holds_claims(member: &Member, region: &str) -> bool {
@@ -57,15 +57,15 @@
         && *instance.zone.region == *region
 }
 
-/// The score of one router for one key. Its incarnation counts in: a restarted router has lost
-/// what it kept, so it is another holder.
+/// The score of one router for one key. It includes the incarnation: a restarted router has lost
+/// its claims, so it counts as another holder.
 fn score(key: &RequestKey, router: &Instance) -> u64 {
     let mut hash = Xxh3::new();
-    // A later generation of a claim stands where the first one does.
+    // Later generations of a claim have the same holders as the first.
     let id = key.id.split(GENERATION_MARK).next().unwrap_or_default();
     for part in [&key.team, id, &router.id] {
         hash.update(part.as_bytes());
-        // Parts are names without a zero byte, so that no two lists of parts look the same.
+        // The parts contain no zero byte, so different lists of parts never hash the same bytes.
         hash.update(&[0]);
     }
     hash.update(&router.incarnation.to_le_bytes());
--- a/crates/anvilreel/src/claims/tenure.rs
+++ b/crates/anvilreel/src/claims/tenure.rs
@@ -1,13 +1,14 @@
-//! Who may vouch for a key.
+//! Decides whether a router's knowledge of a key's claim can be relied on.
 //!
-//! Failure: the members change, and two routers that know different members ask different
-//! holders. Each finds the key unclaimed, and it runs and is billed twice. So a holder vouches
-//! for a key only while
-//! * it heard from the ledger so lately that it can't have been declared lost (a lease),
-//! * it and the asker name the same two holders, in the same lives, and
-//! * it has held the key for as long as a claim is kept: whatever was claimed, it knows.
+//! After a change of members, two routers with different members' lists can ask different holders.
+//! If each finds the key unclaimed, it runs and is charged twice. So a holder confirms a key's
+//! claim only while
+//! * it has received a message from the ledger so recently that it can't have been declared lost (a
+//!   lease),
+//! * it and the asking router name the same two holders, in the same incarnations, and
+//! * it has been a holder of the key for as long as a claim is kept, so that it knows of any claim.
 //!
-//! One that doesn't vouch still keeps the claim, so that it can vouch later.
+//! A holder that does not confirm still stores the claim, so that it can confirm it later.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,91 +16,100 @@
 use anvil_wire::msg::HolderLife;
 use anvil_world::prelude::*;
 
-use super::placement::holder_lives;
+use super::placement::holder_incarnations;
 
-/// How lately a holder must have heard from the ledger. Less than half of the time after which
-/// the ledger declares an instance lost.
-const LEASE: Duration = Duration::from_secs(3);
+/// Longest time since the last message from the ledger: less than half of the time after which the
+/// ledger declares an instance lost.
+const LEDGER_LEASE: Duration = Duration::from_secs(3);
 
-/// The routers of one region over the time in which a claim is kept.
+/// The routers of one region over the time for which a claim is kept.
 #[derive(Debug)]
 pub struct Tenure {
     region: RegionId,
     window: Duration,
-    began: Now,
-    /// The routers from each time on, oldest first; the first covers the window's beginning.
-    lists: VecDeque<(Now, Vec<Member>)>,
+    started_at: Now,
+    /// The routers from each time on, oldest first; the first entry covers the beginning of the
+    /// window.
+    member_lists: VecDeque<(Now, Vec<Member>)>,
 }
 
 impl Tenure {
-    /// Nothing known yet. `window` is the longest time for which a claim is kept.
+    /// An empty history. `window` is the longest time for which a claim is kept.
     pub fn new(region: RegionId, window: Duration, now: Now) -> Self {
         Self {
             region,
             window,
-            began: now,
-            lists: VecDeque::new(),
+            started_at: now,
+            member_lists: VecDeque::new(),
         }
     }
 
-    /// Claims are kept for another time from now on.
+    /// Changes the time for which a claim is kept.
     pub fn set_window(&mut self, window: Duration) {
         self.window = window;
     }
 
-    /// These are the members from now on.
+    /// Records the members from now on.
     pub fn note<'a>(&mut self, now: Now, members: impl IntoIterator<Item = &'a Member>) {
         let routers = members.into_iter();
         let routers = routers.filter(|member| member.instance.role == Role::Router);
         let routers: Vec<_> = routers.cloned().collect();
-        if self.lists.back().is_none_or(|(_, last)| *last != routers) {
-            self.lists.push_back((now, routers));
+        if self
+            .member_lists
+            .back()
+            .is_none_or(|(_, last)| *last != routers)
+        {
+            self.member_lists.push_back((now, routers));
         }
         let start = now.saturating_sub(self.window);
-        while self.lists.get(1).is_some_and(|(since, _)| *since <= start) {
-            self.lists.pop_front();
+        while self
+            .member_lists
+            .get(1)
+            .is_some_and(|(since, _)| *since <= start)
+        {
+            self.member_lists.pop_front();
         }
     }
 
-    /// The present holders of a key.
+    /// The current holders of a key.
     pub fn holders(&self, key: &RequestKey) -> Vec<HolderLife> {
-        let newest = self.lists.back();
-        newest.map_or_else(Vec::new, |(_, list)| self.of(key, list))
+        let newest = self.member_lists.back();
+        newest.map_or_else(Vec::new, |(_, list)| self.holders_in(key, list))
     }
 
-    /// Whether the key had the same holders for as long as a claim is kept. If not, no holder
-    /// can vouch, and the sidecars themselves have to be asked.
+    /// Whether the key has had the same holders for as long as a claim is kept. If not, no holder
+    /// can confirm that it is unclaimed, and the sidecars themselves have to be probed.
     pub fn is_settled(&self, now: Now, key: &RequestKey) -> bool {
-        let held = self.holders(key);
-        self.is_long_lived(now)
+        let current = self.holders(key);
+        self.covers_window(now)
             && self
-                .lists
+                .member_lists
                 .iter()
-                .all(|(_, list)| self.of(key, list) == held)
+                .all(|(_, list)| self.holders_in(key, list) == current)
     }
 
-    /// Whether this router may vouch for a key towards one who asked these holders.
-    /// `out_of_touch` is the time since the ledger was last heard of.
+    /// Whether this router may confirm a key's claim to a router that asked these holders.
+    /// `disconnected_for` is the time since the last message from the ledger.
     pub fn vouches(
         &self,
         now: Now,
-        out_of_touch: Duration,
+        disconnected_for: Duration,
         me: &InstanceId,
         key: &RequestKey,
         asked: &[HolderLife],
     ) -> bool {
         let agreed = self.holders(key) == asked && asked.iter().any(|holder| holder.id == *me);
-        let lists = self.lists.iter();
-        let mut held = lists.map(|(_, list)| self.of(key, list));
-        let all_along = held.all(|holders| holders.iter().any(|holder| holder.id == *me));
-        out_of_touch < LEASE && agreed && all_along && self.is_long_lived(now)
+        let member_lists = self.member_lists.iter();
+        let mut held = member_lists.map(|(_, list)| self.holders_in(key, list));
+        let held_throughout = held.all(|holders| holders.iter().any(|holder| holder.id == *me));
+        disconnected_for < LEDGER_LEASE && agreed && held_throughout && self.covers_window(now)
     }
 
-    fn is_long_lived(&self, now: Now) -> bool {
-        now.saturating_sub(self.began) >= self.window
+    fn covers_window(&self, now: Now) -> bool {
+        now.saturating_sub(self.started_at) >= self.window
     }
 
-    fn of(&self, key: &RequestKey, list: &[Member]) -> Vec<HolderLife> {
-        holder_lives(key, &self.region, list)
+    fn holders_in(&self, key: &RequestKey, list: &[Member]) -> Vec<HolderLife> {
+        holder_incarnations(key, &self.region, list)
     }
 }
--- a/crates/anvilreel/src/request.rs
+++ b/crates/anvilreel/src/request.rs
@@ -1,14 +1,18 @@
-//! One caller's request through the router, as a state machine.
+//! One caller's request through the router, as a state machine without I/O.
 //!
-//! An [`Exchange`] goes: choose an endpoint, claim the key (only where a caller can come back
-//! with it), reserve, dispatch, pass the answer on, settle. Feed it [`Event`]s and do its
-//! [`Action`]s; it finishes exactly once, with one of three [`Outcome`]s.
+//! An [`Exchange`] chooses an endpoint, claims the key (only if the caller may retry with it),
+//! reserves tokens, dispatches, passes the answer on, and settles. It is fed with [`Event`]s and
+//! returns [`Action`]s to perform. It finishes exactly once, with one of three [`Outcome`]s.
 //!
-//! What it holds to:
-//! * after a dispatch, `not_run` only on the sidecar's word that the key never ran there;
-//! * a non-idempotent request is sent at most once, on a fresh claim of the ledger's majority;
-//! * bytes go to the caller only when they carry this key and fit without a gap;
+//! Invariants:
+//! * after a dispatch, the outcome is `NotRun` only if the sidecar confirms that the key never ran
+//!   there;
+//! * a non-idempotent request is sent at most once, on a fresh claim committed by the ledger's
+//!   majority;
+//! * bytes are passed on to the caller only if they carry this key and continue without a gap;
 //! * the reservation is settled or released exactly once.
+//!
+//! [`Outcome`]: anvil_world::prelude::Outcome
 
 mod claiming;
 mod error;
--- a/crates/anvilreel/src/request/claiming.rs
+++ b/crates/anvilreel/src/request/claiming.rs
@@ -1,9 +1,10 @@
-//! Claiming a key: whether this exchange runs it, or reads what runs already.
+//! Claiming a key: decides whether this exchange runs it, or reads the run of another one.
 //!
-//! A non-idempotent key is claimed in the ledger, on a majority's disks, before the call leaves.
-//! Any other named key is claimed at two routers side by side; where they don't agree, or one of
-//! them can't be reached, the ledger decides between what they said. A holder's first claim
-//! stands, so whoever dispatched on two equal answers left the same answer for everyone after.
+//! A non-idempotent key is claimed in the ledger, committed by a majority to disk, before the call
+//! is sent. Any other caller-chosen key is claimed at two routers in parallel; if their answers
+//! differ or one of them can't be reached, the ledger decides between the answers. A holder keeps
+//! the first claim it receives, so once an exchange has dispatched on two equal answers, every
+//! later one gets the same answer.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, SystemTime};
@@ -15,39 +16,39 @@
 use super::exchange::{Exchange, Step};
 use super::{Action, ClaimAnswer, Dispatch, Holder, Target, generation_key};
 
-/// When to come back when the claim's holders can't be reached.
-const RETRY: Duration = Duration::from_secs(2);
+/// Retry-After when the claim's holders can't be reached.
+const CLAIM_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Answers of the holders so far.
+/// The holders' answers so far.
 #[derive(Debug, Default)]
 pub(super) struct Claiming {
-    waiting: BTreeSet<Holder>,
-    stands: BTreeMap<Holder, (Target, BodyHash)>,
+    awaited: BTreeSet<Holder>,
+    recorded: BTreeMap<Holder, (Target, BodyHash)>,
 }
 
 impl Exchange {
-    /// Claims the key for the present target.
+    /// Claims the key for the current target.
     pub(super) fn claim(&mut self) {
         let mut claiming = Claiming::default();
         if !self.spec.once {
             for holder in self.spec.holders.clone() {
-                claiming.waiting.insert(Holder::Router(holder.clone()));
+                claiming.awaited.insert(Holder::Router(holder.clone()));
                 let claim = self.placed_claim();
                 self.actions.push(Action::PutClaim { holder, claim });
             }
         }
-        let nobody = claiming.waiting.is_empty();
+        let no_router = claiming.awaited.is_empty();
         self.step = Step::Claiming(claiming);
-        if nobody {
-            self.ask_ledger(None);
+        if no_router {
+            self.claim_in_ledger(None);
         }
     }
 
-    pub(super) fn claimed(&mut self, holder: Holder, answer: ClaimAnswer) {
+    pub(super) fn claim_answered(&mut self, holder: Holder, answer: ClaimAnswer) {
         let Step::Claiming(claiming) = &mut self.step else {
             return;
         };
-        if !claiming.waiting.remove(&holder) {
+        if !claiming.awaited.remove(&holder) {
             return;
         }
         match answer {
@@ -63,108 +64,112 @@
                 }
                 if holder == Holder::Ledger {
                     self.claim_id = id;
-                    return self.decided_by_ledger(target, fresh, settled.as_ref());
+                    return self.ledger_answered(target, fresh, settled.as_ref());
                 }
-                claiming.stands.insert(holder, (target, body));
+                claiming.recorded.insert(holder, (target, body));
             }
-            ClaimAnswer::Lost if holder == Holder::Ledger => return self.undecided(),
+            ClaimAnswer::Lost if holder == Holder::Ledger => return self.without_ledger(),
             ClaimAnswer::Lost => {}
         }
-        if claiming.waiting.is_empty() {
-            self.decide();
+        if claiming.awaited.is_empty() {
+            self.resolve_answers();
         }
     }
 
-    /// Both routers have answered or are lost.
-    fn decide(&mut self) {
+    /// Decides once both routers have answered or failed.
+    fn resolve_answers(&mut self) {
         let Step::Claiming(claiming) = &mut self.step else {
             return;
         };
-        let targets: BTreeSet<Target> = claiming.stands.values().map(|(t, _)| t.clone()).collect();
-        let agreed = claiming.stands.len() == crate::claims::HOLDERS && targets.len() == 1;
+        let targets: BTreeSet<Target> =
+            claiming.recorded.values().map(|(t, _)| t.clone()).collect();
+        let agreed =
+            claiming.recorded.len() == crate::claims::HOLDERS_PER_CLAIM && targets.len() == 1;
         if let Some(target) = targets.first().filter(|_| agreed) {
-            return self.stands(target.clone());
+            return self.adopt_claim(target.clone());
         }
         if targets.is_empty() {
-            return self.nobody_vouches();
+            return self.no_recorded_claim();
         }
-        // What another exchange claimed may be decided already; ours can't be.
-        let ours = self.target.as_ref();
-        let other = targets.iter().find(|target| Some(*target) != ours);
-        let wanted = other.cloned();
-        self.ask_ledger(wanted.as_ref());
+        // Another exchange may already have acted on its claim; this one has not.
+        let own_target = self.target.as_ref();
+        let other = targets.iter().find(|target| Some(*target) != own_target);
+        let competing = other.cloned();
+        self.claim_in_ledger(competing.as_ref());
     }
 
-    /// No holder can say whether the key was claimed before: both were lost, or hold it since a
-    /// short time. Then the sidecars are asked, before the ledger takes a new claim.
+    /// No holder can confirm whether the key was claimed before: both were lost, or have held it
+    /// only for a short time. Then the candidate sidecars are probed before the ledger accepts a
+    /// new claim.
     ///
-    /// Why no start can still be under way: whoever was to send one got its claim before the
-    /// holders were declared lost, and the time for that is longer than a start may wait.
-    fn nobody_vouches(&mut self) {
-        if self.probed {
-            return self.ask_ledger(None);
+    /// No earlier start can still be in flight: its sender got the claim before the holders were
+    /// declared lost, and that takes longer than a start may wait.
+    fn no_recorded_claim(&mut self) {
+        if self.candidates_probed {
+            return self.claim_in_ledger(None);
         }
         if self.spec.suspects.is_empty() {
             let refusal = Refusal::new(Reason::LedgerUnreachable);
-            return self.refuse(refusal.with_retry_after(RETRY));
+            return self.refuse(refusal.with_retry_after(CLAIM_RETRY_AFTER));
         }
-        self.probed = true;
-        self.probe_suspects();
+        self.candidates_probed = true;
+        self.probe_candidates();
     }
 
-    fn ask_ledger(&mut self, wanted: Option<&Target>) {
+    fn claim_in_ledger(&mut self, competing: Option<&Target>) {
         let mut claiming = match std::mem::replace(&mut self.step, Step::New) {
             Step::Claiming(claiming) => claiming,
             _ => Claiming::default(),
         };
-        claiming.waiting.insert(Holder::Ledger);
+        claiming.awaited.insert(Holder::Ledger);
         self.step = Step::Claiming(claiming);
-        self.put_ledger_claim(wanted);
+        self.put_ledger_claim(competing);
     }
 
-    fn decided_by_ledger(&mut self, target: Target, fresh: bool, settled: Option<&Outcome>) {
+    fn ledger_answered(&mut self, target: Target, fresh: bool, settled: Option<&Outcome>) {
         if !self.spec.once {
-            return self.stands(target);
+            return self.adopt_claim(target);
         }
-        self.claim_ours = fresh;
+        self.owns_claim = fresh;
         if fresh {
             return self.reserve_or_start();
         }
         self.target = Some(target);
-        self.known_complete = matches!(settled, Some(Outcome::Completed(_)));
-        // A completed one is read again from its sidecar; a doubt stays a doubt.
+        self.completed_in_ledger = matches!(settled, Some(Outcome::Completed(_)));
+        // A completed run is read again from its sidecar; an unknown outcome stays unknown.
         match settled {
             Some(Outcome::Unknown(doubt)) => self.finish(Outcome::Unknown(*doubt), None),
             _ => self.attach(),
         }
     }
 
-    /// This target runs the key, whoever claimed it.
-    fn stands(&mut self, target: Target) {
-        self.claim_ours = self.target.as_ref() == Some(&target);
+    /// Continues with the target that runs the key, whoever claimed it.
+    fn adopt_claim(&mut self, target: Target) {
+        self.owns_claim = self.target.as_ref() == Some(&target);
         self.target = Some(target);
-        if self.claim_ours {
+        if self.owns_claim {
             return self.reserve_or_start();
         }
         if self.delivered > 0 && self.attempt > 0 {
-            // The caller has the front of another run's answer; this one can't be its rest.
+            // The caller has the first part of another run's answer, and this run can't supply the
+            // rest of it.
             return self.finish(Outcome::Unknown(Doubt::SidecarLost), None);
         }
         self.attach();
     }
 
-    /// The ledger can't be reached. Nothing may be started; what runs may still be read.
-    fn undecided(&mut self) {
-        let refusal = Refusal::new(Reason::LedgerUnreachable).with_retry_after(RETRY);
+    /// The ledger can't be reached. Nothing may be started; an existing run may still be read.
+    fn without_ledger(&mut self) {
+        let refusal = Refusal::new(Reason::LedgerUnreachable).with_retry_after(CLAIM_RETRY_AFTER);
         let Step::Claiming(claiming) = &self.step else {
             return;
         };
-        let ours = self.target.as_ref();
-        let mut targets = claiming.stands.values().map(|(target, _)| target);
-        let other = targets.find(|target| Some(*target) != ours).cloned();
+        let own_target = self.target.as_ref();
+        let mut targets = claiming.recorded.values().map(|(target, _)| target);
+        let other = targets.find(|target| Some(*target) != own_target).cloned();
         if let Some(target) = other {
             self.target = Some(target);
-            self.claim_ours = false;
+            self.owns_claim = false;
             return self.attach();
         }
         if self.attempt > 0 {
@@ -173,48 +178,51 @@
         self.refuse(refusal);
     }
 
-    /// Asks the suspects, one after the other, whether they know the key.
-    pub(super) fn probe_suspects(&mut self) {
-        let left = self.spec.suspects.clone();
-        self.step = Step::Probing { left };
+    /// Asks the candidate sidecars, one after another, whether they know the key.
+    pub(super) fn probe_candidates(&mut self) {
+        let remaining = self.spec.suspects.clone();
+        self.step = Step::Probing { remaining };
         self.probe_next();
     }
 
     fn probe_next(&mut self) {
-        let Step::Probing { left } = &mut self.step else {
+        let Step::Probing { remaining } = &mut self.step else {
             return;
         };
-        let Some(target) = left.pop() else {
-            return self.ask_ledger(None);
+        let Some(target) = remaining.pop() else {
+            return self.claim_in_ledger(None);
         };
         let key = self.spec.key.clone();
-        self.suspect = Some(target.clone());
+        self.probed_target = Some(target.clone());
         self.call(target, SidecarRequest::Probe { key });
     }
 
-    /// A suspect has answered, or can't.
-    pub(super) fn probed(&mut self, dispatch: Dispatch, reply: Option<&SidecarReply>) {
+    /// Handles a candidate's answer, or `None` if it could not be asked.
+    pub(super) fn probe_answered(&mut self, dispatch: Dispatch, reply: Option<&SidecarReply>) {
         if dispatch != self.dispatch {
             return;
         }
         match reply {
-            // A run that its endpoint lost is no find: it was continued where the claim leads to.
-            Some(SidecarReply::Probed(ProbeAnswer::Ended(end))) if is_lost(end) => {
+            // A run that lost its endpoint does not count: it was continued on the target that the
+            // claim names.
+            Some(SidecarReply::Probed(ProbeAnswer::Ended(end))) if lost_its_endpoint(end) => {
                 self.probe_next();
             }
             Some(SidecarReply::Probed(ProbeAnswer::Running { .. } | ProbeAnswer::Ended(_))) => {
-                // Not read at once: whether the body is the same, the claim or the start tells.
-                self.target = self.suspect.take();
-                self.ask_ledger(None);
+                // The run is not read yet: the claim, or the sidecar's answer to the start, shows
+                // whether the body is the same.
+                self.target = self.probed_target.take();
+                self.claim_in_ledger(None);
             }
             Some(SidecarReply::Probed(_)) => self.probe_next(),
-            // One that can't be asked may have run it; a second run would be a second bill.
+            // A sidecar that can't be asked may have run the key; running it again could charge it
+            // twice.
             _ => self.finish(Outcome::Unknown(Doubt::SidecarLost), None),
         }
     }
 
     fn placed_claim(&self) -> PlacedClaim {
-        let target = self.wanted(None);
+        let target = self.target_to_claim(None);
         PlacedClaim {
             key: generation_key(&self.spec.key, self.generation),
             body: self.spec.body,
@@ -225,7 +233,7 @@
     }
 
     pub(super) fn put_ledger_claim(&mut self, other: Option<&Target>) {
-        let target = self.wanted(other);
+        let target = self.target_to_claim(other);
         let claim = Claim {
             id: self.spec.claim_id.clone(),
             key: generation_key(&self.spec.key, self.generation),
@@ -237,12 +245,12 @@
         self.actions.push(Action::PutLedgerClaim(claim));
     }
 
-    fn wanted(&self, other: Option<&Target>) -> Target {
-        let wanted = other.or(self.target.as_ref());
-        wanted.cloned().unwrap_or_else(Target::nobody)
+    fn target_to_claim(&self, other: Option<&Target>) -> Target {
+        let to_claim = other.or(self.target.as_ref());
+        to_claim.cloned().unwrap_or_else(Target::unset)
     }
 }
 
-fn is_lost(end: &RunEnd) -> bool {
+fn lost_its_endpoint(end: &RunEnd) -> bool {
     end.outcome == Outcome::Unknown(Doubt::EndpointLost)
 }
--- a/crates/anvilreel/src/request/error.rs
+++ b/crates/anvilreel/src/request/error.rs
@@ -1,41 +1,41 @@
-//! What a sidecar must never send, and what a shell must never do.
+//! Violations of the exchange's invariants by a sidecar or by the I/O layer.
 
 use anvil_world::prelude::*;
 use snafu::Snafu;
 
-/// An invariant that does not hold. The frame is not delivered and the stream is dropped.
+/// A violated invariant. The frame is not delivered and the stream is dropped.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum ExchangeError {
-    /// Output of another request.
-    #[snafu(display("output of request {found:?} came for {expected:?}"))]
+    /// Output that belongs to another request.
+    #[snafu(display("output of another request: expected key {expected:?}, found {found:?}"))]
     CrossedKey {
-        /// What was waited for.
+        /// The expected key.
         expected: RequestKey,
-        /// What came.
+        /// The received key.
         found: RequestKey,
     },
-    /// Output that leaves a gap or comes again.
-    #[snafu(display("output at byte {found} came, {expected} was next"))]
+    /// Output that leaves a gap or repeats bytes.
+    #[snafu(display("output out of order: expected byte {expected}, found byte {found}"))]
     Gap {
-        /// The next byte.
+        /// The expected offset.
         expected: Offset,
-        /// What came.
+        /// The received offset.
         found: Offset,
     },
-    /// An end before all output.
-    #[snafu(display("an end at byte {length} came after {delivered} bytes"))]
+    /// An end before all output has arrived.
+    #[snafu(display("premature end: run of {length} bytes ended after {delivered} bytes"))]
     EarlyEnd {
-        /// Bytes delivered.
+        /// Bytes delivered to the caller.
         delivered: Offset,
-        /// Bytes of output in all, as the sidecar says.
+        /// Total output in bytes, as reported by the sidecar.
         length: Offset,
     },
-    /// A charge above the reservation.
-    #[snafu(display("a charge of {charged} tokens on a reservation of {bound}"))]
+    /// A charge that exceeds the reservation.
+    #[snafu(display("charge exceeds the reservation: {charged} tokens charged, {bound} reserved"))]
     OverCharged {
-        /// What was reserved, in tokens.
+        /// The reserved tokens.
         bound: Tokens,
-        /// What was charged, in tokens.
+        /// The charged tokens.
         charged: Tokens,
     },
 }
--- a/crates/anvilreel/src/request/event.rs
+++ b/crates/anvilreel/src/request/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a request, and what it wants done.
+//! The exchange's inputs ([`Event`]) and outputs ([`Action`]).
 
 use std::collections::BTreeSet;
 
@@ -10,139 +10,141 @@
 use super::{ExchangeError, Target};
 use crate::money::{Reservation, Shortage};
 
-/// Numbers the calls to sidecars of one exchange; answers to an older one are late.
+/// Number of a call to a sidecar within one exchange. Answers to an older call are ignored.
 pub type Dispatch = u32;
 
-/// Who keeps a claim.
+/// A process that stores a claim.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Holder {
     /// A router.
     Router(InstanceId),
-    /// The ledger's majority.
+    /// The ledger, by majority.
     Ledger,
 }
 
-/// What a holder says.
+/// A holder's answer to a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimAnswer {
-    /// This one stands.
+    /// The claim recorded for the key, which may be another exchange's.
     Stands {
-        /// The sidecar that runs the key.
+        /// The target that runs the key.
         target: Target,
-        /// Hash of the body that was claimed.
+        /// Hash of the claimed request's body.
         body: BodyHash,
-        /// The claim's id, from the ledger; the spec's own from a router.
+        /// The claim's id as recorded by the ledger; for a router, this request's own.
         id: ClaimId,
-        /// Whether this very request made the claim. Only the ledger can tell.
+        /// Whether this request's claim was the first. Only the ledger can tell.
         fresh: bool,
-        /// How it ended, where the ledger knows.
+        /// The outcome of the claimed request, if the ledger knows it.
         settled: Option<Outcome>,
     },
-    /// The holder can't be reached, or keeps nothing new.
+    /// The holder can't be reached, or accepts no new claims.
     Lost,
 }
 
-/// What happens.
+/// Input of an exchange.
 #[derive(Debug)]
 pub enum Event {
-    /// Begin.
+    /// Starts the exchange.
     Begin,
-    /// Answer to [`Action::Choose`]: this endpoint.
+    /// Answer to [`Action::Choose`]: the chosen endpoint.
     Chosen(Target),
-    /// Answer to [`Action::Choose`]: none, and why.
+    /// Answer to [`Action::Choose`]: no endpoint, and why.
     NotChosen(Refusal),
     /// Answer to [`Action::PutClaim`] and [`Action::PutLedgerClaim`].
     Claimed {
-        /// Who answers.
+        /// The holder that answered.
         holder: Holder,
-        /// What.
+        /// Its answer.
         answer: ClaimAnswer,
     },
-    /// Answer to [`Action::Reserve`].
+    /// Answer to [`Action::Reserve`]: the tokens are reserved.
     Reserved(Reservation),
-    /// Answer to [`Action::Reserve`].
+    /// Answer to [`Action::Reserve`]: too few tokens are available.
     Short(Shortage),
-    /// The purse has changed since a shortage.
+    /// The grant account has changed since a shortage.
     MoneyChanged,
     /// A sidecar's reply to a call.
     Reply {
-        /// Which call.
+        /// The call that it answers.
         dispatch: Dispatch,
-        /// What.
+        /// The reply.
         reply: SidecarReply,
     },
     /// A call failed or its stream broke before its last reply.
     Broken {
-        /// Which call.
+        /// The call.
         dispatch: Dispatch,
-        /// Whether it is certain that the sidecar never saw the call.
+        /// Whether it is certain that the sidecar never received the call.
         never_sent: bool,
     },
-    /// The members' list says that a sidecar's life is over.
+    /// According to the members' list, this incarnation of a sidecar is over.
     Gone(Target),
-    /// The caller's connection is gone.
+    /// The caller has disconnected.
     CallerGone,
-    /// A time asked for by [`Action::WakeAt`] has come.
+    /// A time requested by the exchange has been reached.
     Wake,
 }
 
-/// What is to be done.
+/// Output of an exchange: something the I/O layer must do.
 #[derive(Debug)]
 pub enum Action {
-    /// Choose an endpoint, but none of these.
+    /// Choose an endpoint.
     Choose {
-        /// Not these sidecars.
+        /// Sidecars that must not be chosen.
         exclude: BTreeSet<InstanceId>,
     },
-    /// Put a claim at a router; answer [`Event::Claimed`].
+    /// Put a claim at a router, and answer with [`Event::Claimed`].
     PutClaim {
-        /// Which router; may be this one.
+        /// The router, which may be this one.
         holder: InstanceId,
-        /// What.
+        /// The claim.
         claim: PlacedClaim,
     },
-    /// Put a claim into the ledger; answer [`Event::Claimed`]. The leader fills in the time.
+    /// Put a claim into the ledger, and answer with [`Event::Claimed`]. The ledger's leader fills
+    /// in the time.
     PutLedgerClaim(Claim),
-    /// Note the end of a claimed request in the ledger. Try for a while; nothing waits for it.
+    /// Record the outcome of a claimed request in the ledger. Retried for a while; nothing waits
+    /// for the result.
     SettleClaim(SettleClaim),
-    /// Reserve so many tokens from the spec's payers.
+    /// Reserve the spec's bound from the budgets that pay.
     Reserve,
-    /// Give a reservation back unspent.
+    /// Release a reservation without a charge.
     Release(Reservation),
     /// Charge a reservation.
     Settle {
-        /// Which.
+        /// The reservation.
         reservation: Reservation,
-        /// What it cost, in tokens.
+        /// The cost, in tokens.
         cost: Tokens,
     },
-    /// Call a sidecar and feed its replies.
+    /// Call a sidecar and feed its replies back.
     Call {
-        /// Number of the call.
+        /// The call's number.
         dispatch: Dispatch,
-        /// Whom.
+        /// The sidecar to call.
         target: Target,
-        /// What.
+        /// The request.
         req: Box<SidecarRequest>,
     },
-    /// Drop a call: its replies are not wanted any more.
+    /// Drop a call: its replies are no longer wanted.
     Drop {
-        /// Number of the call.
+        /// The call's number.
         dispatch: Dispatch,
     },
     /// Pass status and headers on to the caller.
     DeliverHead(Head),
     /// Pass output on to the caller.
     Deliver(Bytes),
-    /// Feed [`Event::Wake`] then.
+    /// Feed the timer event at this time.
     WakeAt(Now),
-    /// The request is over; tell the caller.
+    /// The request is over; send the outcome to the caller.
     Finish {
-        /// How.
+        /// The outcome.
         outcome: Outcome,
-        /// The run's end as the sidecar told it, where there was one.
+        /// The end of the run as reported by the sidecar, if there was a run.
         end: Option<Box<RunEnd>>,
     },
-    /// An invariant is broken; log it.
+    /// An invariant is violated; log it.
     Violation(ExchangeError),
 }
--- a/crates/anvilreel/src/request/exchange.rs
+++ b/crates/anvilreel/src/request/exchange.rs
@@ -1,4 +1,4 @@
-//! The exchange: its state, and where each event goes.
+//! The state of an exchange, and the dispatch of events to the step in progress.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,63 +12,63 @@
 use super::{Action, Dispatch, Event, Spec, Target};
 use crate::money::{Purse, Reservation};
 
-/// How long after its deadline the sidecar's own end is waited for.
-const GRACE: Duration = Duration::from_secs(2);
+/// How long after the deadline the exchange waits for the sidecar's own end of the run.
+const END_GRACE: Duration = Duration::from_secs(2);
 
-/// What the exchange waits for.
+/// What the exchange is waiting for.
 #[derive(Debug)]
 pub(super) enum Step {
     /// Not begun.
     New,
-    /// Sidecars are asked whether they know the key.
+    /// The answers of sidecars that are asked whether they know the key.
     Probing {
-        /// Those that were not asked yet.
-        left: Vec<Target>,
+        /// Sidecars not asked yet.
+        remaining: Vec<Target>,
     },
-    /// An endpoint.
+    /// The choice of an endpoint.
     Choosing,
-    /// The claim's holders.
+    /// The answers of the claim's holders.
     Claiming(Claiming),
-    /// Money; with the time when waiting for it ends.
+    /// A reservation. `until` is set once waiting for tokens has begun, and ends it.
     Reserving { until: Option<Now> },
     /// The sidecar's replies.
     Reading,
     /// The end of a pause before it attaches again.
-    Pausing { until: Now },
-    /// The sidecar's word that it never starts the key.
-    Forbidding { because: Refusal },
-    /// The sidecar's word on what was made.
+    BackingOff { until: Now },
+    /// The sidecar's confirmation that it will never start the key.
+    Forbidding { cause: Refusal },
+    /// The sidecar's answer to a cancellation: what it has produced.
     Cancelling,
-    /// The sidecar's word on what it charged; the caller has its answer.
-    Lingering {
-        /// No longer than this.
+    /// The sidecar's report of its charge; the caller already has its answer.
+    AwaitingCharge {
+        /// When waiting ends.
         until: Now,
     },
-    /// Nothing.
+    /// Nothing: the exchange is over.
     Finished,
 }
 
-/// How far the start at the present target has come.
+/// Progress of the start at the current target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Started {
-    /// None has left.
-    No,
-    /// It has left; whether it arrived is not known.
+pub(super) enum StartState {
+    /// No start has been sent.
+    NotSent,
+    /// A start was sent; whether it arrived is not known.
     Sent,
-    /// The sidecar has said that it began the run under our payment.
+    /// The sidecar has confirmed that it began the run under this exchange's payment.
     Begun,
 }
 
-/// The caller's side.
+/// State of the caller's connection.
 #[derive(Debug, Default)]
 pub(super) struct Caller {
-    /// Whether its connection is gone.
-    pub(super) gone: bool,
-    /// Whether it has status and headers.
+    /// Whether the caller has disconnected.
+    pub(super) disconnected: bool,
+    /// Whether the caller has received status and headers.
     pub(super) has_head: bool,
 }
 
-/// One caller's request.
+/// The state machine of one caller's request.
 #[derive(Debug)]
 pub struct Exchange {
     pub(super) spec: Spec,
@@ -77,40 +77,41 @@
     pub(super) target: Option<Target>,
     pub(super) excluded: BTreeSet<InstanceId>,
     pub(super) generation: u32,
-    /// The ledger's claim of this key, where it has one.
+    /// The ledger's claim of this key, if there is one.
     pub(super) claim_id: ClaimId,
-    /// Whether the claim that stands was made by this exchange.
-    pub(super) claim_ours: bool,
-    /// Whether the ledger has said that the claimed run came to its end.
-    pub(super) known_complete: bool,
+    /// Whether the recorded claim was made by this exchange.
+    pub(super) owns_claim: bool,
+    /// Whether the ledger has reported that the claimed run completed.
+    pub(super) completed_in_ledger: bool,
     pub(super) reservation: Option<Reservation>,
     pub(super) payment: Option<Payment>,
-    pub(super) start: Started,
-    /// Starts that have left for the present target, and the number of the last one's call.
-    pub(super) starts: u32,
-    pub(super) start_call: Dispatch,
-    /// A sidecar that was left because it can't be reached; the run may go on there.
-    pub(super) left_behind: Option<Target>,
+    pub(super) start_state: StartState,
+    /// Number of starts sent to the current target; `last_start_call` is the call of the last one.
+    pub(super) starts_sent: u32,
+    pub(super) last_start_call: Dispatch,
+    /// A sidecar that was given up because it can't be reached; the run may continue there.
+    pub(super) abandoned_target: Option<Target>,
     pub(super) attempt: u32,
-    pub(super) breaks: u32,
+    pub(super) consecutive_breaks: u32,
     pub(super) delivered: Offset,
     pub(super) delivered_tokens: Tokens,
-    /// What was delivered of a chat, to be continued from.
+    /// The delivered part of a chat, from which another endpoint can continue.
     pub(super) prefix: BytesMut,
     pub(super) caller: Caller,
-    /// Since when a claimed non-idempotent key has not been heard of at its sidecar.
-    pub(super) unheard_since: Option<Now>,
-    /// The one that is asked whether it knows the key.
-    pub(super) suspect: Option<Target>,
-    /// Whether the suspects were asked.
-    pub(super) probed: bool,
-    /// Time of the event that is handled.
+    /// Since when the sidecar named by the claim of a non-idempotent key has answered that it does
+    /// not know the key.
+    pub(super) unknown_since: Option<Now>,
+    /// The sidecar that is being probed.
+    pub(super) probed_target: Option<Target>,
+    /// Whether the candidate sidecars have been probed.
+    pub(super) candidates_probed: bool,
+    /// Time of the event being handled.
     pub(super) now: Now,
     pub(super) actions: Vec<Action>,
 }
 
 impl Exchange {
-    /// A request that has not begun.
+    /// An exchange that has not begun.
     pub fn new(spec: Spec) -> Self {
         Self {
             claim_id: spec.claim_id.clone(),
@@ -120,34 +121,34 @@
             target: None,
             excluded: BTreeSet::new(),
             generation: 0,
-            claim_ours: false,
-            known_complete: false,
+            owns_claim: false,
+            completed_in_ledger: false,
             reservation: None,
             payment: None,
-            start: Started::No,
-            starts: 0,
-            start_call: 0,
-            left_behind: None,
+            start_state: StartState::NotSent,
+            starts_sent: 0,
+            last_start_call: 0,
+            abandoned_target: None,
             attempt: 0,
-            breaks: 0,
+            consecutive_breaks: 0,
             delivered: 0,
             delivered_tokens: 0,
             prefix: BytesMut::new(),
             caller: Caller::default(),
-            unheard_since: None,
-            suspect: None,
-            probed: false,
+            unknown_since: None,
+            probed_target: None,
+            candidates_probed: false,
             now: Now::ZERO,
             actions: Vec::new(),
         }
     }
 
-    /// What was asked.
+    /// The request's specification.
     pub fn spec(&self) -> &Spec {
         &self.spec
     }
 
-    /// Whether it is over.
+    /// Whether the exchange is over.
     pub fn is_finished(&self) -> bool {
         matches!(self.step, Step::Finished)
     }
@@ -157,32 +158,33 @@
         self.delivered
     }
 
-    /// Takes one event and says what to do, in order. `purse` only makes payments' text.
-    pub fn handle(&mut self, now: Now, purse: &Purse, event: Event) -> Vec<Action> {
+    /// Handles one event and returns the actions to perform, in order. `grant_account` is only used
+    /// to describe the payment to the sidecar.
+    pub fn handle(&mut self, now: Now, grant_account: &Purse, event: Event) -> Vec<Action> {
         self.now = now;
         if self.is_finished() {
-            return after_end(event);
+            return handle_after_end(event);
         }
-        if let Step::Lingering { until } = self.step {
-            self.lingering(now, until, event);
+        if let Step::AwaitingCharge { until } = self.step {
+            self.handle_awaiting_charge(now, until, event);
             return std::mem::take(&mut self.actions);
         }
         match event {
             Event::Begin => self.begin(),
             Event::Chosen(target) => self.chosen(target),
             Event::NotChosen(refusal) => self.not_chosen(refusal),
-            Event::Claimed { holder, answer } => self.claimed(holder, answer),
-            Event::Reserved(reservation) => self.reserved(now, purse, reservation),
-            Event::Short(shortage) => self.short(now, shortage),
-            Event::MoneyChanged => self.money_changed(),
+            Event::Claimed { holder, answer } => self.claim_answered(holder, answer),
+            Event::Reserved(reservation) => self.reserved(now, grant_account, reservation),
+            Event::Short(shortage) => self.reservation_failed(now, shortage),
+            Event::MoneyChanged => self.grants_changed(),
             Event::Reply { dispatch, reply } => self.reply(now, dispatch, reply),
             Event::Broken {
                 dispatch,
                 never_sent,
-            } => self.broken(now, dispatch, never_sent),
+            } => self.call_broken(now, dispatch, never_sent),
             Event::Gone(target) => self.target_gone(&target),
-            Event::CallerGone => self.leave_caller(),
-            Event::Wake => self.wake(now),
+            Event::CallerGone => self.caller_disconnected(),
+            Event::Wake => self.timer_fired(now),
         }
         std::mem::take(&mut self.actions)
     }
@@ -204,11 +206,11 @@
             return;
         }
         self.target = Some(target);
-        self.start = Started::No;
+        self.start_state = StartState::NotSent;
         if self.spec.named || self.spec.once {
             return self.claim();
         }
-        self.claim_ours = true;
+        self.owns_claim = true;
         self.reserve_or_start();
     }
 
@@ -218,32 +220,32 @@
         }
     }
 
-    fn wake(&mut self, now: Now) {
+    fn timer_fired(&mut self, now: Now) {
         if now >= self.spec.deadline {
-            return self.out_of_time(now);
+            return self.deadline_passed(now);
         }
         match &self.step {
-            Step::Pausing { until } if now >= *until => self.attach(),
-            Step::Reserving { until: Some(until) } if now >= *until => self.reserve_again(),
+            Step::BackingOff { until } if now >= *until => self.attach(),
+            Step::Reserving { until: Some(until) } if now >= *until => self.retry_reservation(),
             _ => {}
         }
     }
 
-    /// Failure: a caller that is held after its request was given up. Before a dispatch the
-    /// refusal is true at once; after one the sidecar stops the run itself at the deadline, and
-    /// its word is waited for only as long as a message takes.
-    fn out_of_time(&mut self, now: Now) {
-        if self.attempt == 0 && self.start == Started::No && self.nothing_ran() {
+    /// Handles the deadline, so that the caller is not kept waiting after its request was given up.
+    /// Before a dispatch, a refusal can be returned at once. After one, the sidecar itself stops
+    /// the run at the deadline, and its report is awaited only for as long as a message takes.
+    fn deadline_passed(&mut self, now: Now) {
+        if self.attempt == 0 && self.start_state == StartState::NotSent && self.nothing_ran() {
             return self.refuse(Refusal::new(Reason::DeadlineTooClose));
         }
-        if now >= self.spec.deadline + GRACE {
+        if now >= self.spec.deadline + END_GRACE {
             return self.finish(Outcome::Unknown(Doubt::Stopped), None);
         }
         self.actions
-            .push(Action::WakeAt(self.spec.deadline + GRACE));
+            .push(Action::WakeAt(self.spec.deadline + END_GRACE));
     }
 
-    /// Calls a sidecar; from now on only this call's replies count.
+    /// Calls a sidecar; from now on only this call's replies are handled.
     pub(super) fn call(&mut self, target: Target, req: SidecarRequest) {
         self.dispatch += 1;
         self.actions.push(Action::Call {
@@ -253,25 +255,27 @@
         });
     }
 
-    /// Ends with "not run". Only called where nothing ran under this key as far as this
-    /// exchange's dispatches go.
+    /// Ends with the outcome "not run". Must be called only if none of this exchange's dispatches
+    /// has run the key.
     pub(super) fn refuse(&mut self, refusal: Refusal) {
-        // After an endpoint has begun the answer, "not run" would be false.
+        // Once an endpoint has begun the answer, "not run" would be false.
         if self.attempt > 0 || self.delivered > 0 {
             return self.finish(Outcome::Unknown(Doubt::EndpointLost), None);
         }
         self.finish(Outcome::NotRun(refusal), None);
     }
 
-    /// Ends, once: settles the money, notes the claim's end, tells the caller.
+    /// Ends the exchange, once: settles the reservation, records the claim's outcome and answers
+    /// the caller.
     pub(super) fn finish(&mut self, outcome: Outcome, end: Option<Box<RunEnd>>) {
-        let lingers = self.may_be_charged(&outcome, end.as_deref());
-        if !lingers {
+        let awaits_charge = self.may_be_charged(&outcome, end.as_deref());
+        if !awaits_charge {
             self.settle(&outcome, end.as_deref());
         }
-        // An answer read to its end is known to whoever read it; all else only to the claimer.
-        let knows = self.claim_ours || matches!(outcome, Outcome::Completed(_));
-        if self.spec.once && knows {
+        // Anyone who has read an answer to its end knows the outcome; otherwise only the claim's
+        // owner does.
+        let may_settle = self.owns_claim || matches!(outcome, Outcome::Completed(_));
+        if self.spec.once && may_settle {
             let settle = SettleClaim {
                 id: self.claim_id.clone(),
                 key: self.spec.key.clone(),
@@ -283,14 +287,14 @@
         self.actions.push(Action::Drop { dispatch });
         self.actions.push(Action::Finish { outcome, end });
         self.step = Step::Finished;
-        if lingers {
-            self.linger();
+        if awaits_charge {
+            self.await_charge();
         }
     }
 }
 
-/// A reservation that comes after the end goes straight back.
-fn after_end(event: Event) -> Vec<Action> {
+/// Releases a reservation that arrives after the end.
+fn handle_after_end(event: Event) -> Vec<Action> {
     match event {
         Event::Reserved(reservation) => vec![Action::Release(reservation)],
         _ => Vec::new(),
--- a/crates/anvilreel/src/request/moving.rs
+++ b/crates/anvilreel/src/request/moving.rs
@@ -1,162 +1,167 @@
-//! When a sidecar refuses, breaks off or is lost: attach again, go elsewhere, or say what is
-//! known.
+//! What an exchange does when a sidecar refuses, breaks off or is lost: it attaches again,
+//! continues at another endpoint, or ends with the outcome that is known.
 
 use std::time::Duration;
 
 use anvil_wire::msg::{SidecarRequest, Work};
 use anvil_world::prelude::*;
 
-use super::exchange::{Exchange, Started, Step};
+use super::exchange::{Exchange, StartState, Step};
 use super::{Action, Dispatch, Target};
 
-/// First pause before attaching again; doubled each time.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
+/// First pause before attaching again; doubled after each break.
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
 /// Longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-/// Breaks without a byte between them after which the payer continues elsewhere.
-const PATIENT_BREAKS: u32 = 3;
-/// How long the claimer of a non-idempotent key is given to send its call: longer than it waits
-/// for money.
-const CLAIMER_WITHIN: Duration = Duration::from_secs(8);
-/// Pause before looking again.
-const CLAIMER_PAUSE: Duration = Duration::from_millis(150);
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
+/// Consecutive breaks without any output after which the payer continues at another endpoint.
+const MAX_CONSECUTIVE_BREAKS: u32 = 3;
+/// How long the owner of a non-idempotent key's claim has to send its call; longer than it may wait
+/// for a reservation.
+const CLAIM_OWNER_TIMEOUT: Duration = Duration::from_secs(8);
+/// Pause before the sidecar is asked again.
+const CLAIM_OWNER_POLL_INTERVAL: Duration = Duration::from_millis(150);
 /// Endpoints tried for one request.
-const MOST_ENDPOINTS: usize = 4;
-/// When to come back after a request found no endpoint that takes it.
-const RETRY: Duration = Duration::from_secs(1);
+const MAX_ENDPOINTS: usize = 4;
+/// Retry-After when no endpoint accepted the request.
+const ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Exchange {
-    /// The call failed or its stream broke.
-    pub(super) fn broken(&mut self, now: Now, dispatch: Dispatch, never_sent: bool) {
+    /// Handles a call that failed or whose stream broke.
+    pub(super) fn call_broken(&mut self, now: Now, dispatch: Dispatch, never_sent: bool) {
         if matches!(self.step, Step::Probing { .. }) {
-            return self.probed(dispatch, None);
+            return self.probe_answered(dispatch, None);
         }
         if dispatch != self.dispatch {
             return;
         }
-        // The first start of a key that no other router knows never left: elsewhere, at once.
-        let untouched = never_sent && self.starts == 1 && dispatch == self.start_call;
-        if untouched && !self.spec.named && !self.spec.once {
-            self.start = Started::No;
-            return self.elsewhere(Refusal::new(Reason::EndpointRefused));
+        // The first start of a key that no other router knows was never sent, so another endpoint
+        // can be tried at once.
+        let never_started = never_sent && self.starts_sent == 1 && dispatch == self.last_start_call;
+        if never_started && !self.spec.named && !self.spec.once {
+            self.start_state = StartState::NotSent;
+            return self.try_other_endpoint(Refusal::new(Reason::EndpointRefused));
         }
-        if untouched && self.spec.once {
-            self.start = Started::No;
-            return self.refuse(come_back(Reason::EndpointRefused));
+        if never_started && self.spec.once {
+            self.start_state = StartState::NotSent;
+            return self.refuse(retryable(Reason::EndpointRefused));
         }
-        self.break_off(now);
+        self.back_off(now);
     }
 
-    /// Leaves the present call and attaches again after a pause, or continues elsewhere.
-    pub(super) fn break_off(&mut self, now: Now) {
+    /// Drops the current call and attaches again after a pause, or continues at another endpoint.
+    pub(super) fn back_off(&mut self, now: Now) {
         let dispatch = self.dispatch;
         self.actions.push(Action::Drop { dispatch });
         self.dispatch += 1;
-        self.breaks += 1;
-        if self.breaks >= PATIENT_BREAKS && self.start == Started::Begun && self.may_continue() {
-            self.left_behind = self.target.clone();
-            return self.move_on();
-        }
-        let pause = FIRST_PAUSE * 2_u32.pow(self.breaks.min(8) - 1);
-        let until = now + pause.min(LONGEST_PAUSE);
-        self.step = Step::Pausing { until };
+        self.consecutive_breaks += 1;
+        if self.consecutive_breaks >= MAX_CONSECUTIVE_BREAKS
+            && self.start_state == StartState::Begun
+            && self.may_continue()
+        {
+            self.abandoned_target = self.target.clone();
+            return self.resume_elsewhere();
+        }
+        let pause = MIN_BACKOFF * 2_u32.pow(self.consecutive_breaks.min(8) - 1);
+        let until = now + pause.min(MAX_BACKOFF);
+        self.step = Step::BackingOff { until };
         self.actions.push(Action::WakeAt(until));
     }
 
-    /// The sidecar will not run it, and nothing was charged for this try.
-    pub(super) fn refused(&mut self, refusal: Refusal) {
-        self.start = Started::No;
+    /// Handles a sidecar's refusal to run the key; this attempt has not been charged.
+    pub(super) fn start_refused(&mut self, refusal: Refusal) {
+        self.start_state = StartState::NotSent;
         if matches!(refusal.reason, Reason::KeyReused(_)) {
             return self.refuse(refusal);
         }
-        // Failure: a router that was cut off or frozen is fenced, and its requests, refused at one
-        // sidecar after the other, forbid their keys everywhere. It would show as a caller whose
-        // retries through other routers find no endpoint. A fenced router forbids nothing; where
-        // nothing of this request ever left before, "not run" is true.
+        // A router that was partitioned or frozen is fenced, and its requests are refused at one
+        // sidecar after another. If it forbade their keys there, callers that retry through other
+        // routers would find no endpoint; so a fenced router forbids nothing. If this was the
+        // request's first start, "not run" is true.
         if refusal.reason == Reason::RouterFenced {
-            if self.starts > 1 {
+            if self.starts_sent > 1 {
                 return self.finish(Outcome::Unknown(Doubt::SidecarLost), None);
             }
             return self.refuse(refusal);
         }
-        // A refusal speaks for this start only. An earlier one may have been taken by a life
+        // A refusal covers this start only. An earlier one may have been accepted by an incarnation
         // that is over, and then "not run" would be false.
-        let doubtful = self.starts > 1;
+        let doubtful = self.starts_sent > 1;
         if !self.spec.once && (self.spec.named || doubtful) {
-            // The claim still leads others here, so it must be certain that none of them
-            // starts it here after we have gone elsewhere.
+            // The claim still directs other exchanges to this sidecar. None of them may start the
+            // key here after this exchange has moved to another endpoint.
             return self.forbid(refusal);
         }
         if self.spec.once {
             return self.refuse(refusal);
         }
-        self.elsewhere(refusal);
+        self.try_other_endpoint(refusal);
     }
 
-    fn forbid(&mut self, because: Refusal) {
+    fn forbid(&mut self, cause: Refusal) {
         let Some(target) = self.target.clone() else {
             return;
         };
-        self.step = Step::Forbidding { because };
+        self.step = Step::Forbidding { cause };
         let key = self.spec.key.clone();
         let life = target.life;
         let claim = self.spec.once.then(|| self.claim_id.clone());
         self.call(target, SidecarRequest::Forbid { key, life, claim });
     }
 
-    /// The sidecar has said that it never starts this key.
-    pub(super) fn forbidden(&mut self, because: Refusal) {
-        self.start = Started::No;
+    /// Handles the sidecar's confirmation that it will never start this key.
+    pub(super) fn start_forbidden(&mut self, cause: Refusal) {
+        self.start_state = StartState::NotSent;
         if self.spec.once {
-            // Nobody else may have been told "fresh" for this claim and still start it here.
-            self.claim_ours = true;
-            return self.refuse(come_back(because.reason));
+            // No other exchange can have been told that this claim is fresh and still start it
+            // here.
+            self.owns_claim = true;
+            return self.refuse(retryable(cause.reason));
         }
-        self.elsewhere(because);
+        self.try_other_endpoint(cause);
     }
 
-    /// The claimed sidecar has not heard of the key.
-    pub(super) fn unheard(&mut self) {
-        // Failure: two copies of an order come at the same time; the second finds the claim
-        // before the first one's call is there, and forbids it. It would show as both refused.
-        // So the claimer's call is given time to arrive.
-        if self.spec.once && self.breaks < PATIENT_BREAKS {
-            return self.break_off(self.now);
+    /// Handles the answer of the claimed sidecar that it does not know the key.
+    pub(super) fn key_unknown(&mut self) {
+        // Two copies of an order can arrive at the same time, so that the second finds the claim
+        // before the first one's call has arrived. Forbidding the key at once would refuse both, so
+        // the owner's call is given time to arrive.
+        if self.spec.once && self.consecutive_breaks < MAX_CONSECUTIVE_BREAKS {
+            return self.back_off(self.now);
         }
         if self.spec.once {
-            return self.wait_for_claimer();
+            return self.wait_for_claim_owner();
         }
         self.reserve_or_start();
     }
 
-    /// The claimer of a non-idempotent key has not sent its call yet: it waits for money, or its
-    /// call is under way, or it died. Forbidding at once would refuse two calls that came side
-    /// by side, both of them.
-    fn wait_for_claimer(&mut self) {
+    /// Waits because the owner of a non-idempotent key's claim has not sent its call yet: it waits
+    /// for a reservation, or its call is in flight, or it died. Forbidding at once would refuse
+    /// both of two calls that arrived together.
+    fn wait_for_claim_owner(&mut self) {
         let now = self.now;
-        let since = *self.unheard_since.get_or_insert(now);
-        if now >= since + CLAIMER_WITHIN {
-            return self.forbid(come_back(Reason::EndpointRefused));
+        let since = *self.unknown_since.get_or_insert(now);
+        if now >= since + CLAIM_OWNER_TIMEOUT {
+            return self.forbid(retryable(Reason::EndpointRefused));
         }
-        let until = now + CLAIMER_PAUSE;
-        self.step = Step::Pausing { until };
+        let until = now + CLAIM_OWNER_POLL_INTERVAL;
+        self.step = Step::BackingOff { until };
         self.actions.push(Action::WakeAt(until));
     }
 
     /// Tries another endpoint for work that has not begun.
-    fn elsewhere(&mut self, because: Refusal) {
-        if self.attempt == 0 && self.excluded.len() + 1 >= MOST_ENDPOINTS {
-            return self.refuse(because);
+    fn try_other_endpoint(&mut self, cause: Refusal) {
+        if self.attempt == 0 && self.excluded.len() + 1 >= MAX_ENDPOINTS {
+            return self.refuse(cause);
         }
         self.leave_target();
         self.choose();
     }
 
-    /// Continues on another endpoint from what was delivered, under the same key, grants and
-    /// bill. The attempt's number makes sure that its charge is the one that counts.
-    pub(super) fn move_on(&mut self) {
+    /// Continues at another endpoint after the delivered output, under the same key, grants and
+    /// reservation. The higher attempt number makes its charge the one that counts.
+    pub(super) fn resume_elsewhere(&mut self) {
         self.attempt += 1;
-        if self.excluded.len() + 1 >= MOST_ENDPOINTS {
+        if self.excluded.len() + 1 >= MAX_ENDPOINTS {
             return self.finish(Outcome::Unknown(Doubt::EndpointLost), None);
         }
         self.leave_target();
@@ -164,9 +169,9 @@
     }
 
     fn leave_target(&mut self) {
-        // Failure: the stream of a call that was answered with a refusal ends after it, and the
-        // end looks like a break of the call that is to come: the request pauses for a target
-        // that it has left and is never answered. What the old call still says is not heard.
+        // The stream of a call that was answered with a refusal ends afterwards. If that end were
+        // taken for a break of the next call, the request would back off for a target that it has
+        // left, and would never be answered. So the old call is dropped and its events are ignored.
         let dispatch = self.dispatch;
         self.actions.push(Action::Drop { dispatch });
         self.dispatch += 1;
@@ -174,45 +179,45 @@
             self.excluded.insert(target.sidecar);
         }
         self.generation += 1;
-        self.starts = 0;
-        self.breaks = 0;
-        self.start = Started::No;
+        self.starts_sent = 0;
+        self.consecutive_breaks = 0;
+        self.start_state = StartState::NotSent;
     }
 
-    /// Whether another endpoint can give the rest of the answer.
+    /// Whether another endpoint can supply the rest of the answer.
     pub(super) fn may_continue(&self) -> bool {
         let continues = matches!(self.spec.work, Work::Chat { .. }) || self.delivered == 0;
         !self.spec.once && continues
     }
 
-    /// The members' list says that a sidecar's life is over.
+    /// Handles the members' list reporting that a sidecar's incarnation is over.
     pub(super) fn target_gone(&mut self, gone: &Target) {
         let waits = matches!(
             self.step,
-            Step::Reading | Step::Pausing { .. } | Step::Forbidding { .. } | Step::Cancelling
+            Step::Reading | Step::BackingOff { .. } | Step::Forbidding { .. } | Step::Cancelling
         );
         if waits && self.target.as_ref() == Some(gone) {
-            self.life_over();
+            self.incarnation_ended();
         }
     }
 
-    /// The life that was to run the key is over.
-    pub(super) fn life_over(&mut self) {
+    /// Handles the end of the incarnation that was to run the key.
+    pub(super) fn incarnation_ended(&mut self) {
         if matches!(self.step, Step::Cancelling) {
             return self.finish(Outcome::Unknown(Doubt::Stopped), None);
         }
-        if self.known_complete {
-            // Failure: an order was placed, its sidecar restarted, and the caller who asks again
-            // is told "it may have run" although the ledger knows that it did.
+        if self.completed_in_ledger {
+            // An order was placed and its sidecar restarted. A caller that asks again must not be
+            // told that the order may have run, since the ledger knows that it did.
             return self.finish(Outcome::Unknown(Doubt::AnswerLost), None);
         }
         if !self.may_continue() {
             return self.finish(Outcome::Unknown(Doubt::SidecarLost), None);
         }
-        self.move_on();
+        self.resume_elsewhere();
     }
 
-    /// Whether it is certain that no dispatch of this exchange has begun anything.
+    /// Whether it is certain that no dispatch of this exchange has begun a run.
     pub(super) fn nothing_ran(&self) -> bool {
         matches!(
             self.step,
@@ -220,10 +225,11 @@
         )
     }
 
-    /// The caller's connection is gone. A caller who made the key may come back, and an order
-    /// that has left must be known; all else is stopped, and what was made is billed.
-    pub(super) fn leave_caller(&mut self) {
-        self.caller.gone = true;
+    /// Handles the caller's disconnection. A caller that chose the key may come back, and the
+    /// outcome of an order that was sent must be known. Any other run is cancelled, and what it
+    /// produced is charged.
+    pub(super) fn caller_disconnected(&mut self) {
+        self.caller.disconnected = true;
         if self.spec.named || self.spec.once {
             return;
         }
@@ -242,6 +248,6 @@
     }
 }
 
-fn come_back(reason: Reason) -> Refusal {
-    Refusal::new(reason).with_retry_after(RETRY)
+fn retryable(reason: Reason) -> Refusal {
+    Refusal::new(reason).with_retry_after(ENDPOINT_RETRY_AFTER)
 }
--- a/crates/anvilreel/src/request/paying.rs
+++ b/crates/anvilreel/src/request/paying.rs
@@ -1,37 +1,37 @@
-//! Money of one exchange: reserved before the dispatch, settled or released once.
+//! Reservation of one exchange: made before the dispatch, and settled or released exactly once.
 
 use std::time::Duration;
 
 use anvil_wire::msg::{Payment, RunEnd, SidecarRequest, Start, Work};
 use anvil_world::prelude::*;
 
-use super::exchange::{Exchange, Started, Step};
+use super::exchange::{Exchange, StartState, Step};
 use super::{Action, ExchangeError, Target};
 use crate::money::{Purse, Reservation, Shortage};
 
-/// Longest pause between two tries while waiting for money, in case a wake-up was missed.
-const LOOK_AGAIN: Duration = Duration::from_millis(250);
+/// Longest pause between two reservation attempts, in case a notification was missed.
+const RESERVE_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Exchange {
-    /// Starts at the target, after reserving where that has not been done.
+    /// Starts the run at the target, reserving tokens first if that has not been done.
     pub(super) fn reserve_or_start(&mut self) {
         if self.payment.is_some() {
-            return self.start_again();
+            return self.restart();
         }
         self.step = Step::Reserving { until: None };
         self.actions.push(Action::Reserve);
     }
 
-    pub(super) fn reserved(&mut self, now: Now, purse: &Purse, reservation: Reservation) {
+    pub(super) fn reserved(&mut self, now: Now, grant_account: &Purse, reservation: Reservation) {
         if !matches!(self.step, Step::Reserving { .. }) {
             return self.actions.push(Action::Release(reservation));
         }
-        self.payment = Some(purse.payment(&reservation, self.spec.price));
+        self.payment = Some(grant_account.payment(&reservation, self.spec.price));
         self.reservation = Some(reservation);
         self.start(now);
     }
 
-    pub(super) fn short(&mut self, now: Now, shortage: Shortage) {
+    pub(super) fn reservation_failed(&mut self, now: Now, shortage: Shortage) {
         let Step::Reserving { until } = &mut self.step else {
             return;
         };
@@ -43,20 +43,22 @@
         if now >= end {
             return self.refuse(otherwise);
         }
-        self.actions.push(Action::WakeAt(end.min(now + LOOK_AGAIN)));
+        self.actions
+            .push(Action::WakeAt(end.min(now + RESERVE_RETRY_INTERVAL)));
     }
 
-    pub(super) fn money_changed(&mut self) {
+    pub(super) fn grants_changed(&mut self) {
         if matches!(self.step, Step::Reserving { until: Some(_) }) {
-            self.reserve_again();
+            self.retry_reservation();
         }
     }
 
-    pub(super) fn reserve_again(&mut self) {
+    pub(super) fn retry_reservation(&mut self) {
         self.actions.push(Action::Reserve);
     }
 
-    /// Sends the start. A non-idempotent one is sent once, by the maker of a fresh claim.
+    /// Sends the start. For a non-idempotent key this happens once, by the exchange whose claim was
+    /// fresh.
     fn start(&mut self, now: Now) {
         let (Some(target), Some(payment)) = (self.target.clone(), self.payment.clone()) else {
             return;
@@ -68,7 +70,7 @@
             attempt: self.attempt,
             body: self.spec.body,
             payment,
-            work: self.work_left(),
+            work: self.remaining_work(),
             once: self.spec.once,
             class: self.spec.class,
             time_left: self.spec.deadline.saturating_sub(now),
@@ -77,20 +79,20 @@
             prefix: self.prefix.clone().freeze(),
             prefix_tokens: self.delivered_tokens,
         };
-        self.start = Started::Sent;
-        self.starts += 1;
+        self.start_state = StartState::Sent;
+        self.starts_sent += 1;
         self.step = Step::Reading;
         self.call(target, SidecarRequest::Start(Box::new(start)));
-        self.start_call = self.dispatch;
+        self.last_start_call = self.dispatch;
     }
 
-    /// Starts with what was reserved before; the time left is told anew by the next wake-up.
-    fn start_again(&mut self) {
+    /// Starts again with the existing reservation; the time left is calculated anew.
+    fn restart(&mut self) {
         self.start(self.now);
     }
 
-    /// The work with the output limit that is left after the prefix.
-    fn work_left(&self) -> Work {
+    /// The work, with the output limit reduced by what was delivered.
+    fn remaining_work(&self) -> Work {
         let mut work = self.spec.work.clone();
         if let Work::Chat { max_output, .. } = &mut work {
             *max_output = max_output.saturating_sub(self.delivered_tokens);
@@ -98,8 +100,8 @@
         work
     }
 
-    /// The charge under our reservation, in tokens.
-    fn ours(&self, end: &RunEnd) -> Tokens {
+    /// Tokens charged to this exchange's reservation.
+    fn own_charge(&self, end: &RunEnd) -> Tokens {
         let payer = self.payment.as_ref().map(Payment::payer);
         if payer.as_ref() == Some(&end.paid_by) {
             end.charged.values().sum()
@@ -108,19 +110,21 @@
         }
     }
 
-    /// Settles or releases what is reserved, once.
+    /// Settles or releases the reservation, once.
     ///
-    /// The sidecar's end says whose reservation carries the charge. Where it is not ours, another
+    /// The sidecar's end names the reservation that was charged. If it is another one, another
     /// router's exchange began this run and pays for it. Without an end, idempotent work costs
-    /// nothing (no whole answer came of it), and a non-idempotent call that may have run costs
+    /// nothing (it yielded no complete answer), and a non-idempotent call that may have run costs
     /// its bound.
     pub(super) fn settle(&mut self, outcome: &Outcome, end: Option<&RunEnd>) {
         let Some(reservation) = self.reservation.take() else {
             return;
         };
         let cost = match (end, outcome) {
-            (Some(end), _) => self.ours(end),
-            (None, Outcome::Unknown(_)) if self.spec.once && self.start != Started::No => {
+            (Some(end), _) => self.own_charge(end),
+            (None, Outcome::Unknown(_))
+                if self.spec.once && self.start_state != StartState::NotSent =>
+            {
                 reservation.bound()
             }
             (None, _) => 0,
@@ -141,12 +145,12 @@
 }
 
 impl Target {
-    /// A target that no sidecar is: what a claim names before an endpoint is chosen.
-    pub(super) fn nobody() -> Self {
+    /// A target that matches no sidecar, for a claim made before an endpoint is chosen.
+    pub(super) fn unset() -> Self {
         Self::new("".into(), 0)
     }
 
-    /// One life of a sidecar.
+    /// A target: one incarnation of a sidecar.
     pub fn new(sidecar: InstanceId, life: Incarnation) -> Self {
         Self { sidecar, life }
     }
--- a/crates/anvilreel/src/request/reading.rs
+++ b/crates/anvilreel/src/request/reading.rs
@@ -1,13 +1,13 @@
-//! Reading a run's output and passing it on.
+//! Reads a run's output and passes it on to the caller.
 
 use anvil_wire::msg::{Frame, ProbeAnswer, RunEnd, SidecarReply, SidecarRequest, Work};
 use anvil_world::prelude::*;
 
-use super::exchange::{Exchange, Started, Step};
+use super::exchange::{Exchange, StartState, Step};
 use super::{Action, Dispatch, ExchangeError};
 
 impl Exchange {
-    /// Reads the target's run from where the caller is; never runs anything.
+    /// Reads the target's run from the offset that the caller has reached; never starts a run.
     pub(super) fn attach(&mut self) {
         let Some(target) = self.target.clone() else {
             return;
@@ -20,10 +20,10 @@
 
     pub(super) fn reply(&mut self, now: Now, dispatch: Dispatch, reply: SidecarReply) {
         if matches!(self.step, Step::Probing { .. }) {
-            return self.probed(dispatch, Some(&reply));
+            return self.probe_answered(dispatch, Some(&reply));
         }
-        // Failure: answers of an earlier call that come late or crossed. They would show as
-        // bytes of another attempt in this answer; the call's number keeps them out.
+        // Replies of an earlier call can arrive late or out of order. The call's number keeps bytes
+        // of another attempt out of this answer.
         if dispatch != self.dispatch {
             return;
         }
@@ -32,51 +32,53 @@
             SidecarReply::Head(head) => self.deliver_head(head),
             SidecarReply::Frame(frame) => self.frame(now, frame),
             SidecarReply::End(end) => self.end(now, end),
-            SidecarReply::Refused(refusal) => self.refused(refusal),
-            SidecarReply::Probed(answer) => self.answered(now, answer),
+            SidecarReply::Refused(refusal) => self.start_refused(refusal),
+            SidecarReply::Probed(answer) => self.sidecar_answered(now, answer),
             SidecarReply::Ordered(_) | SidecarReply::Load(_) => {}
         }
     }
 
-    /// The payer is whose start began the run: only it may continue elsewhere on its own.
+    /// The exchange whose start began the run pays for it, and only it may continue elsewhere on
+    /// its own.
     ///
-    /// Failure: a run is found at a sidecar that was asked, not through a claim, and the caller
-    /// came with another body under its key. It would show as the answer to another question.
+    /// The body is compared because a run can be found by probing a sidecar instead of through a
+    /// claim. A caller that reuses its key with another body would otherwise receive the answer to
+    /// a different request.
     fn accepted(&mut self, attached: bool, body: BodyHash) {
         if body != self.spec.body {
             return self.refuse(Refusal::new(Reason::KeyReused(body)));
         }
-        if self.start == Started::Sent && !attached {
-            self.start = Started::Begun;
+        if self.start_state == StartState::Sent && !attached {
+            self.start_state = StartState::Begun;
         }
     }
 
     fn deliver_head(&mut self, head: anvil_wire::msg::Head) {
-        if !self.caller.has_head && !self.caller.gone {
+        if !self.caller.has_head && !self.caller.disconnected {
             self.actions.push(Action::DeliverHead(head));
         }
         self.caller.has_head = true;
     }
 
-    /// Passes a frame on if it is ours and fits.
+    /// Passes a frame on if it belongs to this request and continues its output.
     fn frame(&mut self, now: Now, frame: Frame) {
-        if let Err(e) = self.fits(&frame) {
+        if let Err(e) = self.check_frame(&frame) {
             self.actions.push(Action::Violation(e));
-            return self.break_off(now);
+            return self.back_off(now);
         }
-        self.breaks = 0;
+        self.consecutive_breaks = 0;
         self.delivered += frame.bytes.len() as u64;
         self.delivered_tokens = self.delivered_tokens.max(frame.tokens);
         if matches!(self.spec.work, Work::Chat { .. }) {
             self.prefix.extend_from_slice(&frame.bytes);
         }
-        if !self.caller.gone {
+        if !self.caller.disconnected {
             self.actions.push(Action::Deliver(frame.bytes));
         }
     }
 
-    fn fits(&self, frame: &Frame) -> Result<(), ExchangeError> {
-        self.is_ours(&frame.key)?;
+    fn check_frame(&self, frame: &Frame) -> Result<(), ExchangeError> {
+        self.check_key(&frame.key)?;
         if frame.offset == self.delivered {
             return Ok(());
         }
@@ -86,7 +88,7 @@
         })
     }
 
-    fn is_ours(&self, key: &RequestKey) -> Result<(), ExchangeError> {
+    fn check_key(&self, key: &RequestKey) -> Result<(), ExchangeError> {
         if *key == self.spec.key {
             return Ok(());
         }
@@ -97,20 +99,20 @@
     }
 
     fn end(&mut self, now: Now, end: Box<RunEnd>) {
-        if let Err(e) = self.ends(&end) {
+        if let Err(e) = self.check_end(&end) {
             self.actions.push(Action::Violation(e));
-            return self.break_off(now);
+            return self.back_off(now);
         }
         match &end.outcome {
-            Outcome::Unknown(Doubt::EndpointLost) if self.may_continue() => self.move_on(),
+            Outcome::Unknown(Doubt::EndpointLost) if self.may_continue() => self.resume_elsewhere(),
             outcome => self.finish(outcome.clone(), Some(end)),
         }
     }
 
-    /// Failure: an end that comes before all output and looks complete. It would show as an
-    /// answer cut short that the caller takes for whole.
-    fn ends(&self, end: &RunEnd) -> Result<(), ExchangeError> {
-        self.is_ours(&end.key)?;
+    /// Rejects an end that looks complete but arrives before all output; the caller would take a
+    /// truncated answer for a complete one.
+    fn check_end(&self, end: &RunEnd) -> Result<(), ExchangeError> {
+        self.check_key(&end.key)?;
         let completed = matches!(end.outcome, Outcome::Completed(_));
         if !completed || end.length == self.delivered {
             return Ok(());
@@ -121,8 +123,8 @@
         })
     }
 
-    /// What the sidecar knows of the key, in answer to an attach, a forbid or a cancel.
-    fn answered(&mut self, now: Now, answer: ProbeAnswer) {
+    /// Handles what the sidecar knows about the key, in answer to an attach, a forbid or a cancel.
+    fn sidecar_answered(&mut self, now: Now, answer: ProbeAnswer) {
         match (&self.step, answer) {
             (Step::Cancelling, ProbeAnswer::Ended(end)) => {
                 let outcome = end.outcome.clone();
@@ -131,20 +133,21 @@
             (Step::Cancelling, ProbeAnswer::Forbidden | ProbeAnswer::Unheard) => {
                 self.refuse(Refusal::new(Reason::Cancelled));
             }
-            (Step::Forbidding { because }, ProbeAnswer::Forbidden) => {
-                let because = because.clone();
-                self.forbidden(because);
+            (Step::Forbidding { cause }, ProbeAnswer::Forbidden) => {
+                let cause = cause.clone();
+                self.start_forbidden(cause);
             }
             (Step::Forbidding { .. }, ProbeAnswer::Running { .. } | ProbeAnswer::Ended(_)) => {
                 self.attach();
             }
-            (Step::Reading, ProbeAnswer::Unheard) => self.unheard(),
+            (Step::Reading, ProbeAnswer::Unheard) => self.key_unknown(),
             (_, ProbeAnswer::Forbidden) => {
-                self.forbidden(Refusal::new(Reason::EndpointRefused));
+                self.start_forbidden(Refusal::new(Reason::EndpointRefused));
             }
-            (_, ProbeAnswer::OtherLife) => self.life_over(),
-            // An attach that finds a run is answered by the run itself.
-            (_, _) => self.break_off(now),
+            (_, ProbeAnswer::OtherLife) => self.incarnation_ended(),
+            // A successful attach is answered by the run's output, so any other answer is
+            // unexpected.
+            (_, _) => self.back_off(now),
         }
     }
 }
--- a/crates/anvilreel/src/request/spec.rs
+++ b/crates/anvilreel/src/request/spec.rs
@@ -1,4 +1,4 @@
-//! What is asked, and where it may go.
+//! The specification of a request, and the sidecars that it may go to.
 
 use std::time::Duration;
 
@@ -8,54 +8,54 @@
 
 use crate::claims::GENERATION_MARK;
 
-/// A checked request of one caller.
+/// A caller's validated request.
 #[derive(Debug, Clone)]
 pub struct Spec {
-    /// What names it.
+    /// The request's key.
     pub key: RequestKey,
-    /// Names this exchange's claim in the ledger; unique in the fleet.
+    /// Id of this exchange's claim in the ledger; unique in the fleet.
     pub claim_id: ClaimId,
-    /// Whether the caller made the key, so that it can come back with it through any router.
+    /// Whether the caller chose the key, so that it can retry with the same key through any router.
     pub named: bool,
     /// Hash of the caller's body.
     pub body: BodyHash,
     /// Whether it may run at most once, ever.
     pub once: bool,
-    /// Who pays.
+    /// The budgets that pay, and their shares.
     pub split: Split,
-    /// Tokens for each unit of use.
+    /// Tokens per unit of usage.
     pub price: Price,
     /// The most it may cost, in tokens.
     pub bound: Tokens,
-    /// What to do.
+    /// The work to be run.
     pub work: Work,
-    /// How it waits.
+    /// Priority class.
     pub class: WorkClass,
-    /// When it is given up.
+    /// When the request is given up.
     pub deadline: Now,
-    /// How long the answer is kept for a caller that comes back.
+    /// How long the answer is kept for a caller that retries.
     pub keep: Duration,
-    /// The routers that keep this key's claim, see [`crate::claims::placement`].
+    /// The routers that hold this key's claim, see [`crate::claims::placement`].
     pub holders: Vec<InstanceId>,
-    /// Sidecars that may run this key although no holder can vouch that it is unclaimed: all that
-    /// are eligible, unless [`crate::claims::Tenure::is_settled`]. Asked only when needed.
+    /// Sidecars to probe if no holder can confirm that the key is unclaimed: all that could run it,
+    /// or none if the key has had the same holders for as long as a claim is kept.
     pub suspects: Vec<Target>,
 }
 
-/// One life of a sidecar.
+/// One incarnation of a sidecar.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Target {
     /// The sidecar.
     pub sidecar: InstanceId,
-    /// Its life.
+    /// Its incarnation.
     pub life: Incarnation,
 }
 
-/// The key under which the claim of a later generation is kept.
+/// The key under which a later generation of a claim is stored.
 ///
-/// A claim is never overwritten: when its sidecar is lost or has said that it will never run the
-/// key, the next generation is claimed instead. So each claim is a write-once register, and a
-/// late message can't undo one. A caller's key is printable, so it can't look like this.
+/// A claim is never overwritten: if its sidecar is lost or has confirmed that it will never run the
+/// key, the next generation is claimed instead. So each claim is a write-once register, and a late
+/// message can't revert one. Keys chosen by callers are printable, so none can equal such a key.
 pub fn generation_key(key: &RequestKey, generation: u32) -> RequestKey {
     if generation == 0 {
         return key.clone();
--- a/crates/anvilreel/tests/claims_tenure.rs
+++ b/crates/anvilreel/tests/claims_tenure.rs
@@ -1,11 +1,11 @@
-//! Who keeps a key's claim, and who may vouch for it.
+//! Which routers hold a key's claim, and when a holder may confirm it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use anvil_wire::msg::{HolderLife, PlacedClaim, RouterReply, RouterRequest};
 use anvil_world::prelude::*;
-use anvilreel::claims::{ClaimBook, Tenure, holder_lives, placement};
+use anvilreel::claims::{ClaimBook, Tenure, holder_incarnations, placement};
 use anvilreel::request::generation_key;
 
 const WINDOW: Duration = Duration::from_mins(5);
@@ -39,7 +39,7 @@
 }
 
 fn holders(key: &RequestKey, members: &[Member]) -> Vec<HolderLife> {
-    holder_lives(key, "ke-central", members)
+    holder_incarnations(key, "ke-central", members)
 }
 
 fn claim(key: &RequestKey, sidecar: &str) -> PlacedClaim {
@@ -52,16 +52,16 @@
     }
 }
 
-/// A rack takes a whole availability zone's routers with it. With both holders in it, a retry
-/// would find no claim and run again.
+/// If an availability zone is lost with both holders of a key's claim, a retry finds no claim and
+/// runs the key again.
 #[test]
-fn holders_stand_in_two_zones() {
+fn holders_are_in_two_zones() {
     let members = routers(9);
     for n in 0..200 {
         let held = placement(&key(&n.to_string()), "ke-central", &members);
         let zone = |id: &InstanceId| {
             let found = members.iter().find(|m| m.instance.id == *id);
-            found.expect("a member").instance.zone.clone()
+            found.expect("the holder is a member").instance.zone.clone()
         };
         assert_eq!(held.len(), 2);
         assert_ne!(zone(&held[0]), zone(&held[1]));
@@ -82,58 +82,61 @@
 }
 
 #[test]
-fn a_later_generation_stands_where_the_first_one_does() {
+fn later_generation_has_the_same_holders() {
     let (members, key) = (routers(9), key("order"));
     let later = generation_key(&key, 3);
     assert_eq!(holders(&later, &members), holders(&key, &members));
 }
 
-/// A router was frozen while the members changed, thaws and asks the holders that it knows. One
-/// that vouched for it would let the key run a second time beside the new holders' claim.
+/// A router was frozen while the members changed, and asks the holders according to its old list. A
+/// holder that confirms its claim would let the key run a second time beside the new holders'
+/// claim.
 #[test]
-fn nobody_vouches_for_an_asker_who_knows_other_members() {
+fn holder_does_not_confirm_for_a_router_with_other_members() {
     let (old, key) = (routers(4), key("q"));
     let asked = holders(&key, &old);
     let me = asked[0].id.clone();
-    let mut tenure = Tenure::new("ke-central".into(), WINDOW, Now::ZERO);
-    tenure.note(Now::ZERO, &old);
+    let mut history = Tenure::new("ke-central".into(), WINDOW, Now::ZERO);
+    history.note(Now::ZERO, &old);
     let late = WINDOW + Duration::from_secs(1);
-    let heard = Duration::from_secs(1);
-    assert!(tenure.vouches(late, heard, &me, &key, &asked));
+    let disconnected_for = Duration::from_secs(1);
+    assert!(history.vouches(late, disconnected_for, &me, &key, &asked));
     let other = asked[1].id.strip_prefix('r').and_then(|i| i.parse().ok());
     let mut new = old.clone();
-    let other: usize = other.expect("a number");
+    let other: usize = other.expect("the id ends in a number");
     new[other] = router(other, 2);
-    tenure.note(late, &new);
-    assert!(!tenure.vouches(late, heard, &me, &key, &asked));
+    history.note(late, &new);
+    assert!(!history.vouches(late, disconnected_for, &me, &key, &asked));
 }
 
-/// A holder is cut off from the ledger for so long that it may have been declared lost.
+/// A holder that has been disconnected from the ledger for so long that it may have been declared
+/// lost confirms no claims.
 #[test]
-fn a_holder_out_of_touch_vouches_for_nothing() {
+fn disconnected_holder_confirms_no_claim() {
     let (members, key) = (routers(4), key("q"));
     let asked = holders(&key, &members);
-    let mut tenure = Tenure::new("ke-central".into(), WINDOW, Now::ZERO);
-    tenure.note(Now::ZERO, &members);
+    let mut history = Tenure::new("ke-central".into(), WINDOW, Now::ZERO);
+    history.note(Now::ZERO, &members);
     let late = WINDOW + Duration::from_secs(1);
-    let silent = Duration::from_secs(4);
-    assert!(!tenure.vouches(late, silent, &asked[0].id, &key, &asked));
-    // Nor does one that holds the key since a short time: it may have missed a claim.
+    let disconnected_for = Duration::from_secs(4);
+    assert!(!history.vouches(late, disconnected_for, &asked[0].id, &key, &asked));
+    // Nor does a holder that has held the key only for a short time: it may not know of an earlier
+    // claim.
     let soon = WINDOW.saturating_sub(Duration::from_secs(1));
-    assert!(!tenure.vouches(soon, Duration::ZERO, &asked[0].id, &key, &asked));
+    assert!(!history.vouches(soon, Duration::ZERO, &asked[0].id, &key, &asked));
 }
 
 #[test]
-fn the_first_claim_stands_and_a_vouchless_holder_keeps_it_too() {
-    let (mut book, key) = (ClaimBook::default(), key("q"));
+fn first_claim_is_kept_even_by_a_holder_that_does_not_confirm() {
+    let (mut store, key) = (ClaimBook::default(), key("q"));
     let put = |sidecar| RouterRequest::PutAs {
         claim: claim(&key, sidecar),
         holders: Vec::new(),
     };
-    let first = book.handle(Now::ZERO, put("s1"), |_, _| false);
+    let first = store.handle(Now::ZERO, put("s1"), |_, _| false);
     assert_eq!(first, RouterReply::Leaving);
-    let second = book.handle(Now::ZERO, put("s2"), |_, _| true);
+    let second = store.handle(Now::ZERO, put("s2"), |_, _| true);
     assert_eq!(second, RouterReply::Claim(Some(claim(&key, "s1"))));
-    let over = book.handle(WINDOW, RouterRequest::Get(key.clone()), |_, _| true);
-    assert_eq!(over, RouterReply::Claim(None));
+    let expired = store.handle(WINDOW, RouterRequest::Get(key.clone()), |_, _| true);
+    assert_eq!(expired, RouterReply::Claim(None));
 }
--- a/crates/anvilreel/tests/request_refused.rs
+++ b/crates/anvilreel/tests/request_refused.rs
@@ -1,4 +1,4 @@
-//! A request whose first endpoint refuses it.
+//! A request that is refused by its first endpoint.
 
 use std::time::Duration;
 
@@ -42,11 +42,11 @@
     }
 }
 
-/// A purse with one grant that is large enough.
-fn purse() -> Purse {
-    let purse = Purse::new("router-0".into(), 1, GrantPolicy::default());
-    assert!(purse.reserve(NOW, &split(), BOUND).is_err());
-    let seq = purse.batch(NOW).expect("it asks").seq;
+/// An account with one grant that is large enough.
+fn new_account() -> Purse {
+    let account = Purse::new("router-0".into(), 1, GrantPolicy::default());
+    assert!(account.reserve(NOW, &split(), BOUND).is_err());
+    let seq = account.batch(NOW).expect("a batch with an ask").seq;
     let grant = Grant {
         id: 1,
         budget: "nairobi".into(),
@@ -62,14 +62,15 @@
         opened: vec![grant],
         ..GrantBatchAnswer::default()
     };
-    purse.answered(NOW, &answer).unwrap();
-    purse
+    account.answered(NOW, &answer).unwrap();
+    account
 }
 
-/// Feeds an event, reserves where that is asked, and gives back the call that is made.
-fn feed(exchange: &mut Exchange, purse: &Purse, event: Event) -> Option<(u32, Target)> {
+/// Feeds an event, makes a reservation where one is requested, and returns the call that the
+/// exchange makes.
+fn feed(exchange: &mut Exchange, account: &Purse, event: Event) -> Option<(u32, Target)> {
     let mut call = None;
-    for action in exchange.handle(NOW, purse, event) {
+    for action in exchange.handle(NOW, account, event) {
         match action {
             Action::Call {
                 dispatch,
@@ -80,8 +81,8 @@
                 call = Some((dispatch, target));
             }
             Action::Reserve => {
-                let reservation = purse.reserve(NOW, &split(), BOUND).unwrap();
-                call = call.or(feed(exchange, purse, Event::Reserved(reservation)));
+                let reservation = account.reserve(NOW, &split(), BOUND).unwrap();
+                call = call.or(feed(exchange, account, Event::Reserved(reservation)));
             }
             _ => {}
         }
@@ -89,29 +90,29 @@
     call
 }
 
-/// One endpoint of two answers every request with an error at once. Its sidecar refuses, and its
-/// stream ends. Callers get nothing until their deadline: the end of the stream was taken for a
-/// break of the call, the request paused for a target that it had left, and the other endpoint
-/// that was chosen meanwhile was not heard.
+/// One of two endpoints answers every request with an error at once; its sidecar refuses, and its
+/// stream ends. The end of the stream was taken for a break of the next call: the request backed
+/// off for a target that it had left, the other endpoint chosen meanwhile was ignored, and the
+/// caller got no answer until its deadline.
 #[test]
-fn the_end_of_a_refusal_does_not_stop_the_next_try() {
-    let purse = purse();
+fn stream_end_after_a_refusal_does_not_break_the_next_attempt() {
+    let account = new_account();
     let mut exchange = Exchange::new(spec());
     let failing = Target::new("runner-1".into(), 1);
-    let well = Target::new("runner-0".into(), 1);
-    feed(&mut exchange, &purse, Event::Begin);
-    let first = feed(&mut exchange, &purse, Event::Chosen(failing.clone()));
-    let (dispatch, target) = first.expect("it is sent");
+    let healthy = Target::new("runner-0".into(), 1);
+    feed(&mut exchange, &account, Event::Begin);
+    let first = feed(&mut exchange, &account, Event::Chosen(failing.clone()));
+    let (dispatch, target) = first.expect("the start is sent");
     assert_eq!(target, failing);
     let refusal = Refusal::new(Reason::EndpointRefused);
     let reply = SidecarReply::Refused(refusal);
-    feed(&mut exchange, &purse, Event::Reply { dispatch, reply });
+    feed(&mut exchange, &account, Event::Reply { dispatch, reply });
     let never_sent = false;
     let ended = Event::Broken {
         dispatch,
         never_sent,
     };
-    feed(&mut exchange, &purse, ended);
-    let second = feed(&mut exchange, &purse, Event::Chosen(well.clone()));
-    assert_eq!(second.expect("it is sent again").1, well);
+    feed(&mut exchange, &account, ended);
+    let second = feed(&mut exchange, &account, Event::Chosen(healthy.clone()));
+    assert_eq!(second.expect("a second start is sent").1, healthy);
 }
