--- a/crates/anvilreel/src/router.rs
+++ b/crates/anvilreel/src/router.rs
@@ -1,8 +1,11 @@
-//! A router as a process: callers' HTTP on one side, sidecars, routers and the ledger on the other.
+//! The router process: serves callers over HTTP and talks to sidecars, other routers and the
+//! ledger.
 //!
-//! Read on: [`Router`], then `front` (what callers may ask), `chat_call` and `plain_call` (how it
-//! becomes a checked job), `flow` (a job's life, around [`crate::request`]), `keepers` (who keeps
-//! claims), `lane` and `places` (where work goes), `follow` and `view` (settings in force).
+//! Reading order: [`Router`]; `front` (the HTTP routes); `chat_call` and `plain_call` (how an HTTP
+//! request becomes a validated job); `request_task` (runs one job, driving the state machine of
+//! [`crate::request`]); `claim_holders` (stores and looks up request key claims); `pool_queue` and
+//! `endpoint_pools` (admission and endpoint selection); `follow` and `view` (the settings in
+//! force).
 
 mod accept;
 mod call;
@@ -46,41 +49,41 @@
 use crate::metrics::{Metrics, REQUESTS_OPEN};
 use crate::money::{GrantPolicy, Purse};
 use crate::peers::Peers;
-use follow::{Follower, Following};
-use places::Places;
+use follow::{Follower, ViewState};
+use places::EndpointPools;
 
 pub use refuse::ErrorBody;
 
-/// When to come back where another router or endpoint may take the work.
-const SOON: Duration = Duration::from_secs(1);
-/// Time between two looks at the queues and at what is kept.
-const TICK: Duration = Duration::from_millis(100);
-/// How long a planned stop waits between readiness going off and connections being closed, so
-/// that the balancer sees it first.
-const UNREADY_FIRST: Duration = Duration::from_millis(300);
-/// How long a planned stop tries to give its grants back.
-const GIVE_BACK: Duration = Duration::from_secs(5);
+/// Retry-After given to callers when another router or endpoint may serve the request.
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Interval at which queues are processed and gauges are updated.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a planned stop reports "not ready" before it closes connections, so that the load
+/// balancer notices first.
+const UNREADY_DELAY: Duration = Duration::from_millis(300);
+/// How long a planned stop waits for its grants to be returned to the ledger.
+const GRANT_RETURN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A router that can't start.
+/// The router could not start.
 #[derive(Debug, Snafu)]
 pub enum RouterError {
-    /// The callers' address can't be listened on.
+    /// Listening on the address for callers failed.
     #[snafu(display("can't listen on {addr}: {source}"))]
     Listen {
-        /// Where.
+        /// The address.
         addr: SocketAddr,
-        /// Why.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The fleet's address can't be listened on.
+    /// Listening on the address for the fleet's own protocol failed.
     #[snafu(display("{source}"))]
     Wire {
-        /// Why.
+        /// The error of the wire server.
         source: WireError,
     },
 }
 
-/// What all parts of a router share.
+/// State shared by all parts of a router.
 pub(crate) struct Core {
     instance: Instance,
     life: Life,
@@ -88,14 +91,14 @@
     metrics: Metrics,
     ledger: Arc<LedgerClient>,
     peers: Arc<Peers>,
-    following: Arc<Following>,
-    places: Places,
-    purse: Purse,
-    money_wanted: Notify,
+    view_state: Arc<ViewState>,
+    pools: EndpointPools,
+    grant_account: Purse,
+    batch_wanted: Notify,
     claims: Mutex<ClaimBook>,
-    tenure: Mutex<Tenure>,
-    made_ids: AtomicU64,
-    open: AtomicUsize,
+    holder_history: Mutex<Tenure>,
+    generated_ids: AtomicU64,
+    open_requests: AtomicUsize,
 }
 
 /// A running router.
@@ -109,7 +112,7 @@
 }
 
 impl Router {
-    /// Listens, joins the fleet and serves callers as soon as it has the settings tree.
+    /// Starts listening and joins the fleet; serves callers as soon as the settings tree is loaded.
     pub async fn start(
         settings: &RouterSettings,
         log: Logger,
@@ -140,74 +143,76 @@
         })
     }
 
-    /// Where callers connect.
+    /// The address on which callers connect.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Where the fleet's processes connect.
+    /// The address on which other processes of the fleet connect.
     pub fn wire_addr(&self) -> SocketAddr {
         self.wire_addr
     }
 
-    /// Whether it would answer `/readyz` with 200.
+    /// Whether `/readyz` answers 200.
     pub fn is_ready(&self) -> bool {
-        self.core.following.serves() && !self.core.life.is_leaving()
+        self.core.view_state.accepts_work() && !self.core.life.is_leaving()
     }
 
-    /// Whether this router sends work to the sidecar at this address, in its present life.
+    /// Whether the router currently sends work to the sidecar at this address, in the incarnation
+    /// that the members' list names.
     pub fn sees(&self, sidecar: SocketAddr) -> bool {
-        let view = self.core.following.view.load();
+        let view = self.core.view_state.view.load();
         let mut all = view.endpoints.values().flatten();
         all.any(|instance| instance.addr == sidecar)
     }
 
-    /// Endpoints that this router knows of.
+    /// Number of endpoints known to this router.
     pub fn endpoints(&self) -> usize {
-        let view = self.core.following.view.load();
+        let view = self.core.view_state.view.load();
         view.endpoints.values().map(Vec::len).sum()
     }
 
-    /// The newest version of tree, members and fences that is in force here.
+    /// The newest version of the settings tree, members and fences applied by this router.
     pub fn version(&self) -> LogIndex {
-        self.core.following.view.load().version
+        self.core.view_state.view.load().version
     }
 
-    /// Routers that this one knows of, itself included.
+    /// Number of routers known to this one, itself included.
     pub fn peers(&self) -> usize {
-        self.core.following.view.load().routers.len()
+        self.core.view_state.view.load().routers.len()
     }
 
-    /// The planned stop: readiness off, no new work, streams finish, grants go back, claims are
-    /// handed over.
+    /// Planned stop: reports "not ready", accepts no new work, lets streams finish, hands claims
+    /// over and returns its grants.
     pub async fn stop(self) {
         let core = &self.core;
         event!(core.log, events::ROUTER_LEAVING);
         core.life.leave();
-        sleep(UNREADY_FIRST).await;
+        sleep(UNREADY_DELAY).await;
         self.close.notify_one();
-        // An error is a panic of the serving task, after which nothing is left to wait for.
+        // An error means that the serving task panicked; there is nothing left to wait for.
         let _ = self.serving.await;
-        while core.open.load(Ordering::Relaxed) > 0 {
-            sleep(TICK).await;
+        while core.open_requests.load(Ordering::Relaxed) > 0 {
+            sleep(TICK_INTERVAL).await;
         }
         keepers::hand_over(core).await;
-        money_loop::give_back(core, GIVE_BACK).await;
+        money_loop::return_grants(core, GRANT_RETURN_TIMEOUT).await;
         event!(core.log, events::ROUTER_STOPPED);
         for task in &self.tasks {
             task.abort();
         }
     }
 
-    /// Returns when the ledger holds this life to be over, after a silence of many minutes.
+    /// Returns once the ledger has declared this incarnation over, because it was unresponsive for
+    /// many minutes.
     ///
-    /// Failure: a router behind a long partition comes back and is refused by every sidecar,
-    /// for its life is fenced; without a new life it would refuse callers for ever.
+    /// After a long partition the incarnation is fenced and every sidecar refuses it. Unless the
+    /// process starts a new incarnation, this router would refuse callers for ever.
     pub async fn over(&self) {
         self.core.life.ended().await;
     }
 
-    /// Makes room for a new life on the same addresses. What is open goes on to its end.
+    /// Frees the addresses for a new incarnation. Open requests run to their end.
     pub fn retire(self) {
         let Self {
             core,
@@ -216,13 +221,13 @@
             ..
         } = self;
         core.life.leave();
-        // The first task listens for the fleet; its address is wanted by the new life.
+        // The first task is the wire server; the new incarnation needs its address.
         tasks.remove(0).abort();
         tokio::spawn(async move {
-            // An error is a panic of the serving task, after which nothing is left to wait for.
+            // An error means that the serving task panicked; there is nothing left to wait for.
             let _ = serving.await;
-            while core.open.load(Ordering::Relaxed) > 0 {
-                sleep(TICK).await;
+            while core.open_requests.load(Ordering::Relaxed) > 0 {
+                sleep(TICK_INTERVAL).await;
             }
             for task in &tasks {
                 task.abort();
@@ -230,8 +235,8 @@
         });
     }
 
-    /// Stops listening and talking to the ledger at once. Requests under way go on as those of a
-    /// router do that is cut off from the ledger, until they are refused.
+    /// Stops listening and stops all communication with the ledger at once. Requests in flight
+    /// continue, as at a router that is partitioned from the ledger, until they are refused.
     pub fn kill(self) {
         self.serving.abort();
         for task in &self.tasks {
@@ -241,40 +246,40 @@
 }
 
 fn spawn_tasks(core: &Arc<Core>, server: Server) -> Vec<JoinHandle<()>> {
-    let answering = core.clone();
+    let call_core = core.clone();
     let handlers = Handlers::default().with::<RouterCall, _, _>(move |req, tx| {
-        let reply = keepers::answer(&answering, req);
+        let reply = keepers::answer(&call_core, req);
         async move {
-            // Whoever asked is gone and asks again.
+            // Sending fails only if the caller has disconnected; it will ask again.
             let _ = tx.finish(&reply).await;
         }
     });
-    let changed = core.clone();
+    let view_core = core.clone();
     let follower = Arc::new(Follower {
-        following: core.following.clone(),
+        view_state: core.view_state.clone(),
         ledger: core.ledger.clone(),
         instance: core.instance.clone(),
         log: core.log.clone(),
         metrics: core.metrics.clone(),
-        changed: Box::new(move |held, view| changed.take_in(held, view)),
+        on_change: Box::new(move |held, view| view_core.apply_view(held, view)),
     });
-    let (beating, ticking, paying) = (follower.clone(), core.clone(), core.clone());
+    let (heartbeat_sender, tick_core, money_core) = (follower.clone(), core.clone(), core.clone());
     let life = core.life.clone();
     vec![
         tokio::spawn(server.serve(handlers, std::future::pending())),
         tokio::spawn(async move { follower.follow().await }),
-        tokio::spawn(async move { beating.beat(&life).await }),
-        tokio::spawn(async move { ticking.tick().await }),
-        tokio::spawn(async move { money_loop::run(&paying).await }),
+        tokio::spawn(async move { heartbeat_sender.send_heartbeats(&life).await }),
+        tokio::spawn(async move { tick_core.tick().await }),
+        tokio::spawn(async move { money_loop::run(&money_core).await }),
     ]
 }
 
-/// Counts a request as open until it is dropped.
-pub(crate) struct Open(Arc<Core>);
+/// Counts a request as open until this guard is dropped.
+pub(crate) struct OpenRequest(Arc<Core>);
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, Ordering::Relaxed);
+        self.0.open_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -297,29 +302,30 @@
         let peers = Arc::new(Peers::default());
         let fleet = FleetDocument::default();
         let window = fleet.keep_answers + fleet.request_timeout;
-        let tenure = Tenure::new(instance.zone.region.clone(), window, life.now());
+        let holder_history = Tenure::new(instance.zone.region.clone(), window, life.now());
         let policy = GrantPolicy::default();
         Self {
-            places: Places::new(instance.clone(), life.clone(), peers.clone()),
-            purse: Purse::new(instance.id.clone(), life.incarnation, policy),
-            following: Arc::new(Following::new(life.clone())),
+            pools: EndpointPools::new(instance.clone(), life.clone(), peers.clone()),
+            grant_account: Purse::new(instance.id.clone(), life.incarnation, policy),
+            view_state: Arc::new(ViewState::new(life.clone())),
             ledger: Arc::new(LedgerClient::new(&settings.ledgers).with_learning()),
             instance,
             life,
             log,
             metrics,
             peers,
-            money_wanted: Notify::new(),
+            batch_wanted: Notify::new(),
             claims: Mutex::default(),
-            tenure: Mutex::new(tenure),
-            made_ids: AtomicU64::new(0),
-            open: AtomicUsize::new(0),
+            holder_history: Mutex::new(holder_history),
+            generated_ids: AtomicU64::new(0),
+            open_requests: AtomicUsize::new(0),
         }
     }
 
-    /// An id for a request that came without one: unique in the fleet, and over restarts.
+    /// Generates an id for a request that came without one: unique in the fleet, also across
+    /// restarts.
     fn next_id(&self) -> Arc<str> {
-        let number = self.made_ids.fetch_add(1, Ordering::Relaxed);
+        let number = self.generated_ids.fetch_add(1, Ordering::Relaxed);
         format!(
             "{}-{:x}-{number:x}",
             self.instance.id, self.life.incarnation
@@ -327,41 +333,43 @@
         .into()
     }
 
-    fn claim_book(&self) -> MutexGuard<'_, ClaimBook> {
-        // A panic elsewhere leaves the book as it was between two steps.
+    fn lock_claims(&self) -> MutexGuard<'_, ClaimBook> {
+        // Each update leaves the store consistent, so a poisoned lock can be used.
         self.claims.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn tenure(&self) -> MutexGuard<'_, Tenure> {
-        // A panic elsewhere leaves the lists as they were between two steps.
-        self.tenure.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_holder_history(&self) -> MutexGuard<'_, Tenure> {
+        // Each update leaves the lists consistent, so a poisoned lock can be used.
+        self.holder_history
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn enter(self: &Arc<Self>) -> Open {
-        self.open.fetch_add(1, Ordering::Relaxed);
-        Open(self.clone())
+    fn track_request(self: &Arc<Self>) -> OpenRequest {
+        self.open_requests.fetch_add(1, Ordering::Relaxed);
+        OpenRequest(self.clone())
     }
 
-    fn take_in(&self, held: &crate::held::Held, view: &view::View) {
+    fn apply_view(&self, held: &crate::held::Held, view: &view::View) {
         if held.is_fenced(&self.instance.id, self.instance.incarnation) {
-            self.purse.fence();
+            self.grant_account.fence();
             if self.life.end() {
                 event!(self.log, events::ROUTER_FENCED);
             }
         }
-        let mut tenure = self.tenure();
-        tenure.set_window(view.fleet.keep_answers + view.fleet.request_timeout);
-        tenure.note(self.life.now(), view.routers.values());
-        drop(tenure);
-        self.purse.set_horizon(view.fleet.grant_horizon);
-        self.places.update(view);
+        let mut holder_history = self.lock_holder_history();
+        holder_history.set_window(view.fleet.keep_answers + view.fleet.request_timeout);
+        holder_history.note(self.life.now(), view.routers.values());
+        drop(holder_history);
+        self.grant_account.set_horizon(view.fleet.grant_horizon);
+        self.pools.update(view);
     }
 
     async fn tick(&self) {
         loop {
-            sleep(TICK).await;
-            self.places.tick();
-            let open = self.open.load(Ordering::Relaxed);
+            sleep(TICK_INTERVAL).await;
+            self.pools.tick();
+            let open = self.open_requests.load(Ordering::Relaxed);
             self.metrics.gauge(REQUESTS_OPEN, open as u64);
         }
     }
--- a/crates/anvilreel/src/router/accept.rs
+++ b/crates/anvilreel/src/router/accept.rs
@@ -1,7 +1,7 @@
-//! Takes callers' connections and lets them finish on a planned stop.
+//! Accepts callers' connections and lets them finish on a planned stop.
 //!
-//! viz routes the requests; its own server is not used, because it cuts connections ten seconds
-//! after the stop, and a planned stop here cuts no request short.
+//! viz routes the requests. Its own server is not used: it cuts connections ten seconds after the
+//! stop, whereas a planned stop must not cut any request short.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,18 +15,18 @@
 use tokio::time::sleep;
 use viz::{Responder, Tree};
 
-/// Bytes kept for a caller that reads slowly, in each direction.
+/// Buffer for one connection, in bytes and for each direction; bounds the memory of a slow reader.
 const CONNECTION_BUFFER: usize = 16 << 10;
-/// Longest time a caller may take to send the head of a request.
+/// Longest time a caller may take to send a request's head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(15);
-/// Pause after a failed accept, such as when file descriptors are used up.
+/// Pause after a failed accept, for instance when file descriptors are used up.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Serves callers until told to close and all requests have ended.
+/// Serves callers until `close` is notified and all requests have ended.
 ///
-/// The connections' tasks belong to this one. Failure: a router that is killed in the process
-/// leaves a connection behind whose request waits for a task that is gone; its caller waits for
-/// ever, where a process that died would have closed the connection.
+/// The connections' tasks are owned by this one, so that aborting it closes the connections as the
+/// death of a process would. Otherwise a router killed in-process would leave a connection open
+/// whose request waits for a task that no longer exists, and its caller would wait for ever.
 pub async fn serve(listener: TcpListener, routes: viz::Router, close: Arc<Notify>) {
     let tree = Arc::new(Tree::from(routes));
     let connections = GracefulShutdown::new();
@@ -52,7 +52,8 @@
     connections: &GracefulShutdown,
     tasks: &mut JoinSet<()>,
 ) {
-    // Without it small events wait for an acknowledgement; with a failure they are only slower.
+    // Disables Nagle's algorithm, which would delay small events; a failure here only costs
+    // latency.
     let _ = socket.set_nodelay(true);
     let peer = socket.peer_addr().ok().map(Arc::new);
     let mut builder = Builder::new(TokioExecutor::new());
@@ -64,7 +65,7 @@
     let responder = Responder::new(tree.clone(), peer);
     let connection = builder.serve_connection(TokioIo::new(socket), responder);
     let connection = connections.watch(connection.into_owned());
-    // An error is a caller that left; its request's task notices that by itself.
+    // An error means that the caller disconnected; the task of its request notices that by itself.
     tasks.spawn(async move {
         let _ = connection.await;
     });
--- a/crates/anvilreel/src/router/call.rs
+++ b/crates/anvilreel/src/router/call.rs
@@ -1,4 +1,4 @@
-//! One call to a sidecar, from its opening to its last reply.
+//! One call to a sidecar, from opening the stream to the last reply.
 
 use anvil_wire::msg::{ProbeAnswer, SidecarCall, SidecarReply, SidecarRequest};
 use anvil_wire::{Channel, Replies, WireError};
@@ -9,14 +9,14 @@
 enum State {
     Opening(BoxFuture<'static, Result<Replies<SidecarReply>, WireError>>),
     Reading(Box<Replies<SidecarReply>>),
-    Over,
+    Complete,
 }
 
-/// The next thing that happens to any of these calls; never, while there are none.
-pub async fn next_of(calls: &mut [Call]) -> Event {
+/// Waits for the next event of any of these calls; pending for ever while there are none.
+pub async fn next_event(calls: &mut [Call]) -> Event {
     match calls {
         [] => std::future::pending().await,
-        // Nearly always: only while several sidecars are asked for a key are there more.
+        // The usual case: there are several calls only while several sidecars are probed for a key.
         [only] => only.next().await,
         many => {
             let waiting = many.iter_mut().map(|call| Box::pin(call.next()));
@@ -25,62 +25,65 @@
     }
 }
 
-/// A call under way. Dropping it tells the sidecar that its replies are not wanted.
+/// A call in flight. Dropping it tells the sidecar that its replies are no longer wanted.
 pub struct Call {
-    /// Its number.
+    /// The call's number within its exchange.
     pub dispatch: Dispatch,
-    /// Whether it only asks what a sidecar knows of a key.
-    probes: bool,
+    /// Whether the call only asks what a sidecar knows about a key.
+    is_probe: bool,
     state: State,
 }
 
 impl Call {
-    /// Opens a call. Nothing happens until [`Call::next`] is awaited.
+    /// Prepares a call. Nothing is sent until [`Call::next`] is awaited.
     pub fn open(dispatch: Dispatch, channel: Channel, req: Box<SidecarRequest>) -> Self {
-        let probes = matches!(*req, SidecarRequest::Probe { .. });
+        let is_probe = matches!(*req, SidecarRequest::Probe { .. });
         let opening = async move { channel.open::<SidecarCall>(&req).await };
         Self {
             dispatch,
-            probes,
+            is_probe,
             state: State::Opening(Box::pin(opening)),
         }
     }
 
-    /// The next thing that happens to it; never, once it is over. Safe to be dropped half-way.
+    /// Waits for the call's next event; pending for ever once the call has ended.
+    /// Cancellation-safe.
     pub async fn next(&mut self) -> Event {
         loop {
             match &mut self.state {
                 State::Opening(opening) => match opening.await {
                     Ok(replies) => self.state = State::Reading(Box::new(replies)),
-                    Err(e) if self.probes && e.nobody_listens() => return self.life_is_over(),
+                    Err(e) if self.is_probe && e.nobody_listens() => return self.sidecar_gone(),
                     Err(e) => return self.broken(e.never_sent()),
                 },
                 State::Reading(replies) => match replies.next().await {
                     Ok(Some(reply)) => {
                         if is_last(&reply) {
-                            // What the stream does after its last reply says nothing.
-                            self.state = State::Over;
+                            // Whatever the stream does after the last reply carries no information.
+                            self.state = State::Complete;
                         }
                         let dispatch = self.dispatch;
                         return Event::Reply { dispatch, reply };
                     }
                     Ok(None) | Err(_) => return self.broken(false),
                 },
-                State::Over => return std::future::pending().await,
+                State::Complete => return std::future::pending().await,
             }
         }
     }
 
-    /// Whether nothing more will happen to it.
-    pub fn is_over(&self) -> bool {
-        matches!(self.state, State::Over)
+    /// Whether no more events will come from this call.
+    pub fn is_complete(&self) -> bool {
+        matches!(self.state, State::Complete)
     }
 
-    /// Failure: a sidecar dies, and until the ledger has missed it every request whose key it
-    /// might have run is told "unknown". No process listens where it was, so the life that is
-    /// asked for is over and none of its runs goes on.
-    fn life_is_over(&mut self) -> Event {
-        self.state = State::Over;
+    /// Answers a probe on behalf of a sidecar whose process no longer runs: if nothing listens at
+    /// its address, the incarnation that was asked is over and none of its runs continues.
+    ///
+    /// Otherwise, from the death of a sidecar until the ledger declares it lost, every request
+    /// whose key it might have run would end with the outcome "unknown".
+    fn sidecar_gone(&mut self) -> Event {
+        self.state = State::Complete;
         Event::Reply {
             dispatch: self.dispatch,
             reply: SidecarReply::Probed(ProbeAnswer::OtherLife),
@@ -88,7 +91,7 @@
     }
 
     fn broken(&mut self, never_sent: bool) -> Event {
-        self.state = State::Over;
+        self.state = State::Complete;
         Event::Broken {
             dispatch: self.dispatch,
             never_sent,
--- a/crates/anvilreel/src/router/chat.rs
+++ b/crates/anvilreel/src/router/chat.rs
@@ -1,13 +1,14 @@
-//! A chat request as callers send it, checked.
+//! Parsing and validation of a chat request's body.
 
 use anvil_world::prelude::*;
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Longest token of any tokenizer that is assumed, in bytes: a longer prompt is over the limit.
+/// Longest token assumed of any tokenizer, in bytes: a prompt with more bytes than this for every
+/// allowed token is over the limit.
 const MAX_TOKEN_BYTES: u64 = 16;
 
-/// The fields that the router reads; all others go to the engine as they are.
+/// The fields that the router reads; all others are passed to the engine unchanged.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct RawChat {
@@ -22,11 +23,11 @@
 /// A chat request whose fields have the right types.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Chat {
-    /// The model it names.
+    /// The requested model.
     pub model: ModelId,
-    /// Whether the answer is wanted as server-sent events.
+    /// Whether the caller wants the answer as server-sent events.
     pub stream: bool,
-    /// Output limit that it names, in tokens.
+    /// The requested output limit, in tokens.
     pub max_output: Option<Tokens>,
 }
 
@@ -81,14 +82,14 @@
     }
 }
 
-/// Whether a body is longer than any prompt of so many tokens can be.
-pub fn is_over_prompt(body: &[u8], max_prompt: Tokens) -> bool {
+/// Whether a body is longer than any prompt of `max_prompt` tokens can be.
+pub fn exceeds_prompt_limit(body: &[u8], max_prompt: Tokens) -> bool {
     let bytes = u64::try_from(body.len()).unwrap_or(u64::MAX);
     bytes > max_prompt.saturating_mul(MAX_TOKEN_BYTES)
 }
 
-/// The most that a chat can use: each prompt token takes at least one byte of the body.
-pub fn upper_bound(body: &[u8], max_output: Tokens) -> Usage {
+/// Upper bound of what a chat can use: each prompt token takes at least one byte of the body.
+pub fn usage_upper_bound(body: &[u8], max_output: Tokens) -> Usage {
     Usage {
         prompt: u64::try_from(body.len()).unwrap_or(u64::MAX),
         output: max_output,
--- a/crates/anvilreel/src/router/chat_call.rs
+++ b/crates/anvilreel/src/router/chat_call.rs
@@ -12,40 +12,47 @@
 use tokio::sync::mpsc::Receiver;
 use viz::{Body, Request, Response};
 
-use super::chat::{Chat, is_over_prompt, upper_bound};
+use super::chat::{Chat, exceeds_prompt_limit, usage_upper_bound};
 use super::front::{
-    authenticate, check_open, claim_id, json_answer, name_answer, read_body, request_key,
+    authenticate, check_accepting, claim_id, json_response, read_body, request_key, set_request_id,
 };
-use super::job::{Job, Piece};
-use super::refuse::{self, doubt_body, refusal_body};
-use super::shape::{Shape, error_event};
+use super::job::{AnswerPart, Job};
+use super::refuse::{self, refusal_body, unknown_body};
+use super::shape::{ChatEncoder, error_event};
 use super::view::{Team, View};
 use super::{Core, flow};
 
 /// Answers a chat request.
-pub async fn answer(core: Arc<Core>, mut req: Request) -> Result<Response, Refusal> {
-    check_open(&core)?;
-    let view = core.following.view.load_full();
+pub async fn handle(core: Arc<Core>, mut req: Request) -> Result<Response, Refusal> {
+    check_accepting(&core)?;
+    let view = core.view_state.view.load_full();
     let team = authenticate(&view, req.headers())?;
-    let (key, callers_key) = request_key(&core, &team, req.headers())?;
+    let (key, has_caller_key) = request_key(&core, &team, req.headers())?;
     let body = read_body(&mut req, view.fleet.max_body).await?;
     let chat = Chat::try_from(body.as_ref());
     let chat = chat.map_err(|what| Refusal::new(Reason::Malformed(what)))?;
-    let model = model_of(&view, &team, &chat, &body)?;
-    let shape = Shape::new(&key, chat.model.clone());
-    let mut job = job(&view, &team, model, &chat, body, (key.clone(), callers_key));
+    let model = find_model(&view, &team, &chat, &body)?;
+    let encoder = ChatEncoder::new(&key, chat.model.clone());
+    let mut job = build_job(
+        &view,
+        &team,
+        model,
+        &chat,
+        body,
+        (key.clone(), has_caller_key),
+    );
     job.claim_id = claim_id(&core);
-    let pieces = flow::start(core, job);
-    let mut answer = if chat.stream {
-        streamed(shape, pieces).await
+    let answer_parts = flow::start(core, job);
+    let mut response = if chat.stream {
+        stream_response(encoder, answer_parts).await
     } else {
-        whole(shape, pieces).await
+        collect_response(encoder, answer_parts).await
     };
-    name_answer(&mut answer, &key);
-    Ok(answer)
+    set_request_id(&mut response, &key);
+    Ok(response)
 }
 
-fn model_of<'a>(
+fn find_model<'a>(
     view: &'a View,
     team: &Team,
     chat: &Chat,
@@ -56,33 +63,35 @@
     if !team.document.allows_model(&chat.model) {
         return Err(Refusal::new(Reason::NotAllowed));
     }
-    if is_over_prompt(body, model.max_prompt) {
+    if exceeds_prompt_limit(body, model.max_prompt) {
         return Err(Refusal::new(Reason::TooLarge(model.max_prompt)));
     }
     Ok(model)
 }
 
-fn job(
+fn build_job(
     view: &View,
     team: &Team,
     model: &ModelDocument,
     chat: &Chat,
     body: Bytes,
-    (key, callers_key): (RequestKey, bool),
+    (key, has_caller_key): (RequestKey, bool),
 ) -> Job {
-    let most = model.max_output;
-    let max_output = chat.max_output.map_or(most, |wanted| wanted.min(most));
-    let bound = model.price.of(upper_bound(&body, max_output));
+    let model_limit = model.max_output;
+    let max_output = chat
+        .max_output
+        .map_or(model_limit, |wanted| wanted.min(model_limit));
+    let bound = model.price.of(usage_upper_bound(&body, max_output));
     Job {
         key,
-        callers_key,
-        body: Sha256::digest(&body).into(),
+        has_caller_key,
+        body_hash: Sha256::digest(&body).into(),
         work: Work::Chat {
             model: chat.model.clone(),
             body,
             max_output,
         },
-        once: false,
+        at_most_once: false,
         price: model.price,
         bound,
         service: model.service.clone(),
@@ -90,63 +99,72 @@
     }
 }
 
-/// Waits for the first piece, which decides the status, then streams the rest.
-async fn streamed(mut shape: Shape, mut pieces: Receiver<Piece>) -> Response {
-    let first = match pieces.recv().await {
-        Some(Piece::Refused(refusal)) => return refuse::refuse(&refusal),
-        Some(Piece::Doubt(doubt)) => return refuse::in_doubt(doubt, false),
-        Some(piece) => event_of(&mut shape, piece),
-        None => return refuse::in_doubt(Doubt::EndpointLost, false),
+/// Waits for the first part, which decides the status, then streams the rest.
+async fn stream_response(
+    mut encoder: ChatEncoder,
+    mut answer_parts: Receiver<AnswerPart>,
+) -> Response {
+    let first = match answer_parts.recv().await {
+        Some(AnswerPart::Refused(refusal)) => return refuse::refusal_response(&refusal),
+        Some(AnswerPart::Doubt(doubt)) => return refuse::unknown_response(doubt, false),
+        Some(answer_part) => encode_part(&mut encoder, answer_part),
+        None => return refuse::unknown_response(Doubt::EndpointLost, false),
     };
     let events = unfold(
-        (shape, pieces, first),
-        |(mut shape, mut pieces, waiting)| async {
+        (encoder, answer_parts, first),
+        |(mut encoder, mut answer_parts, waiting)| async {
             if let Some(event) = waiting {
-                return Some((Ok::<_, std::io::Error>(event), (shape, pieces, None)));
+                return Some((
+                    Ok::<_, std::io::Error>(event),
+                    (encoder, answer_parts, None),
+                ));
             }
             loop {
-                // The end of the pieces is the end of the stream: after `End` it is whole, and after
-                // anything else the end mark is missing.
-                let piece = pieces.recv().await?;
-                if let Some(event) = event_of(&mut shape, piece) {
-                    return Some((Ok(event), (shape, pieces, None)));
+                // The channel's end is the stream's end. After `End` the answer is complete; after
+                // anything else the end marker is missing, so that the caller sees that it is not.
+                let answer_part = answer_parts.recv().await?;
+                if let Some(event) = encode_part(&mut encoder, answer_part) {
+                    return Some((Ok(event), (encoder, answer_parts, None)));
                 }
             }
         },
     );
-    let mut answer = Response::new(Body::from_stream(events));
-    let headers = answer.headers_mut();
+    let mut response = Response::new(Body::from_stream(events));
+    let headers = response.headers_mut();
     headers.insert(
         header::CONTENT_TYPE,
         HeaderValue::from_static("text/event-stream"),
     );
     headers.insert(header::CACHE_CONTROL, HeaderValue::from_static("no-cache"));
-    answer
+    response
 }
 
-fn event_of(shape: &mut Shape, piece: Piece) -> Option<Bytes> {
-    match piece {
-        Piece::Head(_) => None,
-        Piece::Bytes(bytes) => shape.piece(&bytes),
-        Piece::End { finish, usage } => Some(shape.end(&finish, usage)),
-        Piece::Refused(refusal) => Some(error_event(&refusal_body(&refusal).1.to_json())),
-        Piece::Doubt(doubt) => Some(error_event(&doubt_body(doubt, false).1.to_json())),
+fn encode_part(encoder: &mut ChatEncoder, answer_part: AnswerPart) -> Option<Bytes> {
+    match answer_part {
+        AnswerPart::Head(_) => None,
+        AnswerPart::Bytes(bytes) => encoder.chunk_event(&bytes),
+        AnswerPart::End { finish, usage } => Some(encoder.end(&finish, usage)),
+        AnswerPart::Refused(refusal) => Some(error_event(&refusal_body(&refusal).1.to_json())),
+        AnswerPart::Doubt(doubt) => Some(error_event(&unknown_body(doubt, false).1.to_json())),
     }
 }
 
-/// Collects the answer and sends it in one piece.
-async fn whole(shape: Shape, mut pieces: Receiver<Piece>) -> Response {
+/// Collects the whole answer and sends it as one JSON object.
+async fn collect_response(
+    encoder: ChatEncoder,
+    mut answer_parts: Receiver<AnswerPart>,
+) -> Response {
     let mut text = BytesMut::new();
-    while let Some(piece) = pieces.recv().await {
-        match piece {
-            Piece::Head(_) => {}
-            Piece::Bytes(bytes) => text.extend_from_slice(&bytes),
-            Piece::End { finish, usage } => {
-                return json_answer(shape.whole(&text, &finish, usage));
+    while let Some(answer_part) = answer_parts.recv().await {
+        match answer_part {
+            AnswerPart::Head(_) => {}
+            AnswerPart::Bytes(bytes) => text.extend_from_slice(&bytes),
+            AnswerPart::End { finish, usage } => {
+                return json_response(encoder.whole(&text, &finish, usage));
             }
-            Piece::Refused(refusal) => return refuse::refuse(&refusal),
-            Piece::Doubt(doubt) => return refuse::in_doubt(doubt, false),
+            AnswerPart::Refused(refusal) => return refuse::refusal_response(&refusal),
+            AnswerPart::Doubt(doubt) => return refuse::unknown_response(doubt, false),
         }
     }
-    refuse::in_doubt(Doubt::EndpointLost, false)
+    refuse::unknown_response(Doubt::EndpointLost, false)
 }
--- a/crates/anvilreel/src/router/flow.rs
+++ b/crates/anvilreel/src/router/flow.rs
@@ -1,4 +1,5 @@
-//! One request's life: feeds its [`Exchange`] from sockets and clocks, and does what it says.
+//! Runs one request: feeds its [`Exchange`] with events from sockets and timers, and performs the
+//! actions it returns.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::pin::Pin;
@@ -13,71 +14,72 @@
 use tokio::sync::mpsc::{Receiver, Sender, channel};
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-use super::call::{Call, next_of};
-use super::job::{Job, Piece};
-use super::lane::Turn;
+use super::call::{Call, next_event};
+use super::job::{AnswerPart, Job};
+use super::lane::EndpointPermit;
 use super::{Core, keepers};
 use crate::event;
 use crate::events;
 use crate::metrics;
 use crate::request::{Action, Event, Exchange, Target};
 
-/// Pieces that wait for a caller that reads slowly; further ones wait at the sidecar.
-const PIECES: usize = 4;
+/// Answer parts buffered for a caller that reads slowly; further ones wait at the sidecar.
+const MAX_BUFFERED_PARTS: usize = 4;
 
-/// Starts a request; its answer comes in pieces. Dropping the receiver is the caller leaving.
-pub fn start(core: Arc<Core>, job: Job) -> Receiver<Piece> {
-    let (tx, rx) = channel(PIECES);
+/// Starts a request; its answer arrives in parts. Dropping the receiver means that the caller has
+/// disconnected.
+pub fn start(core: Arc<Core>, job: Job) -> Receiver<AnswerPart> {
+    let (tx, rx) = channel(MAX_BUFFERED_PARTS);
     tokio::spawn(async move {
-        let open = core.enter();
-        Flow::new(&core, job, tx).run().await;
+        let open = core.track_request();
+        RequestTask::new(&core, job, tx).run().await;
         drop(open);
     });
     rx
 }
 
-/// What an asked-for answer brings.
-enum Done {
+/// Result of a future in `pending_results`.
+enum TaskResult {
     Event(Event),
-    Turn(Result<(Turn, Target), Refusal>),
+    Acquired(Result<(EndpointPermit, Target), Refusal>),
 }
 
-/// What a request holds while it goes on.
-struct Flow<'a> {
+/// State of a request while it runs.
+struct RequestTask<'a> {
     core: &'a Arc<Core>,
     job: Job,
-    tx: Sender<Piece>,
-    /// Whether the exchange knows that the caller left.
-    left: bool,
-    asked: FuturesUnordered<BoxFuture<'a, Done>>,
-    /// Calls to sidecars; one, but while several are asked for a key.
+    tx: Sender<AnswerPart>,
+    /// Whether the exchange has been told that the caller disconnected.
+    caller_left: bool,
+    pending_results: FuturesUnordered<BoxFuture<'a, TaskResult>>,
+    /// Open calls to sidecars: one, except while several sidecars are probed for a key.
     calls: Vec<Call>,
-    /// All who were called.
-    tried: BTreeSet<Target>,
-    /// Who was called last, but for mere questions.
+    /// All targets called so far.
+    called_targets: BTreeSet<Target>,
+    /// The target called last, probes excluded.
     target: Option<Target>,
-    turn: Option<Turn>,
-    wakes: BTreeSet<Now>,
-    money: Option<Pin<Box<Notified<'a>>>>,
-    began: Instant,
+    permit: Option<EndpointPermit>,
+    timers: BTreeSet<Now>,
+    grants_changed: Option<Pin<Box<Notified<'a>>>>,
+    choice_started: Instant,
     first_output: Option<Instant>,
 }
 
-impl<'a> Flow<'a> {
-    fn new(core: &'a Arc<Core>, job: Job, tx: Sender<Piece>) -> Self {
+impl<'a> RequestTask<'a> {
+    fn new(core: &'a Arc<Core>, job: Job, tx: Sender<AnswerPart>) -> Self {
         Self {
             core,
             job,
             tx,
-            left: false,
-            asked: FuturesUnordered::new(),
+            caller_left: false,
+            pending_results: FuturesUnordered::new(),
             calls: Vec::new(),
-            tried: BTreeSet::new(),
+            called_targets: BTreeSet::new(),
             target: None,
-            turn: None,
-            wakes: BTreeSet::new(),
-            money: None,
-            began: Instant::now(),
+            permit: None,
+            timers: BTreeSet::new(),
+            grants_changed: None,
+            choice_started: Instant::now(),
             first_output: None,
         }
     }
@@ -85,13 +87,13 @@
     async fn run(mut self) {
         let mut exchange = Exchange::new(self.job.spec(self.core));
         let mut events = VecDeque::from([Event::Begin]);
-        let mut changes = self.core.following.changes.subscribe();
+        let mut changes = self.core.view_state.changes.subscribe();
         loop {
             while let Some(event) = events.pop_front() {
-                self.note_failure(&event);
+                self.record_endpoint_failure(&event);
                 let now = self.core.life.now();
-                for action in exchange.handle(now, &self.core.purse, event) {
-                    self.act(action, &mut events).await;
+                for action in exchange.handle(now, &self.core.grant_account, event) {
+                    self.perform(action, &mut events).await;
                 }
             }
             if exchange.is_finished() {
@@ -99,35 +101,35 @@
             }
             let event = tokio::select! {
                 biased;
-                event = next_of(&mut self.calls) => {
-                    self.calls.retain(|call| !call.is_over());
+                event = next_event(&mut self.calls) => {
+                    self.calls.retain(|call| !call.is_complete());
                     Some(event)
                 }
-                Some(done) = self.asked.next() => Some(self.take(done)),
-                () = self.tx.closed(), if !self.left => {
-                    self.left = true;
+                Some(task_result) = self.pending_results.next() => Some(self.handle_result(task_result)),
+                () = self.tx.closed(), if !self.caller_left => {
+                    self.caller_left = true;
                     self.core.metrics.count(metrics::CALLERS_LEFT);
                     Some(Event::CallerGone)
                 }
-                () = next_money(&mut self.money) => {
-                    self.money = None;
+                () = next_grant_change(&mut self.grants_changed) => {
+                    self.grants_changed = None;
                     Some(Event::MoneyChanged)
                 }
-                () = next_wake(self.core, &self.wakes) => {
-                    self.wakes.pop_first();
+                () = next_timer(self.core, &self.timers) => {
+                    self.timers.pop_first();
                     Some(Event::Wake)
                 }
                 // The sender lives as long as the router.
-                _ = changes.changed() => self.gone(),
+                _ = changes.changed() => self.target_gone(),
             };
-            events.extend(event.map(|event| self.judge(event)));
+            events.extend(event.map(|event| self.reclassify_unresponsive(event)));
         }
     }
 
-    /// Takes a sidecar that the ledger does not hear of and that can't be reached from here for
-    /// lost, long before its life is declared over. Neither sign alone is enough: a run whose
-    /// sidecar is only cut off from the ledger goes on being read.
-    fn judge(&self, event: Event) -> Event {
+    /// Turns a broken call into the loss of its target if the ledger, too, receives no heartbeats
+    /// from that sidecar, long before its incarnation is declared over. Neither sign alone is
+    /// enough: a run whose sidecar is only cut off from the ledger is still read.
+    fn reclassify_unresponsive(&self, event: Event) -> Event {
         let Some(target) = self
             .target
             .as_ref()
@@ -135,26 +137,26 @@
         else {
             return event;
         };
-        let view = self.core.following.view.load();
-        if view.silent.contains(&target.sidecar) {
+        let view = self.core.view_state.view.load();
+        if view.unresponsive.contains(&target.sidecar) {
             return Event::Gone(target.clone());
         }
         event
     }
 
-    fn take(&mut self, done: Done) -> Event {
-        match done {
-            Done::Event(event) => event,
-            Done::Turn(Ok((turn, target))) => {
-                self.turn = Some(turn);
+    fn handle_result(&mut self, task_result: TaskResult) -> Event {
+        match task_result {
+            TaskResult::Event(event) => event,
+            TaskResult::Acquired(Ok((permit, target))) => {
+                self.permit = Some(permit);
                 Event::Chosen(target)
             }
-            Done::Turn(Err(refusal)) => Event::NotChosen(refusal),
+            TaskResult::Acquired(Err(refusal)) => Event::NotChosen(refusal),
         }
     }
 
-    /// Tells the decisions about an endpoint that failed this request.
-    fn note_failure(&self, event: &Event) {
+    /// Reports an endpoint that failed this request to the health tracking, and logs it.
+    fn record_endpoint_failure(&self, event: &Event) {
         let failed = match event {
             Event::Broken { .. } | Event::Gone(_) => true,
             Event::Reply { reply, .. } => match reply {
@@ -164,45 +166,45 @@
             },
             _ => false,
         };
-        let Some(turn) = self.turn.as_ref().filter(|_| failed) else {
+        let Some(permit) = self.permit.as_ref().filter(|_| failed) else {
             return;
         };
-        turn.failed();
-        let (key, sidecar) = (self.job.key.id.to_string(), turn.endpoint.id.to_string());
+        permit.record_failure();
+        let (key, sidecar) = (self.job.key.id.to_string(), permit.endpoint.id.to_string());
         let log = &self.core.log;
         event!(log, events::ROUTER_ENDPOINT_LOST, "key" => key, "sidecar" => sidecar);
     }
 
-    /// Whether the life that is read from is over, by the members' list.
-    fn gone(&self) -> Option<Event> {
+    /// Whether the target's incarnation is over according to the members' list.
+    fn target_gone(&self) -> Option<Event> {
         let target = self.target.as_ref()?;
-        let view = self.core.following.view.load();
+        let view = self.core.view_state.view.load();
         let now = view.sidecars.get(&target.sidecar);
         let over = now.is_none_or(|now| now.incarnation != target.life);
         over.then(|| Event::Gone(target.clone()))
     }
 
-    async fn act(&mut self, action: Action, events: &mut VecDeque<Event>) {
+    async fn perform(&mut self, action: Action, events: &mut VecDeque<Event>) {
         let core = self.core;
         match action {
             Action::Choose { exclude } => self.choose(exclude),
             Action::PutClaim { holder, claim } => {
                 let id = self.job.claim_id.clone();
                 let put = keepers::put_claim(core, holder, claim, id);
-                self.ask(async move { Done::Event(put.await) });
+                self.push_pending(async move { TaskResult::Event(put.await) });
             }
             Action::PutLedgerClaim(claim) => {
                 let put = keepers::put_ledger_claim(core, claim);
-                self.ask(async move { Done::Event(put.await) });
+                self.push_pending(async move { TaskResult::Event(put.await) });
             }
             Action::SettleClaim(settle) => {
                 let core = core.clone();
                 tokio::spawn(async move { keepers::settle(&core, settle).await });
             }
             Action::Reserve => events.push_back(self.reserve()),
-            Action::Release(reservation) => core.purse.release(reservation),
+            Action::Release(reservation) => core.grant_account.release(reservation),
             Action::Settle { reservation, cost } => {
-                if let Err(e) = core.purse.settle(reservation, cost) {
+                if let Err(e) = core.grant_account.settle(reservation, cost) {
                     let error = e.to_string();
                     event!(core.log, events::ROUTER_SETTLEMENT_REFUSED, "error" => error);
                 }
@@ -215,12 +217,12 @@
             Action::Drop { dispatch } => {
                 self.calls.retain(|call| call.dispatch != dispatch);
             }
-            Action::DeliverHead(head) => self.deliver(Piece::Head(head)).await,
+            Action::DeliverHead(head) => self.deliver(AnswerPart::Head(head)).await,
             Action::Deliver(bytes) => {
                 self.first_output.get_or_insert_with(Instant::now);
-                self.deliver(Piece::Bytes(bytes)).await;
+                self.deliver(AnswerPart::Bytes(bytes)).await;
             }
-            Action::WakeAt(at) => drop(self.wakes.insert(at)),
+            Action::WakeAt(at) => drop(self.timers.insert(at)),
             Action::Finish { outcome, end } => self.finish(outcome, end).await,
             Action::Violation(e) => {
                 let error = e.to_string();
@@ -229,57 +231,64 @@
         }
     }
 
-    fn ask(&mut self, f: impl Future<Output = Done> + Send + 'a) {
-        self.asked.push(Box::pin(f));
+    fn push_pending(&mut self, f: impl Future<Output = TaskResult> + Send + 'a) {
+        self.pending_results.push(Box::pin(f));
     }
 
     fn choose(&mut self, exclude: BTreeSet<InstanceId>) {
-        // The place at an earlier endpoint is free from now on.
-        self.turn = None;
-        self.began = Instant::now();
+        // Frees the slot at the previous endpoint.
+        self.permit = None;
+        self.choice_started = Instant::now();
         let (core, job) = (self.core, self.job.clone());
-        let avoid: Vec<_> = exclude.into_iter().filter(|id| self.avoids(id)).collect();
-        self.ask(async move { Done::Turn(turn(core, &job, &avoid).await) });
+        let avoid: Vec<_> = exclude
+            .into_iter()
+            .filter(|id| self.is_still_excluded(id))
+            .collect();
+        self.push_pending(async move {
+            TaskResult::Acquired(acquire_endpoint(core, &job, &avoid).await)
+        });
     }
 
-    /// Failure: a sidecar restarts, and requests that its earlier life had lost pass the new one
-    /// by. It would show as "no endpoint" although one takes work. A new life is another one.
-    fn avoids(&self, id: &InstanceId) -> bool {
-        let view = self.core.following.view.load();
+    /// Whether an excluded sidecar must still be avoided: only incarnations that were called are.
+    ///
+    /// Otherwise, after a sidecar restarts, requests that its previous incarnation lost would avoid
+    /// the new one and be refused with `no_endpoint` although an endpoint has capacity.
+    fn is_still_excluded(&self, id: &InstanceId) -> bool {
+        let view = self.core.view_state.view.load();
         let Some(now) = view.sidecars.get(id) else {
             return true;
         };
         let target = Target::new(id.clone(), now.incarnation);
-        self.tried.contains(&target)
+        self.called_targets.contains(&target)
     }
 
     fn reserve(&mut self) -> Event {
         let core: &'a Core = self.core;
-        // Taken before the purse is looked at, so that nothing that comes in between is missed.
-        let mut changed = Box::pin(core.purse.changed());
+        // Registered before reserving, so that no change between the two is missed.
+        let mut changed = Box::pin(core.grant_account.changed());
         changed.as_mut().enable();
         match core
-            .purse
+            .grant_account
             .reserve(core.life.now(), &self.job.split, self.job.bound)
         {
             Ok(reservation) => {
-                self.money = None;
+                self.grants_changed = None;
                 Event::Reserved(reservation)
             }
             Err(shortage) => {
-                self.money = Some(changed);
-                core.money_wanted.notify_one();
+                self.grants_changed = Some(changed);
+                core.batch_wanted.notify_one();
                 Event::Short(shortage)
             }
         }
     }
 
     fn call(&mut self, dispatch: u32, target: Target, req: Box<SidecarRequest>) -> Option<Event> {
-        self.tried.insert(target.clone());
-        let view = self.core.following.view.load();
+        self.called_targets.insert(target.clone());
+        let view = self.core.view_state.view.load();
         let known = view.sidecars.get(&target.sidecar);
         let Some(known) = known.filter(|known| known.incarnation == target.life) else {
-            // Not even asked: the life that is meant is over, or its address is not known.
+            // Nothing is sent: the target's incarnation is over, or its address is unknown.
             return Some(match *req {
                 SidecarRequest::Probe { .. } => Event::Broken {
                     dispatch,
@@ -296,16 +305,16 @@
         None
     }
 
-    /// Passes a piece on, no later than the deadline.
+    /// Passes a part of the answer on to the caller, no later than the deadline.
     ///
-    /// Failure: a caller that stops reading without leaving. It would show as answers that pile
-    /// up in the router. Few pieces wait here, the sidecar's stream is not read meanwhile, and
-    /// at the deadline the caller counts as gone.
-    async fn deliver(&mut self, piece: Piece) {
-        if self.left {
+    /// A caller that stops reading without disconnecting must not make answers pile up in the
+    /// router: only a few parts are buffered, the sidecar's stream is not read meanwhile, and at
+    /// the deadline the caller counts as disconnected.
+    async fn deliver(&mut self, answer_part: AnswerPart) {
+        if self.caller_left {
             return;
         }
-        let sent = timeout_at(self.job.deadline, self.tx.send(piece)).await;
+        let sent = timeout_at(self.job.deadline, self.tx.send(answer_part)).await;
         if sent.is_err() {
             let (cut, _) = channel(1);
             self.tx = cut;
@@ -313,16 +322,19 @@
     }
 
     async fn finish(&mut self, outcome: Outcome, end: Option<Box<RunEnd>>) {
-        let (piece, count) = match outcome {
+        let (answer_part, count) = match outcome {
             Outcome::Completed(usage) => {
-                self.learn(usage);
+                self.record_usage(usage);
                 let finish = end.map_or_else(|| "stop".into(), |end| end.finish);
-                (Piece::End { finish, usage }, metrics::REQUESTS_COMPLETED)
+                (
+                    AnswerPart::End { finish, usage },
+                    metrics::REQUESTS_COMPLETED,
+                )
             }
-            Outcome::NotRun(refusal) => (Piece::Refused(refusal), metrics::REQUESTS_REFUSED),
+            Outcome::NotRun(refusal) => (AnswerPart::Refused(refusal), metrics::REQUESTS_REFUSED),
             Outcome::Unknown(doubt) => {
-                self.log_unknown(doubt);
-                (Piece::Doubt(doubt), metrics::REQUESTS_UNKNOWN)
+                self.log_unknown_outcome(doubt);
+                (AnswerPart::Doubt(doubt), metrics::REQUESTS_UNKNOWN)
             }
         };
         self.core.metrics.count(count);
@@ -330,12 +342,13 @@
             let took = first - self.job.arrived;
             self.core.metrics.time(metrics::FIRST_OUTPUT, took);
         }
-        self.turn = None;
-        self.deliver(piece).await;
+        self.permit = None;
+        self.deliver(answer_part).await;
     }
 
-    /// An operator can ask the service what became of it; of a stopped run all is known.
-    fn log_unknown(&self, doubt: Doubt) {
+    /// Logs an unknown outcome, so that an operator can ask the service what became of the request.
+    /// A stopped run needs no log line: what it produced is known.
+    fn log_unknown_outcome(&self, doubt: Doubt) {
         if doubt == Doubt::Stopped {
             return;
         }
@@ -344,52 +357,59 @@
         event!(log, events::ROUTER_OUTCOME_UNKNOWN, "key" => key, "doubt" => why);
     }
 
-    fn learn(&self, usage: Usage) {
-        let Some(turn) = &self.turn else {
+    fn record_usage(&self, usage: Usage) {
+        let Some(permit) = &self.permit else {
             return;
         };
         let (prompt, output_bound) = self.job.expected();
         let first = self.first_output.unwrap_or_else(Instant::now);
-        turn.learn(&Finished {
+        permit.record_finished(&Finished {
             prompt,
             output_bound,
             output: usage.output,
-            first_token: first - self.began,
-            total: self.began.elapsed(),
+            first_token: first - self.choice_started,
+            total: self.choice_started.elapsed(),
         });
     }
 }
 
-async fn turn(core: &Core, job: &Job, avoid: &[InstanceId]) -> Result<(Turn, Target), Refusal> {
-    let nowhere = || {
+async fn acquire_endpoint(
+    core: &Core,
+    job: &Job,
+    avoid: &[InstanceId],
+) -> Result<(EndpointPermit, Target), Refusal> {
+    let no_endpoint = || {
         let reason = Reason::NoEndpoint(job.service.clone());
-        Refusal::new(reason).with_retry_after(super::SOON)
+        Refusal::new(reason).with_retry_after(super::UNAVAILABLE_RETRY_AFTER)
     };
     let key = (job.service.clone(), job.model().cloned());
-    let lane = core.places.lane(&key).ok_or_else(nowhere)?;
-    let view = core.following.view.load();
+    let pool_queue = core.pools.queue(&key).ok_or_else(no_endpoint)?;
+    let view = core.view_state.view.load();
     let weight = view.organisations.get(&job.organisation);
     let weight = weight.map_or(1, |organisation| organisation.weight);
     drop(view);
-    let turn = lane.turn(&core.life, job, weight, avoid).await?;
-    let view = core.following.view.load();
-    let sidecar = view.sidecars.get(&turn.endpoint.id).ok_or_else(nowhere)?;
+    let permit = pool_queue.acquire(&core.life, job, weight, avoid).await?;
+    let view = core.view_state.view.load();
+    let sidecar = view
+        .sidecars
+        .get(&permit.endpoint.id)
+        .ok_or_else(no_endpoint)?;
     let target = Target::new(sidecar.id.clone(), sidecar.incarnation);
-    Ok((turn, target))
+    Ok((permit, target))
 }
 
-async fn next_money(money: &mut Option<Pin<Box<Notified<'_>>>>) {
-    match money {
-        Some(money) => money.as_mut().await,
+async fn next_grant_change(grants_changed: &mut Option<Pin<Box<Notified<'_>>>>) {
+    match grants_changed {
+        Some(changed) => changed.as_mut().await,
         None => std::future::pending().await,
     }
 }
 
-async fn next_wake(core: &Core, wakes: &BTreeSet<Now>) {
-    match wakes.first() {
+async fn next_timer(core: &Core, timers: &BTreeSet<Now>) {
+    match timers.first() {
         Some(at) => {
-            let left = at.saturating_sub(core.life.now());
-            sleep_until(Instant::now() + left).await;
+            let time_left = at.saturating_sub(core.life.now());
+            sleep_until(Instant::now() + time_left).await;
         }
         None => std::future::pending().await,
     }
--- a/crates/anvilreel/src/router/follow.rs
+++ b/crates/anvilreel/src/router/follow.rs
@@ -1,4 +1,4 @@
-//! Keeps the router's view current, and tells the ledger that the router lives.
+//! Keeps the router's view of settings and members current, and sends heartbeats to the ledger.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-use super::view::{View, ViewMaker};
+use super::view::{View, ViewBuilder};
 use crate::event;
 use crate::events;
 use crate::held::Held;
@@ -19,165 +19,167 @@
 use crate::life::Life;
 use crate::metrics::{Metrics, SETTINGS_VERSION};
 
-/// Time between two signs of life.
-const HEARTBEAT: Duration = Duration::from_secs(1);
-/// Longest wait for anything from a followed replica before another one is tried.
-const SILENCE: Duration = Duration::from_secs(3);
+/// Interval between heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest time without a message from the followed replica before another one is tried.
+const FOLLOW_TIMEOUT: Duration = Duration::from_secs(3);
 /// Pause before another replica is followed.
-const AGAIN: Duration = Duration::from_millis(100);
+const REPLICA_SWITCH_PAUSE: Duration = Duration::from_millis(100);
 
-/// What the router follows of the ledger.
-pub struct Following {
-    /// The present view; requests load it once.
+/// The current view and the time of the last contact with the ledger.
+pub struct ViewState {
+    /// The current view; each request loads it once.
     pub view: ArcSwap<View>,
-    /// Told after each change of the view.
+    /// Notified after each change of the view, with its version.
     pub changes: watch::Sender<LogIndex>,
-    /// When a replica last confirmed to be in touch, in milliseconds of [`Life::now`] plus 1; 0
-    /// for never.
-    touched: AtomicU64,
+    /// When a replica last confirmed that it is connected, in milliseconds of [`Life::now`] plus 1;
+    /// 0 for never.
+    last_contact: AtomicU64,
     life: Life,
 }
 
-impl Following {
-    /// Nothing followed yet.
+impl ViewState {
+    /// Starts with an empty view and no contact.
     pub fn new(life: Life) -> Self {
         Self {
             view: ArcSwap::default(),
             changes: watch::Sender::new(0),
-            touched: AtomicU64::new(0),
+            last_contact: AtomicU64::new(0),
             life,
         }
     }
 
-    /// For how long the router has been out of touch with the ledger.
-    pub fn out_of_touch(&self) -> Duration {
-        let touched = self.touched.load(Ordering::Relaxed);
-        let touched = Duration::from_millis(touched.saturating_sub(1));
-        self.life.now().saturating_sub(touched)
+    /// How long the router has been disconnected from the ledger.
+    pub fn disconnected_for(&self) -> Duration {
+        let last_contact = self.last_contact.load(Ordering::Relaxed);
+        let last_contact = Duration::from_millis(last_contact.saturating_sub(1));
+        self.life.now().saturating_sub(last_contact)
     }
 
-    /// Whether new work may be taken: there is a tree and it is not too old.
+    /// Whether new work may be accepted: the settings tree is loaded and not too old.
     ///
-    /// Failure: a router cut off for long serves on settings that were replaced everywhere
-    /// else. Past the configured time it refuses and leaves the balancer.
-    pub fn serves(&self) -> bool {
+    /// A router that is cut off for long would serve by settings that have been replaced everywhere
+    /// else. After the configured time it refuses requests and fails its readiness check.
+    pub fn accepts_work(&self) -> bool {
         let view = self.view.load();
-        !view.is_empty() && self.out_of_touch() <= view.fleet.serve_out_of_touch
+        !view.is_empty() && self.disconnected_for() <= view.fleet.serve_out_of_touch
     }
 
-    fn touch(&self) {
+    fn record_contact(&self) {
         let millis = u64::try_from(self.life.now().as_millis()).unwrap_or(u64::MAX - 1);
-        self.touched.store(millis + 1, Ordering::Relaxed);
+        self.last_contact.store(millis + 1, Ordering::Relaxed);
     }
 }
 
-/// Called with what is held and the view of it.
-pub type Changed = Box<dyn Fn(&Held, &View) + Send + Sync>;
+/// Callback with the replicated settings and the view built from them.
+pub type OnViewChange = Box<dyn Fn(&Held, &View) + Send + Sync>;
 
-/// What the loops need.
+/// Dependencies of the loops that follow the ledger and send heartbeats.
 pub struct Follower {
-    /// Where the view goes.
-    pub following: Arc<Following>,
-    /// The way to the ledger.
+    /// Where the view is published.
+    pub view_state: Arc<ViewState>,
+    /// Client for the ledger.
     pub ledger: Arc<LedgerClient>,
-    /// The router itself.
+    /// The router's own instance.
     pub instance: Instance,
-    /// For log lines.
+    /// Logger.
     pub log: Logger,
-    /// For the version's gauge.
+    /// Metrics, for the gauge of the settings version.
     pub metrics: Metrics,
-    /// Called after the view changed.
-    pub changed: Changed,
+    /// Called before a new view is published.
+    pub on_change: OnViewChange,
 }
 
 impl Follower {
-    /// Follows one replica after the other, for as long as the process lives.
+    /// Follows one replica after another for as long as the process runs.
     pub async fn follow(&self) {
         let mut held = Held::default();
-        let mut maker = ViewMaker::default();
-        let mut in_touch = true;
-        // Routers start at different replicas, so that no replica spreads to all of them.
+        let mut view_builder = ViewBuilder::default();
+        let mut connected = true;
+        // Routers start at different replicas, so that no single replica has to serve all of them.
         let mut replica = usize::try_from(self.instance.incarnation % 7).unwrap_or(0);
         loop {
-            let heard = self
-                .follow_one(replica, &mut held, &mut maker, &mut in_touch)
+            let received_any = self
+                .follow_one(replica, &mut held, &mut view_builder, &mut connected)
                 .await;
-            if !heard && in_touch {
+            if !received_any && connected {
                 event!(self.log, events::ROUTER_OUT_OF_TOUCH);
-                in_touch = false;
+                connected = false;
             }
             replica += 1;
-            sleep(AGAIN).await;
+            sleep(REPLICA_SWITCH_PAUSE).await;
         }
     }
 
-    /// Follows one replica until it falls silent; returns whether it said anything.
+    /// Follows one replica until it is unresponsive; returns whether it sent anything.
     async fn follow_one(
         &self,
         replica: usize,
         held: &mut Held,
-        maker: &mut ViewMaker,
-        in_touch: &mut bool,
+        view_builder: &mut ViewBuilder,
+        connected: &mut bool,
     ) -> bool {
         let id = self.instance.id.clone();
         let opening = self
             .ledger
             .follow(replica, id, Interest::Router, held.version);
-        let Ok(Ok(mut replies)) = timeout(SILENCE, opening).await else {
+        let Ok(Ok(mut replies)) = timeout(FOLLOW_TIMEOUT, opening).await else {
             return false;
         };
-        let mut heard = false;
-        while let Ok(Ok(Some(LedgerReply::Follow(event)))) = timeout(SILENCE, replies.next()).await
+        let mut received_any = false;
+        while let Ok(Ok(Some(LedgerReply::Follow(event)))) =
+            timeout(FOLLOW_TIMEOUT, replies.next()).await
         {
-            heard = true;
-            if !*in_touch {
+            received_any = true;
+            if !*connected {
                 event!(self.log, events::ROUTER_IN_TOUCH);
-                *in_touch = true;
+                *connected = true;
             }
-            self.following.touch();
+            self.view_state.record_contact();
             if held.apply(event) {
-                self.bring_in_force(held, maker);
+                self.put_in_force(held, view_builder);
             }
         }
-        heard
+        received_any
     }
 
-    fn bring_in_force(&self, held: &Held, maker: &mut ViewMaker) {
-        let (view, skipped) = maker.make(held);
+    fn put_in_force(&self, held: &Held, view_builder: &mut ViewBuilder) {
+        let (view, skipped) = view_builder.build(held);
         for skipped in skipped {
             let path = skipped.path.to_string();
             let error = skipped.error.to_string();
             event!(self.log, events::ROUTER_DOCUMENT_SKIPPED, "path" => path, "error" => error);
         }
-        (self.changed)(held, &view);
-        let first = self.following.view.load().is_empty();
+        (self.on_change)(held, &view);
+        let first = self.view_state.view.load().is_empty();
         let version = view.version;
         self.metrics.gauge(SETTINGS_VERSION, view.version);
         event!(self.log, events::ROUTER_SETTINGS_IN_FORCE, "version" => view.version);
-        self.following.view.store(Arc::new(view));
-        self.following.changes.send_replace(version);
+        self.view_state.view.store(Arc::new(view));
+        self.view_state.changes.send_replace(version);
         if first {
             event!(self.log, events::ROUTER_READY);
         }
     }
 
-    /// Sends a sign of life every second, until `stop`; the last one says that it leaves.
-    pub async fn beat(&self, life: &Life) {
+    /// Sends a heartbeat every second until the task is aborted; while the router is leaving, the
+    /// heartbeats say so.
+    pub async fn send_heartbeats(&self, life: &Life) {
         loop {
-            self.beat_once(life).await;
-            sleep(HEARTBEAT).await;
+            self.send_heartbeat(life).await;
+            sleep(HEARTBEAT_INTERVAL).await;
         }
     }
 
-    async fn beat_once(&self, life: &Life) {
+    async fn send_heartbeat(&self, life: &Life) {
         let heartbeat = Heartbeat {
             instance: self.instance.clone(),
-            version: self.following.view.load().version,
+            version: self.view_state.view.load().version,
             evidence: Vec::new(),
             leaving: life.is_leaving(),
         };
-        // A lost sign of life is followed by the next one.
-        if let Ok(reply) = self.ledger.heartbeat(heartbeat, HEARTBEAT).await
+        // A lost heartbeat is made up for by the next one.
+        if let Ok(reply) = self.ledger.heartbeat(heartbeat, HEARTBEAT_INTERVAL).await
             && reply.presence == Presence::Gone
             && life.end()
         {
--- a/crates/anvilreel/src/router/front.rs
+++ b/crates/anvilreel/src/router/front.rs
@@ -1,4 +1,5 @@
-//! What callers can ask for, and how a request becomes a checked [`Job`].
+//! The HTTP routes for callers, and the checks shared by all requests before they become a
+//! [`Job`](super::job::Job).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,30 +16,30 @@
 use super::view::{Team, View};
 use super::{Core, chat_call, plain_call};
 
-/// Most bytes of an `Idempotency-Key`.
-const MAX_KEY: usize = 255;
-/// Most bytes of a refused body that are read in vain.
-const MOST_DISCARDED: usize = 64 << 20;
-/// Longest time for which a refused body is read.
-const DISCARD_WITHIN: Duration = Duration::from_secs(5);
-/// The header with the request's id, ours or the caller's.
+/// Maximum length of an `Idempotency-Key`, in bytes.
+const MAX_KEY_BYTES: usize = 255;
+/// Maximum number of bytes read and discarded from a refused body.
+const MAX_DISCARDED_BYTES: usize = 64 << 20;
+/// Longest time spent reading a refused body.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(5);
+/// The header with the request's id, either generated here or given by the caller.
 pub const REQUEST_ID: &str = "x-request-id";
 
 /// The routes of a router.
 pub fn routes(core: &Arc<Core>) -> viz::Router {
-    let chat = on(core, chat_call::answer);
-    let plain = on(core, plain_call::answer);
+    let chat = handler(core, chat_call::handle);
+    let plain = handler(core, plain_call::handle);
     viz::Router::new()
         .get("/healthz", |_| async { Ok::<_, viz::Error>("ok\n") })
-        .get("/readyz", on(core, ready))
-        .get("/v1/models", on(core, models))
+        .get("/readyz", handler(core, ready))
+        .get("/v1/models", handler(core, models))
         .post("/v1/chat/completions", chat)
         .any("/services/:service", plain.clone())
         .any("/services/:service/*", plain)
 }
 
-/// A handler that has the router at hand.
-fn on<F, Fut>(
+/// Wraps a function into a viz handler that has access to the router's state.
+fn handler<F, Fut>(
     core: &Arc<Core>,
     f: F,
 ) -> impl Fn(Request) -> futures::future::BoxFuture<'static, viz::Result<Response>>
@@ -57,7 +58,7 @@
         Box::pin(async move {
             Ok(f(core.clone(), req).await.unwrap_or_else(|refusal| {
                 core.metrics.count(crate::metrics::REQUESTS_REFUSED);
-                refuse::refuse(&refusal)
+                refuse::refusal_response(&refusal)
             }))
         })
     }
@@ -66,22 +67,22 @@
 async fn ready(core: Arc<Core>, _: Request) -> Result<Response, Refusal> {
     let why = if core.life.is_leaving() {
         "leaving"
-    } else if core.following.view.load().is_empty() {
-        "no settings yet"
-    } else if !core.following.serves() {
-        "out of touch with the ledger"
+    } else if core.view_state.view.load().is_empty() {
+        "settings not loaded yet"
+    } else if !core.view_state.accepts_work() {
+        "disconnected from the ledger"
     } else {
         "ready"
     };
-    let mut answer = Response::new(full(format!("{why}\n")));
+    let mut response = Response::new(full(format!("{why}\n")));
     if why != "ready" {
-        *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
+        *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
-    Ok(answer)
+    Ok(response)
 }
 
 async fn models(core: Arc<Core>, req: Request) -> Result<Response, Refusal> {
-    let view = core.following.view.load();
+    let view = core.view_state.view.load();
     let team = authenticate(&view, req.headers())?;
     let allowed = view
         .models
@@ -91,29 +92,31 @@
         .map(|id| json!({"id": id, "object": "model", "created": 0, "owned_by": "anvilreel"}))
         .collect();
     let list = json!({"object": "list", "data": list}).to_string();
-    Ok(json_answer(list.into()))
+    Ok(json_response(list.into()))
 }
 
-/// An answer in JSON.
-pub fn json_answer(body: Bytes) -> Response {
-    let mut answer = Response::new(full(body));
+/// A JSON response.
+pub fn json_response(body: Bytes) -> Response {
+    let mut response = Response::new(full(body));
     let json = HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(header::CONTENT_TYPE, json);
-    answer
+    response.headers_mut().insert(header::CONTENT_TYPE, json);
+    response
 }
 
-/// Whether this router takes new work at all.
-pub fn check_open(core: &Core) -> Result<(), Refusal> {
+/// Checks that this router accepts new work at all.
+pub fn check_accepting(core: &Core) -> Result<(), Refusal> {
     if core.life.is_leaving() {
-        return Err(Refusal::new(Reason::Leaving).with_retry_after(super::SOON));
+        return Err(Refusal::new(Reason::Leaving).with_retry_after(super::UNAVAILABLE_RETRY_AFTER));
     }
-    if !core.following.serves() {
-        return Err(Refusal::new(Reason::SettingsStale).with_retry_after(super::SOON));
+    if !core.view_state.accepts_work() {
+        return Err(
+            Refusal::new(Reason::SettingsStale).with_retry_after(super::UNAVAILABLE_RETRY_AFTER)
+        );
     }
     Ok(())
 }
 
-/// A name for one claim, unique in the fleet.
+/// Generates an id for a claim, unique in the fleet.
 pub fn claim_id(core: &Core) -> ClaimId {
     core.next_id()
 }
@@ -149,21 +152,21 @@
 fn checked_key(given: &HeaderValue) -> Result<Arc<str>, Refusal> {
     let text = given.to_str().unwrap_or_default();
     let printable = text.bytes().all(|b| b.is_ascii_graphic() || b == b' ');
-    if text.is_empty() || text.len() > MAX_KEY || !printable {
+    if text.is_empty() || text.len() > MAX_KEY_BYTES || !printable {
         let malformed = Reason::Malformed(Malformed::IdempotencyKey);
         return Err(Refusal::new(malformed));
     }
     Ok(text.into())
 }
 
-/// Reads a body up to the limit. A caller that leaves before its end gets no answer and pays
-/// nothing.
+/// Reads a body up to the limit. A caller that disconnects before the end of the body is not
+/// charged.
 pub async fn read_body(req: &mut Request, limit: u64) -> Result<Bytes, Refusal> {
     let too_large = || Refusal::new(Reason::TooLarge(limit));
-    let announced = req.headers().get(header::CONTENT_LENGTH);
-    let announced = announced.and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
+    let declared_length = req.headers().get(header::CONTENT_LENGTH);
+    let declared_length = declared_length.and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
     let mut body = std::mem::take(req.body_mut());
-    if announced.is_some_and(|bytes| bytes > limit) {
+    if declared_length.is_some_and(|bytes| bytes > limit) {
         discard(&mut body).await;
         return Err(too_large());
     }
@@ -183,27 +186,27 @@
     Ok(buf.freeze())
 }
 
-/// Reads the rest of a refused body and keeps none of it.
+/// Reads the rest of a refused body and discards it, bounded in bytes and time.
 ///
-/// Failure: a connection that is closed while its caller still writes. It would show as a broken
-/// pipe in place of the refusal. What is read in vain is bounded in bytes and time.
+/// If the connection were closed while the caller still writes, it would see a broken pipe in place
+/// of the refusal.
 async fn discard(body: &mut Body) {
     let reading = async {
         let mut read = 0;
         while let Some(Ok(frame)) = body.frame().await {
             read += frame.data_ref().map_or(0, Bytes::len);
-            if read > MOST_DISCARDED {
+            if read > MAX_DISCARDED_BYTES {
                 return;
             }
         }
     };
-    // Past the time the connection is closed all the same.
-    let _ = timeout(DISCARD_WITHIN, reading).await;
+    // After the timeout the connection is closed regardless.
+    let _ = timeout(DISCARD_TIMEOUT, reading).await;
 }
 
-/// Puts the request's id on an answer.
-pub fn name_answer(answer: &mut Response, key: &RequestKey) {
+/// Sets the response header with the request's id.
+pub fn set_request_id(response: &mut Response, key: &RequestKey) {
     if let Ok(id) = HeaderValue::from_str(&key.id) {
-        answer.headers_mut().insert(REQUEST_ID, id);
+        response.headers_mut().insert(REQUEST_ID, id);
     }
 }
--- a/crates/anvilreel/src/router/keepers.rs
+++ b/crates/anvilreel/src/router/keepers.rs
@@ -1,4 +1,5 @@
-//! The shell around claims: asks the routers and the ledger that keep them, and answers peers.
+//! I/O around claims: puts claims at other routers and in the ledger, and answers the requests of
+//! other routers. The rules are in [`crate::claims`].
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,51 +16,51 @@
 use crate::events;
 use crate::request::{ClaimAnswer, Event, Holder, Target};
 
-/// Longest wait for another router's answer. Longer than any garbage of a network, and short
-/// enough that the ledger is asked while the caller still waits.
-const ROUTER_WITHIN: Duration = Duration::from_millis(250);
-/// Longest wait for the ledger's word on a claim.
-const LEDGER_WITHIN: Duration = Duration::from_secs(3);
-/// Longest wait for a router to take claims over.
-const HAND_OVER_WITHIN: Duration = Duration::from_secs(1);
-/// How often the end of a claim is told to the ledger before it is left open.
-const SETTLE_TRIES: u32 = 20;
-/// Pause between two such tries.
+/// Timeout for another router's answer. Longer than usual network disturbances, and short enough
+/// that the ledger can be asked while the caller still waits.
+const ROUTER_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout for the ledger's answer to a claim.
+const LEDGER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout for a router to accept handed-over claims.
+const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Attempts to record a claim's end in the ledger before the claim is left open.
+const SETTLE_ATTEMPTS: u32 = 20;
+/// Pause between two such attempts.
 const SETTLE_PAUSE: Duration = Duration::from_secs(1);
 
-/// Answers a router, this one included.
+/// Answers a claim request of a router, this one included.
 pub fn answer(core: &Core, req: RouterRequest) -> RouterReply {
     let now = core.life.now();
-    let silent = core.following.out_of_touch();
-    core.claim_book().handle(now, req, |key, asked| {
-        core.tenure()
-            .vouches(now, silent, &core.instance.id, key, asked)
+    let disconnected_for = core.view_state.disconnected_for();
+    core.lock_claims().handle(now, req, |key, asked| {
+        core.lock_holder_history()
+            .vouches(now, disconnected_for, &core.instance.id, key, asked)
     })
 }
 
 /// Puts a claim at a router.
 pub async fn put_claim(core: &Core, holder: InstanceId, claim: PlacedClaim, id: ClaimId) -> Event {
-    let answer = put(core, &holder, claim, id).await;
+    let answer = request_claim(core, &holder, claim, id).await;
     Event::Claimed {
         holder: Holder::Router(holder),
         answer: answer.unwrap_or(ClaimAnswer::Lost),
     }
 }
 
-async fn put(
+async fn request_claim(
     core: &Core,
     holder: &InstanceId,
     claim: PlacedClaim,
     id: ClaimId,
 ) -> Option<ClaimAnswer> {
-    let holders = core.tenure().holders(&claim.key);
+    let holders = core.lock_holder_history().holders(&claim.key);
     let request = RouterRequest::PutAs { claim, holders };
     let reply = if *holder == core.instance.id {
         answer(core, request)
     } else {
-        let addr = core.following.view.load().router(holder)?.instance.addr;
+        let addr = core.view_state.view.load().router(holder)?.instance.addr;
         let channel = core.peers.to(addr);
-        let called = channel.call::<RouterCall>(&request, ROUTER_WITHIN).await;
+        let called = channel.call::<RouterCall>(&request, ROUTER_TIMEOUT).await;
         called.ok()?
     };
     let RouterReply::Claim(Some(claim)) = reply else {
@@ -78,18 +79,18 @@
 pub async fn put_ledger_claim(core: &Core, claim: Claim) -> Event {
     let answer = core
         .ledger
-        .propose(Command::Claim(claim), LEDGER_WITHIN)
+        .propose(Command::Claim(claim), LEDGER_TIMEOUT)
         .await;
     Event::Claimed {
         holder: Holder::Ledger,
         answer: match answer {
-            Ok(Answer::Claimed(record)) => stands(record),
+            Ok(Answer::Claimed(record)) => ledger_claim_answer(record),
             Ok(_) | Err(_) => ClaimAnswer::Lost,
         },
     }
 }
 
-fn stands(record: ClaimRecord) -> ClaimAnswer {
+fn ledger_claim_answer(record: ClaimRecord) -> ClaimAnswer {
     ClaimAnswer::Stands {
         target: Target::new(record.claim.sidecar, record.claim.incarnation),
         body: record.claim.body,
@@ -102,12 +103,12 @@
     }
 }
 
-/// Tells the ledger how a claimed request ended. Tried for a while; an untold end leaves the
-/// claim open, which only means that a retry reads its sidecar.
+/// Records in the ledger how a claimed request ended. After the last failed attempt the claim stays
+/// open, which only means that a retry reads the answer from the sidecar.
 pub async fn settle(core: &Core, settle: SettleClaim) {
-    for _ in 0..SETTLE_TRIES {
+    for _ in 0..SETTLE_ATTEMPTS {
         let command = Command::SettleClaim(settle.clone());
-        if core.ledger.propose(command, LEDGER_WITHIN).await.is_ok() {
+        if core.ledger.propose(command, LEDGER_TIMEOUT).await.is_ok() {
             return;
         }
         sleep(SETTLE_PAUSE).await;
@@ -116,10 +117,10 @@
     event!(core.log, events::ROUTER_CLAIM_LEFT_OPEN, "key" => key);
 }
 
-/// Hands all kept claims to the routers that keep them from now on.
+/// Hands all stored claims over to the routers that hold them from now on.
 pub async fn hand_over(core: &Core) {
-    let claims = core.claim_book().leave(core.life.now());
-    let view = core.following.view.load_full();
+    let claims = core.lock_claims().leave(core.life.now());
+    let view = core.view_state.view.load_full();
     let others = view.routers.values();
     let others: Vec<_> = others
         .filter(|member| member.instance.id != core.instance.id)
@@ -138,8 +139,10 @@
         let channel = core.peers.to(view.router(&router)?.instance.addr);
         Some(async move {
             let request = RouterRequest::HandOver(claims);
-            // A router that does not take them over leaves the claims to its peer.
-            let _ = channel.call::<RouterCall>(&request, HAND_OVER_WITHIN).await;
+            // If a router does not accept them, the claims' other holder still has them.
+            let _ = channel
+                .call::<RouterCall>(&request, HAND_OVER_TIMEOUT)
+                .await;
         })
     });
     join_all(sending.collect::<Vec<_>>()).await;
--- a/crates/anvilreel/src/router/lane.rs
+++ b/crates/anvilreel/src/router/lane.rs
@@ -1,4 +1,5 @@
-//! The door and the queue of one pool: the shell around [`anvil_policy`]'s gate and choice.
+//! Admission and queueing for one pool of endpoints: synchronisation and timing around the pure
+//! admission and endpoint choice of [`anvil_policy`].
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,135 +12,142 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::sync::oneshot;
 
-use super::job::{Job, USUAL_TOKEN_BYTES};
+use super::job::{AVG_TOKEN_BYTES, Job};
 use crate::life::Life;
 
-/// Time between two judgements of all endpoints.
-const JUDGE_EVERY: Duration = Duration::from_secs(1);
+/// Interval between two health evaluations of all endpoints.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a waiting request is told.
-type Told = Result<(), Refusal>;
+/// Outcome of waiting in the queue.
+type AdmissionResult = Result<(), Refusal>;
 
-struct Door {
+struct QueueState {
     gate: Gate,
-    waiters: BTreeMap<WaiterId, oneshot::Sender<Told>>,
+    waiters: BTreeMap<WaiterId, oneshot::Sender<AdmissionResult>>,
     estimate: Estimate,
     health: Health,
-    /// When shares were last judged.
-    judged: Option<Now>,
+    /// When the endpoints' health was last evaluated.
+    health_checked_at: Option<Now>,
     prefixes: PrefixIndex,
     rng: ChaCha8Rng,
 }
 
-/// One pool of endpoints with its queue: the endpoints of one model, or of one plain service.
-pub struct Lane {
-    /// The endpoints that this router knows of.
+/// A pool of endpoints with its queue: the endpoints of one model, or of one plain service.
+pub struct PoolQueue {
+    /// The endpoints known to this router.
     pub pool: ArcSwap<Pool>,
     chooser: Chooser,
-    door: Mutex<Door>,
+    queue: Mutex<QueueState>,
 }
 
-/// A place at an endpoint. Dropping it frees the place and wakes who waits.
-pub struct Turn {
-    lane: Arc<Lane>,
-    /// The endpoint that was chosen.
+/// A slot at an endpoint. Dropping it frees the slot and admits waiting requests.
+pub struct EndpointPermit {
+    pool_queue: Arc<PoolQueue>,
+    /// The chosen endpoint.
     pub endpoint: Arc<EndpointState>,
     life: Life,
 }
 
-impl Drop for Turn {
+impl Drop for EndpointPermit {
     fn drop(&mut self) {
         self.endpoint.finish();
-        let mut door = self.lane.door();
-        door.gate.finished();
-        self.lane.let_in(&mut door, self.life.now());
+        let mut queue = self.pool_queue.queue();
+        queue.gate.finished();
+        self.pool_queue.admit_waiting(&mut queue, self.life.now());
     }
 }
 
-impl Turn {
-    /// Learns from a request that ran to its end.
-    pub fn learn(&self, finished: &Finished) {
-        let mut door = self.lane.door();
-        door.estimate.learn(finished);
-        let ended = Ended::Answered(latency_of(finished, &door.estimate));
-        door.health.observe(self.life.now(), &self.endpoint, &ended);
+impl EndpointPermit {
+    /// Records the measurements of a request that ran to its end.
+    pub fn record_finished(&self, finished: &Finished) {
+        let mut queue = self.pool_queue.queue();
+        queue.estimate.learn(finished);
+        let ended = Ended::Answered(measured_latency(finished, &queue.estimate));
+        queue
+            .health
+            .observe(self.life.now(), &self.endpoint, &ended);
     }
 
-    /// Learns that the endpoint failed or could not be reached.
-    pub fn failed(&self) {
+    /// Records that the endpoint failed or could not be reached.
+    pub fn record_failure(&self) {
         let now = self.life.now();
-        let mut door = self.lane.door();
-        door.health.observe(now, &self.endpoint, &Ended::Failed);
+        let mut queue = self.pool_queue.queue();
+        queue.health.observe(now, &self.endpoint, &Ended::Failed);
     }
 }
 
-impl Lane {
-    /// A lane with no endpoint yet.
+impl PoolQueue {
+    /// A queue without endpoints.
     pub fn new(chooser: Chooser, seed: u64) -> Self {
-        let door = Door {
+        let queue = QueueState {
             gate: Gate::new(AdmissionRule::default()),
             waiters: BTreeMap::new(),
             estimate: Estimate::default(),
             health: Health::new(HealthRule::default()),
-            judged: None,
+            health_checked_at: None,
             prefixes: PrefixIndex::new(PrefixRule::default()),
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
         Self {
             pool: ArcSwap::default(),
             chooser,
-            door: Mutex::new(door),
+            queue: Mutex::new(queue),
         }
     }
 
-    /// Takes in a new set of endpoints.
+    /// Replaces the set of endpoints.
     pub fn set_pool(&self, now: Now, pool: Pool) {
         self.pool.store(Arc::new(pool));
-        self.door().judged = None;
+        self.queue().health_checked_at = None;
         self.tick(now);
     }
 
-    /// Lets in who has room now and answers who is given up on. To be called now and then.
+    /// Admits waiting requests for which there is room, and refuses those whose waiting time is
+    /// over. Must be called regularly.
     pub fn tick(&self, now: Now) {
-        let mut door = self.door();
-        if door.judged.is_none_or(|at| now >= at + JUDGE_EVERY) {
-            door.judged = Some(now);
-            door.health.tick(now, &self.pool.load());
+        let mut queue = self.queue();
+        if queue
+            .health_checked_at
+            .is_none_or(|at| now >= at + HEALTH_CHECK_INTERVAL)
+        {
+            queue.health_checked_at = Some(now);
+            queue.health.tick(now, &self.pool.load());
         }
-        self.let_in(&mut door, now);
-        while let Some((waiter, refusal)) = door.gate.expired(now) {
-            if let Some(tx) = door.waiters.remove(&waiter.id) {
-                // Fails only where the caller has left.
+        self.admit_waiting(&mut queue, now);
+        while let Some((waiter, refusal)) = queue.gate.expired(now) {
+            if let Some(tx) = queue.waiters.remove(&waiter.id) {
+                // Sending fails only if the caller has disconnected.
                 let _ = tx.send(Err(refusal));
             }
         }
     }
 
-    /// Takes in a report of an endpoint's load, and lets in who has room by it.
+    /// Applies a load report of an endpoint and admits waiting requests for which there is now
+    /// room.
     pub fn report(&self, now: Now, endpoint: &EndpointState, load: &LoadReport) {
-        let mut door = self.door();
-        door.health.report(now, endpoint, load);
-        self.let_in(&mut door, now);
+        let mut queue = self.queue();
+        queue.health.report(now, endpoint, load);
+        self.admit_waiting(&mut queue, now);
     }
 
-    /// How many routers share the endpoints.
+    /// Sets how many routers share the endpoints.
     pub fn set_routers(&self, routers: u32) {
-        self.door().health.set_routers(routers);
+        self.queue().health.set_routers(routers);
     }
 
-    /// Waits for a turn and chooses the endpoint, avoiding those where the request has failed.
-    pub async fn turn(
+    /// Waits for admission and chooses the endpoint, avoiding those where the request has failed.
+    pub async fn acquire(
         self: &Arc<Self>,
         life: &Life,
         job: &Job,
         weight: u32,
         avoid: &[InstanceId],
-    ) -> Result<Turn, Refusal> {
+    ) -> Result<EndpointPermit, Refusal> {
         let ticket = self.ticket(life.now(), job, weight);
         if !self.pool.load().serves() {
-            return Err(nowhere(job));
+            return Err(no_endpoint(job));
         }
-        let mut verdict = self.door().gate.offer(life.now(), ticket.clone());
+        let mut verdict = self.queue().gate.offer(life.now(), ticket.clone());
         loop {
             match verdict {
                 Verdict::Go => {}
@@ -150,18 +158,18 @@
             match choice {
                 Choice::Endpoint(endpoint) => {
                     endpoint.start();
-                    let (lane, life) = (self.clone(), life.clone());
-                    return Ok(Turn {
-                        lane,
+                    let (pool_queue, life) = (self.clone(), life.clone());
+                    return Ok(EndpointPermit {
+                        pool_queue,
                         endpoint,
                         life,
                     });
                 }
                 Choice::Nowhere => {
-                    self.door().gate.finished();
-                    return Err(nowhere(job));
+                    self.queue().gate.finished();
+                    return Err(no_endpoint(job));
                 }
-                Choice::Full => verdict = self.wait_again(life.now(), &ticket, job),
+                Choice::Full => verdict = self.requeue(life.now(), &ticket, job),
             }
         }
     }
@@ -173,7 +181,7 @@
             weight,
             class: job.class,
             prompt,
-            service: self.door().estimate.service(prompt, output),
+            service: self.queue().estimate.service(prompt, output),
             deadline: now + job.time_left(),
         }
     }
@@ -181,96 +189,97 @@
     fn choose(&self, now: Now, job: &Job, avoid: &[InstanceId]) -> Choice {
         let hashes = job.prefix_hashes(&PrefixRule::default());
         let pool = self.pool.load();
-        let mut door = self.door();
-        let cached = tokens_of(door.prefixes.holders(now, &hashes));
+        let mut queue = self.queue();
+        let cached = cached_tokens(queue.prefixes.holders(now, &hashes));
         let ask = Ask {
             prompt: job.expected().0,
             cached: &cached,
             avoid,
         };
-        let choice = self.chooser.choose(&pool, &ask, &mut door.rng);
+        let choice = self.chooser.choose(&pool, &ask, &mut queue.rng);
         if let Choice::Endpoint(endpoint) = &choice {
-            door.prefixes.sent(now, &endpoint.id, &hashes);
+            queue.prefixes.sent(now, &endpoint.id, &hashes);
         }
         choice
     }
 
-    fn wait_again(&self, now: Now, ticket: &Ticket, job: &Job) -> Verdict {
+    fn requeue(&self, now: Now, ticket: &Ticket, job: &Job) -> Verdict {
         let waiter = Waiter {
             id: 0,
             ticket: ticket.clone(),
             arrived: now,
-            start_by: now + job.patience.min(job.time_left()),
+            start_by: now + job.queue_timeout.min(job.time_left()),
         };
-        Verdict::Wait(self.door().gate.put_back(now, &waiter))
+        Verdict::Wait(self.queue().gate.put_back(now, &waiter))
     }
 
-    async fn wait(self: &Arc<Self>, id: WaiterId) -> Told {
+    async fn wait(self: &Arc<Self>, id: WaiterId) -> AdmissionResult {
         let (tx, rx) = oneshot::channel();
-        self.door().waiters.insert(id, tx);
-        let mut leave = LeaveQueue {
-            lane: self,
+        self.queue().waiters.insert(id, tx);
+        let mut guard = CancelOnDrop {
+            pool_queue: self,
             id,
-            told: false,
+            resolved: false,
         };
-        let told = rx
+        let admission = rx
             .await
             .unwrap_or_else(|_| Err(Refusal::new(Reason::Cancelled)));
-        leave.told = true;
-        told
+        guard.resolved = true;
+        admission
     }
 
-    fn let_in(&self, door: &mut Door, now: Now) {
+    fn admit_waiting(&self, queue: &mut QueueState, now: Now) {
         let room = self.pool.load().room();
-        let running = door.gate.running();
-        door.gate.set_limit(running.saturating_add(room));
-        while let Some(waiter) = door.gate.next(now) {
-            let told = door.waiters.remove(&waiter.id);
-            if told.is_none_or(|tx| tx.send(Ok(())).is_err()) {
-                door.gate.finished();
+        let running = queue.gate.running();
+        queue.gate.set_limit(running.saturating_add(room));
+        while let Some(waiter) = queue.gate.next(now) {
+            let waiter_tx = queue.waiters.remove(&waiter.id);
+            if waiter_tx.is_none_or(|tx| tx.send(Ok(())).is_err()) {
+                queue.gate.finished();
             }
         }
     }
 
-    fn door(&self) -> MutexGuard<'_, Door> {
-        // A panic elsewhere leaves the door as it was between two steps.
-        self.door.lock().unwrap_or_else(PoisonError::into_inner)
+    fn queue(&self) -> MutexGuard<'_, QueueState> {
+        // Each update leaves the queue consistent, so a poisoned lock can be used.
+        self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Takes a waiting request out of the queue when its caller leaves.
-struct LeaveQueue<'a> {
-    lane: &'a Lane,
+/// Removes a waiting request from the queue when its caller disconnects.
+struct CancelOnDrop<'a> {
+    pool_queue: &'a PoolQueue,
     id: WaiterId,
-    told: bool,
+    resolved: bool,
 }
 
-impl Drop for LeaveQueue<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
-        if self.told {
+        if self.resolved {
             return;
         }
-        let mut door = self.lane.door();
-        let waits = door.waiters.remove(&self.id).is_some();
+        let mut queue = self.pool_queue.queue();
+        let waits = queue.waiters.remove(&self.id).is_some();
         if waits {
-            door.gate.cancel(self.id);
+            queue.gate.cancel(self.id);
         } else {
-            // It was let in at the same moment: its place goes to the next one.
-            door.gate.finished();
+            // The request was admitted at the same moment: its slot goes to the next one.
+            queue.gate.finished();
         }
     }
 }
 
-/// When to come back where no endpoint serves it now.
-const NOWHERE_RETRY: Duration = Duration::from_secs(1);
+/// Retry-After when no endpoint serves the request at present.
+const NO_ENDPOINT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-fn nowhere(job: &Job) -> Refusal {
+fn no_endpoint(job: &Job) -> Refusal {
     let reason = Reason::NoEndpoint(job.service.clone());
-    Refusal::new(reason).with_retry_after(NOWHERE_RETRY)
+    Refusal::new(reason).with_retry_after(NO_ENDPOINT_RETRY_AFTER)
 }
 
-/// A long prompt's own prefill is no fault of the endpoint, so it is taken off.
-fn latency_of(finished: &Finished, estimate: &Estimate) -> Latency {
+/// Latencies of a finished request. The estimated prefill time is subtracted, so that a long prompt
+/// does not count against the endpoint.
+fn measured_latency(finished: &Finished, estimate: &Estimate) -> Latency {
     let prompt = u32::try_from(finished.prompt).unwrap_or(u32::MAX);
     let prefill = f64::from(prompt) * estimate.per_prompt_token;
     let prefill = Duration::try_from_secs_f64(prefill).unwrap_or_default();
@@ -282,9 +291,9 @@
     }
 }
 
-/// Prefixes held, in tokens in place of blocks.
-fn tokens_of(held: Vec<(InstanceId, usize)>) -> Vec<(InstanceId, Tokens)> {
-    let block = PrefixRule::default().block as u64 / USUAL_TOKEN_BYTES;
+/// Converts the length of cached prefixes from blocks into tokens.
+fn cached_tokens(held: Vec<(InstanceId, usize)>) -> Vec<(InstanceId, Tokens)> {
+    let block = PrefixRule::default().block as u64 / AVG_TOKEN_BYTES;
     let tokens = |(id, blocks): (InstanceId, usize)| (id, blocks as u64 * block);
     held.into_iter().map(tokens).collect()
 }
--- a/crates/anvilreel/src/router/money_loop.rs
+++ b/crates/anvilreel/src/router/money_loop.rs
@@ -1,4 +1,5 @@
-//! The one task that talks to the ledger about money: a batch a second, sooner when one lacks.
+//! The only task that exchanges grant batches with the ledger: one batch a second, sooner when a
+//! request could not reserve its tokens.
 
 use std::time::Duration;
 
@@ -9,52 +10,53 @@
 use crate::event;
 use crate::events;
 
-/// Longest wait for the ledger's answer to a batch; afterwards the same batch is sent again.
-const BATCH_WITHIN: Duration = Duration::from_secs(1);
-/// Time between two looks at whether a batch is due.
-const LOOK: Duration = Duration::from_millis(100);
-/// Least time between two batches, also when a request waits for money.
-const URGENT: Duration = Duration::from_millis(5);
+/// Timeout for the ledger's answer to a batch; the same batch is then sent again.
+const BATCH_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval at which the loop checks whether a batch is due.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum pause between two batches, also while a request waits for a grant.
+const MIN_BATCH_PAUSE: Duration = Duration::from_millis(5);
 
-/// Exchanges batches, for as long as the process lives.
+/// Exchanges batches for as long as the process runs.
 pub async fn run(core: &Core) {
     loop {
-        exchange(core).await;
-        sleep(URGENT).await;
-        if !core.purse.is_urgent() {
-            // Either wake-up is followed by a look, so it does not matter which one it was.
-            let _ = timeout(LOOK, core.money_wanted.notified()).await;
+        exchange_batch(core).await;
+        sleep(MIN_BATCH_PAUSE).await;
+        if !core.grant_account.is_urgent() {
+            // Both wake-ups are followed by the same check, so it does not matter which one
+            // occurred.
+            let _ = timeout(POLL_INTERVAL, core.batch_wanted.notified()).await;
         }
     }
 }
 
-/// Gives every grant back, within this time.
-pub async fn give_back(core: &Core, within: Duration) {
-    core.purse.stop();
+/// Returns every grant to the ledger, within this time.
+pub async fn return_grants(core: &Core, within: Duration) {
+    core.grant_account.stop();
     let deadline = Instant::now() + within;
-    while !core.purse.is_empty() && Instant::now() < deadline {
-        core.money_wanted.notify_one();
-        sleep(LOOK).await;
+    while !core.grant_account.is_empty() && Instant::now() < deadline {
+        core.batch_wanted.notify_one();
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn exchange(core: &Core) {
-    let Some(batch) = core.purse.batch(core.life.now()) else {
+async fn exchange_batch(core: &Core) {
+    let Some(batch) = core.grant_account.batch(core.life.now()) else {
         return;
     };
     let command = Command::GrantBatch(batch);
-    match core.ledger.propose(command, BATCH_WITHIN).await {
+    match core.ledger.propose(command, BATCH_TIMEOUT).await {
         Ok(Answer::Grants(answer)) => {
-            if let Err(e) = core.purse.answered(core.life.now(), &answer) {
+            if let Err(e) = core.grant_account.answered(core.life.now(), &answer) {
                 event!(core.log, events::ROUTER_SETTLEMENT_REFUSED, "error" => e.to_string());
             }
         }
         Ok(Answer::Denied(denial)) => {
-            if core.purse.denied(core.life.now(), &denial) {
+            if core.grant_account.denied(core.life.now(), &denial) {
                 event!(core.log, events::ROUTER_FENCED);
             }
         }
-        // The purse gives the same batch again when it is due.
+        // The grant account returns the same batch again when it is due.
         Ok(_) | Err(_) => {}
     }
 }
--- a/crates/anvilreel/src/router/places.rs
+++ b/crates/anvilreel/src/router/places.rs
@@ -1,7 +1,7 @@
-//! The endpoints that this router sends work to, and what it knows of their load.
+//! The endpoints that this router sends work to, and their reported load.
 //!
-//! At the design size a router does not watch all 7,100 endpoints: of each pool it watches the
-//! bounded subset that [`anvil_policy::subset`] chooses.
+//! At the design size there are 7,100 endpoints, too many for every router to watch: of each pool
+//! it watches the bounded subset that [`anvil_policy::subset`] chooses.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -16,49 +16,49 @@
 use tokio::time::sleep;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::lane::Lane;
+use super::lane::PoolQueue;
 use super::view::View;
 use crate::life::Life;
 use crate::peers::Peers;
 
-/// Pause before a lost watch is taken up again.
-const WATCH_AGAIN: Duration = Duration::from_millis(500);
+/// Pause before a lost load stream is reopened.
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Names a pool: a service, and for model runners the model.
+/// Identifies a pool: a service and, for model runners, the model.
 pub type PoolKey = (ServiceId, Option<ModelId>);
 
-type Lanes = BTreeMap<PoolKey, Arc<Lane>>;
+type PoolQueues = BTreeMap<PoolKey, Arc<PoolQueue>>;
 
-/// A sidecar with what the router knows of its endpoint.
-pub struct Place {
+/// A sidecar whose load is watched.
+pub struct WatchedEndpoint {
     /// The sidecar.
     pub instance: Arc<Instance>,
-    /// The endpoint's load, shared between the pools of all its models.
+    /// The endpoint's load, shared by the pools of all its models.
     pub state: Arc<EndpointState>,
     watch: JoinHandle<()>,
 }
 
-impl Drop for Place {
+impl Drop for WatchedEndpoint {
     fn drop(&mut self) {
         self.watch.abort();
     }
 }
 
 /// All pools of a router.
-pub struct Places {
-    /// Pools by name; requests load them once.
-    lanes: Arc<ArcSwap<Lanes>>,
-    watched: Mutex<BTreeMap<InstanceId, Place>>,
+pub struct EndpointPools {
+    /// Queues by pool; each request loads the map once.
+    queues: Arc<ArcSwap<PoolQueues>>,
+    watched: Mutex<BTreeMap<InstanceId, WatchedEndpoint>>,
     router: Instance,
     life: Life,
     peers: Arc<Peers>,
 }
 
-impl Places {
-    /// No endpoint yet.
+impl EndpointPools {
+    /// No endpoints yet.
     pub fn new(router: Instance, life: Life, peers: Arc<Peers>) -> Self {
         Self {
-            lanes: Arc::default(),
+            queues: Arc::default(),
             watched: Mutex::default(),
             router,
             life,
@@ -66,104 +66,106 @@
         }
     }
 
-    /// The pool of this name.
-    pub fn lane(&self, key: &PoolKey) -> Option<Arc<Lane>> {
-        self.lanes.load().get(key).cloned()
+    /// The queue of this pool.
+    pub fn queue(&self, key: &PoolKey) -> Option<Arc<PoolQueue>> {
+        self.queues.load().get(key).cloned()
     }
 
-    /// Takes in the endpoints of a new view.
+    /// Applies the endpoints of a new view.
     pub fn update(&self, view: &View) {
-        let wanted = self.wanted(view);
-        let states = self.watch_all(&wanted);
+        let to_watch = self.endpoints_to_watch(view);
+        let states = self.watch_all(&to_watch);
         let routers = u32::try_from(view.routers.len()).unwrap_or(u32::MAX);
-        let mut lanes = BTreeMap::clone(&self.lanes.load());
-        lanes.retain(|key, lane| {
-            let known = wanted.contains_key(key);
+        let mut queues = BTreeMap::clone(&self.queues.load());
+        queues.retain(|key, queue| {
+            let known = to_watch.contains_key(key);
             if !known {
-                lane.set_pool(self.life.now(), Pool::default());
+                queue.set_pool(self.life.now(), Pool::default());
             }
             known
         });
-        for (key, instances) in &wanted {
+        for (key, instances) in &to_watch {
             let endpoints = instances.iter().filter_map(|i| states.get(&i.id)).cloned();
             let pool = Pool::new(endpoints.collect());
-            let lane = lanes
+            let queue = queues
                 .entry(key.clone())
-                .or_insert_with(|| self.new_lane(key));
-            lane.set_routers(routers);
-            lane.set_pool(self.life.now(), pool);
+                .or_insert_with(|| self.new_queue(key));
+            queue.set_routers(routers);
+            queue.set_pool(self.life.now(), pool);
         }
-        self.lanes.store(Arc::new(lanes));
+        self.queues.store(Arc::new(queues));
     }
 
-    /// Lets waiting requests in or gives up on them. To be called now and then.
+    /// Admits waiting requests or refuses those whose waiting time is over. Must be called
+    /// regularly.
     pub fn tick(&self) {
         let now = self.life.now();
-        for lane in self.lanes.load().values() {
-            lane.tick(now);
+        for queue in self.queues.load().values() {
+            queue.tick(now);
         }
     }
 
-    fn new_lane(&self, (service, model): &PoolKey) -> Arc<Lane> {
+    fn new_queue(&self, (service, model): &PoolKey) -> Arc<PoolQueue> {
         let chooser = Chooser::default().with_zone(self.router.zone.clone());
         let name = format!("{}/{service}/{model:?}", self.router.id);
-        Arc::new(Lane::new(
+        Arc::new(PoolQueue::new(
             chooser,
             xxh3_64(name.as_bytes()) ^ self.router.incarnation,
         ))
     }
 
-    /// The watched endpoints of each pool.
-    fn wanted(&self, view: &View) -> BTreeMap<PoolKey, Vec<Arc<Instance>>> {
-        let mut wanted: BTreeMap<PoolKey, Vec<Arc<Instance>>> = BTreeMap::new();
+    /// The endpoints to watch, by pool.
+    fn endpoints_to_watch(&self, view: &View) -> BTreeMap<PoolKey, Vec<Arc<Instance>>> {
+        let mut to_watch: BTreeMap<PoolKey, Vec<Arc<Instance>>> = BTreeMap::new();
         for (service, instances) in &view.endpoints {
             for instance in instances {
                 let Some(endpoint) = &instance.endpoint else {
                     continue;
                 };
                 if endpoint.models.is_empty() {
-                    let pool = wanted.entry((service.clone(), None)).or_default();
+                    let pool = to_watch.entry((service.clone(), None)).or_default();
                     pool.push(instance.clone());
                 }
                 for model in &endpoint.models {
                     let key = (service.clone(), Some(model.clone()));
-                    wanted.entry(key).or_default().push(instance.clone());
+                    to_watch.entry(key).or_default().push(instance.clone());
                 }
             }
         }
-        for pool in wanted.values_mut() {
+        for pool in to_watch.values_mut() {
             let all = pool.iter().map(|instance| (&instance.id, &instance.zone));
             let (router, zone) = (&self.router.id, &self.router.zone);
             let watched = SubsetRule::default().watched(router, zone, all);
             pool.retain(|instance| watched.contains(&instance.id));
         }
-        wanted
+        to_watch
     }
 
-    /// Watches what is wanted and forgets the rest; a new life of a sidecar starts anew.
+    /// Starts and stops watches so that exactly these endpoints are watched; a new incarnation of a
+    /// sidecar gets a new watch.
     fn watch_all(
         &self,
-        wanted: &BTreeMap<PoolKey, Vec<Arc<Instance>>>,
+        to_watch: &BTreeMap<PoolKey, Vec<Arc<Instance>>>,
     ) -> BTreeMap<InstanceId, Arc<EndpointState>> {
-        let all: BTreeMap<_, _> = wanted.values().flatten().map(|i| (&i.id, i)).collect();
-        // A panic elsewhere leaves the map as it was between two steps.
-        let mut places = self.watched.lock().unwrap_or_else(PoisonError::into_inner);
-        places.retain(|id, place| {
+        let all: BTreeMap<_, _> = to_watch.values().flatten().map(|i| (&i.id, i)).collect();
+        // Each update leaves the map consistent, so a poisoned lock can be used.
+        let mut endpoints_by_id = self.watched.lock().unwrap_or_else(PoisonError::into_inner);
+        endpoints_by_id.retain(|id, watched_endpoint| {
             let now = all.get(id);
-            now.is_some_and(|now| now.incarnation == place.instance.incarnation)
+            now.is_some_and(|now| now.incarnation == watched_endpoint.instance.incarnation)
         });
         for (id, instance) in all {
-            if !places.contains_key(id) {
-                places.insert(id.clone(), self.watch(instance));
+            if !endpoints_by_id.contains_key(id) {
+                endpoints_by_id.insert(id.clone(), self.watch(instance));
             }
         }
-        places
+        endpoints_by_id
             .iter()
-            .map(|(id, place)| (id.clone(), place.state.clone()))
+            .map(|(id, watched_endpoint)| (id.clone(), watched_endpoint.state.clone()))
             .collect()
     }
 
-    fn watch(&self, instance: &Arc<Instance>) -> Place {
+    fn watch(&self, instance: &Arc<Instance>) -> WatchedEndpoint {
         let slots = instance
             .endpoint
             .as_ref()
@@ -172,7 +174,7 @@
         let state = Arc::new(state);
         let channel = self.peers.to(instance.addr);
         let watched = state.clone();
-        let (lanes, life) = (self.lanes.clone(), self.life.clone());
+        let (queues, life) = (self.queues.clone(), self.life.clone());
         let watch = tokio::spawn(async move {
             let mut last = EndpointLoad {
                 slots,
@@ -181,19 +183,24 @@
             loop {
                 if let Ok(mut replies) = channel.open::<SidecarCall>(&SidecarRequest::Watch).await {
                     while let Ok(Some(SidecarReply::Load(load))) = replies.next().await {
-                        take_report(&lanes.load(), life.now(), &watched, &report_of(&load));
+                        apply_load_report(
+                            &queues.load(),
+                            life.now(),
+                            &watched,
+                            &load_report(&load),
+                        );
                         last = load;
                     }
                 }
-                // Failure: a sidecar dies, and until the ledger has missed it work goes on being
-                // sent there; it shows as requests with a key that wait some seconds for it. Whom
-                // this router can't watch it can't send work to either.
+                // A sidecar whose load stream is down can't be sent work either, so it counts as
+                // leaving. Otherwise work would be sent to a dead sidecar until the ledger declares
+                // it lost, and requests with a key would wait some seconds for it.
                 last.leaving = true;
-                take_report(&lanes.load(), life.now(), &watched, &report_of(&last));
-                sleep(WATCH_AGAIN).await;
+                apply_load_report(&queues.load(), life.now(), &watched, &load_report(&last));
+                sleep(WATCH_RETRY_DELAY).await;
             }
         });
-        Place {
+        WatchedEndpoint {
             instance: instance.clone(),
             state,
             watch,
@@ -201,16 +208,16 @@
     }
 }
 
-/// Takes a report into every pool that the endpoint belongs to.
-fn take_report(lanes: &Lanes, now: Now, endpoint: &EndpointState, load: &LoadReport) {
-    for lane in lanes.values() {
-        if lane.pool.load().get(&endpoint.id).is_some() {
-            lane.report(now, endpoint, load);
+/// Applies a load report in every pool that the endpoint belongs to.
+fn apply_load_report(queues: &PoolQueues, now: Now, endpoint: &EndpointState, load: &LoadReport) {
+    for queue in queues.values() {
+        if queue.pool.load().get(&endpoint.id).is_some() {
+            queue.report(now, endpoint, load);
         }
     }
 }
 
-fn report_of(load: &EndpointLoad) -> LoadReport {
+fn load_report(load: &EndpointLoad) -> LoadReport {
     LoadReport {
         running: load.running,
         queued: load.queued,
--- a/crates/anvilreel/src/router/plain_call.rs
+++ b/crates/anvilreel/src/router/plain_call.rs
@@ -1,4 +1,4 @@
-//! `/services/SERVICE/...`: calls of plain services.
+//! `/services/SERVICE/...`: calls to plain services.
 
 use std::sync::Arc;
 
@@ -12,14 +12,16 @@
 use tokio::sync::mpsc::Receiver;
 use viz::{Body, Request, Response};
 
-use super::front::{authenticate, check_open, claim_id, name_answer, read_body, request_key};
-use super::job::{Job, Piece};
+use super::front::{
+    authenticate, check_accepting, claim_id, read_body, request_key, set_request_id,
+};
+use super::job::{AnswerPart, Job};
 use super::refuse;
 use super::view::{Team, View};
 use super::{Core, flow};
 
-/// Headers that belong to one connection or to the router and are not passed on.
-const NOT_PASSED_ON: &[&str] = &[
+/// Headers that concern one connection or the router itself; they are not forwarded.
+const HOP_BY_HOP_HEADERS: &[&str] = &[
     "authorization",
     "connection",
     "content-length",
@@ -32,15 +34,15 @@
     "upgrade",
 ];
 
-/// The answer broke off before its end.
+/// The answer ended before it was complete.
 #[derive(Debug, snafu::Snafu)]
-#[snafu(display("the answer broke off"))]
-struct BrokenOff;
+#[snafu(display("incomplete answer: the run ended early"))]
+struct IncompleteAnswer;
 
-/// Answers a call of a plain service.
-pub async fn answer(core: Arc<Core>, mut req: Request) -> Result<Response, Refusal> {
-    check_open(&core)?;
-    let view = core.following.view.load_full();
+/// Answers a call to a plain service.
+pub async fn handle(core: Arc<Core>, mut req: Request) -> Result<Response, Refusal> {
+    check_accepting(&core)?;
+    let view = core.view_state.view.load_full();
     let team = authenticate(&view, req.headers())?;
     let rest = req
         .uri()
@@ -52,29 +54,29 @@
         .to_owned();
     let split_at = rest.find(['/', '?']).unwrap_or(rest.len());
     let (name, tail) = rest.split_at(split_at);
-    let (service, document) = service_of(&view, &team, name)?;
-    let (key, callers_key) = request_key(&core, &team, req.headers())?;
+    let (service, document) = find_service(&view, &team, name)?;
+    let (key, has_caller_key) = request_key(&core, &team, req.headers())?;
     let body = read_body(&mut req, view.fleet.max_body).await?;
-    let call = Call {
+    let call = PlainCall {
         method: req.method().as_str().into(),
         tail: tail.trim_start_matches('/').into(),
-        headers: passed_on(req.headers()),
+        headers: end_to_end_headers(req.headers()),
         body,
     };
     let mut job = call.into_job(
         &view,
         &team,
         (service, &document),
-        (key.clone(), callers_key),
+        (key.clone(), has_caller_key),
     );
     job.claim_id = claim_id(&core);
-    let once = job.once;
-    let mut answer = relay(once, flow::start(core, job)).await;
-    name_answer(&mut answer, &key);
-    Ok(answer)
+    let once = job.at_most_once;
+    let mut response = respond(once, flow::start(core, job)).await;
+    set_request_id(&mut response, &key);
+    Ok(response)
 }
 
-fn service_of(
+fn find_service(
     view: &View,
     team: &Team,
     name: &str,
@@ -90,20 +92,20 @@
     Ok((service, document))
 }
 
-struct Call {
+struct PlainCall {
     method: Arc<str>,
     tail: Arc<str>,
     headers: Vec<(Arc<str>, Bytes)>,
     body: Bytes,
 }
 
-impl Call {
+impl PlainCall {
     fn into_job(
         self,
         view: &View,
         team: &Team,
         (service, document): (ServiceId, &ServiceDocument),
-        (key, callers_key): (RequestKey, bool),
+        (key, has_caller_key): (RequestKey, bool),
     ) -> Job {
         let usage = Usage {
             calls: 1,
@@ -112,9 +114,9 @@
         let timeout = document.timeout.unwrap_or(view.fleet.request_timeout);
         Job {
             key,
-            callers_key,
-            body: self.hash(&service),
-            once: !document.may_repeat(&self.method, &self.tail),
+            has_caller_key,
+            body_hash: self.hash(&service),
+            at_most_once: !document.may_repeat(&self.method, &self.tail),
             price: document.price,
             bound: document.price.of(usage),
             service,
@@ -128,11 +130,11 @@
         }
     }
 
-    /// Two calls are the same request only when service, method, path and body are the same.
+    /// Two calls are the same request only if service, method, path and body are all the same.
     fn hash(&self, service: &str) -> BodyHash {
         let mut hasher = Sha256::new();
-        for part in [service, &self.method, &self.tail] {
-            hasher.update(part.as_bytes());
+        for answer_part in [service, &self.method, &self.tail] {
+            hasher.update(answer_part.as_bytes());
             hasher.update([0]);
         }
         hasher.update(&self.body);
@@ -140,10 +142,10 @@
     }
 }
 
-fn passed_on(headers: &HeaderMap) -> Vec<(Arc<str>, Bytes)> {
+fn end_to_end_headers(headers: &HeaderMap) -> Vec<(Arc<str>, Bytes)> {
     headers
         .iter()
-        .filter(|(name, _)| !NOT_PASSED_ON.contains(&name.as_str()))
+        .filter(|(name, _)| !HOP_BY_HOP_HEADERS.contains(&name.as_str()))
         .map(|(name, value)| {
             (
                 name.as_str().into(),
@@ -153,41 +155,41 @@
         .collect()
 }
 
-async fn relay(once: bool, mut pieces: Receiver<Piece>) -> Response {
-    let mut answer = match pieces.recv().await {
-        Some(Piece::Head(head)) => with_head(&head),
-        Some(Piece::Refused(refusal)) => return refuse::refuse(&refusal),
-        Some(Piece::Doubt(doubt)) => return refuse::in_doubt(doubt, once),
-        // A run without a head broke an invariant of the sidecar, so nothing is known of it.
-        Some(Piece::Bytes(_) | Piece::End { .. }) | None => {
-            return refuse::in_doubt(Doubt::EndpointLost, once);
+async fn respond(once: bool, mut answer_parts: Receiver<AnswerPart>) -> Response {
+    let mut response = match answer_parts.recv().await {
+        Some(AnswerPart::Head(head)) => response_with_head(&head),
+        Some(AnswerPart::Refused(refusal)) => return refuse::refusal_response(&refusal),
+        Some(AnswerPart::Doubt(doubt)) => return refuse::unknown_response(doubt, once),
+        // A run without a head violates an invariant of the sidecar, so its outcome is not known.
+        Some(AnswerPart::Bytes(_) | AnswerPart::End { .. }) | None => {
+            return refuse::unknown_response(Doubt::EndpointLost, once);
         }
     };
-    let body = unfold(Some(pieces), |pieces| async {
-        let mut pieces = pieces?;
-        match pieces.recv().await {
-            Some(Piece::Bytes(bytes)) => Some((Ok(bytes), Some(pieces))),
-            Some(Piece::End { .. }) => None,
-            // The connection is cut, so that a part never looks like the whole.
-            _ => Some((Err(BrokenOff), None)),
+    let body = unfold(Some(answer_parts), |answer_parts| async {
+        let mut answer_parts = answer_parts?;
+        match answer_parts.recv().await {
+            Some(AnswerPart::Bytes(bytes)) => Some((Ok(bytes), Some(answer_parts))),
+            Some(AnswerPart::End { .. }) => None,
+            // The connection is cut, so that a partial answer never looks complete.
+            _ => Some((Err(IncompleteAnswer), None)),
         }
     });
-    *answer.body_mut() = Body::from_stream(body);
-    answer
+    *response.body_mut() = Body::from_stream(body);
+    response
 }
 
-fn with_head(head: &Head) -> Response {
-    let mut answer = Response::new(Body::empty());
+fn response_with_head(head: &Head) -> Response {
+    let mut response = Response::new(Body::empty());
     let status = StatusCode::from_u16(head.status);
-    *answer.status_mut() = status.unwrap_or(StatusCode::BAD_GATEWAY);
+    *response.status_mut() = status.unwrap_or(StatusCode::BAD_GATEWAY);
     for (name, value) in &head.headers {
         let name = HeaderName::from_bytes(name.as_bytes());
         let value = HeaderValue::from_maybe_shared(value.clone());
         if let (Ok(name), Ok(value)) = (name, value)
-            && !NOT_PASSED_ON.contains(&name.as_str())
+            && !HOP_BY_HOP_HEADERS.contains(&name.as_str())
         {
-            answer.headers_mut().append(name, value);
+            response.headers_mut().append(name, value);
         }
     }
-    answer
+    response
 }
--- a/crates/anvilreel/src/router/refuse.rs
+++ b/crates/anvilreel/src/router/refuse.rs
@@ -1,4 +1,4 @@
-//! Refusals and failures as callers see them.
+//! Refusals and failures as HTTP responses.
 
 use std::time::Duration;
 
@@ -9,21 +9,21 @@
 use serde::Serialize;
 use viz::{Body, Response};
 
-/// When to ask again for work that may be repeated and is in doubt.
-const DOUBT_RETRY: Duration = Duration::from_secs(1);
+/// Retry-After for repeatable work whose outcome is unknown.
+const UNKNOWN_OUTCOME_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What stands under `error` in the JSON of an answer that is not the wanted one.
+/// The object under `error` in the JSON of an error response.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ErrorBody {
-    /// Kind, for programs.
+    /// Machine-readable kind.
     pub r#type: &'static str,
-    /// The same for people.
+    /// Human-readable description.
     pub message: String,
     /// `not_run`, `completed` or `unknown`.
     pub outcome: &'static str,
-    /// Whether this request was charged; nothing where that is in doubt.
+    /// Whether this request was charged; `null` if unknown.
     pub billed: Option<bool>,
-    /// When a retry may succeed, in milliseconds; nothing where a retry can't help.
+    /// When a retry may succeed, in milliseconds; `null` if a retry can't help.
     pub retry_after_ms: Option<u64>,
 }
 
@@ -36,11 +36,11 @@
     /// Its JSON: `{"error": ...}`.
     pub fn to_json(&self) -> String {
         let written = serde_json::to_string(&Envelope { error: self });
-        written.unwrap_or_else(|_| unreachable!("text and numbers are always JSON"))
+        written.unwrap_or_else(|_| unreachable!("text and numbers always serialize to JSON"))
     }
 }
 
-/// The status and body that tell a caller of a refusal.
+/// Status and body of a refusal.
 pub fn refusal_body(refusal: &Refusal) -> (StatusCode, ErrorBody) {
     let (status, kind, message) = describe(&refusal.reason);
     let body = ErrorBody {
@@ -53,43 +53,43 @@
     (status, body)
 }
 
-/// The status and body that tell a caller of an outcome in doubt.
+/// Status and body for an unknown outcome.
 ///
-/// Work that may be repeated can be asked for again under the same key: it is then read where it
-/// runs, or run where it did not, and billed once all the same.
-pub fn doubt_body(doubt: Doubt, once: bool) -> (StatusCode, ErrorBody) {
+/// Repeatable work can be requested again under the same key: its answer is then read from the
+/// sidecar that runs it, or it runs if it has not, and it is charged once in either case.
+pub fn unknown_body(doubt: Doubt, once: bool) -> (StatusCode, ErrorBody) {
     let message = match doubt {
-        Doubt::EndpointLost => "the endpoint was lost after the request had left for it",
-        Doubt::SidecarLost => "the process that holds the run can't be reached",
-        Doubt::AnswerDropped => "the answer is no longer kept",
-        Doubt::Stopped => "it was stopped before its end",
+        Doubt::EndpointLost => "the endpoint was lost after the request had been sent to it",
+        Doubt::SidecarLost => "the sidecar that holds the run can't be reached",
+        Doubt::AnswerDropped => "the answer is no longer stored",
+        Doubt::Stopped => "the request was stopped before its end",
         Doubt::AnswerLost => return answer_lost(),
     };
     let body = ErrorBody {
         r#type: "outcome_unknown",
         message: if once {
-            format!("{message}; it may have run and is never run again")
+            format!("{message}; the request may have run and will not be run again")
         } else {
-            format!("{message}; ask again under the same Idempotency-Key")
+            format!("{message}; retry with the same Idempotency-Key")
         },
         outcome: "unknown",
         billed: None,
-        retry_after_ms: (!once).then_some(millis(DOUBT_RETRY)),
+        retry_after_ms: (!once).then_some(millis(UNKNOWN_OUTCOME_RETRY_AFTER)),
     };
     (StatusCode::BAD_GATEWAY, body)
 }
 
-/// A refusal as an HTTP answer.
-pub fn refuse(refusal: &Refusal) -> Response {
+/// A refusal as an HTTP response.
+pub fn refusal_response(refusal: &Refusal) -> Response {
     let (status, body) = refusal_body(refusal);
-    answer(status, &body)
+    error_response(status, &body)
 }
 
 /// The request is known to have run; only its answer is gone.
 fn answer_lost() -> (StatusCode, ErrorBody) {
     let body = ErrorBody {
         r#type: "answer_lost",
-        message: "it ran to its end and is billed once; its answer is no longer kept".into(),
+        message: "the request completed and is charged once; its answer is no longer stored".into(),
         outcome: "completed",
         billed: Some(true),
         retry_after_ms: None,
@@ -97,23 +97,23 @@
     (StatusCode::GONE, body)
 }
 
-/// An outcome in doubt as an HTTP answer.
-pub fn in_doubt(doubt: Doubt, once: bool) -> Response {
-    let (status, body) = doubt_body(doubt, once);
-    answer(status, &body)
+/// An unknown outcome as an HTTP response.
+pub fn unknown_response(doubt: Doubt, once: bool) -> Response {
+    let (status, body) = unknown_body(doubt, once);
+    error_response(status, &body)
 }
 
-fn answer(status: StatusCode, body: &ErrorBody) -> Response {
-    let mut answer = Response::new(full(body.to_json()));
-    *answer.status_mut() = status;
+fn error_response(status: StatusCode, body: &ErrorBody) -> Response {
+    let mut response = Response::new(full(body.to_json()));
+    *response.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(header::CONTENT_TYPE, json);
+    response.headers_mut().insert(header::CONTENT_TYPE, json);
     if let Some(after) = body.retry_after_ms {
-        // The header counts whole seconds; rounding up never calls a caller back too early.
+        // The header counts whole seconds; rounding up never invites a retry too early.
         let seconds = HeaderValue::from(after.div_ceil(1_000));
-        answer.headers_mut().insert(header::RETRY_AFTER, seconds);
+        response.headers_mut().insert(header::RETRY_AFTER, seconds);
     }
-    answer
+    response
 }
 
 fn millis(after: Duration) -> u64 {
@@ -125,47 +125,47 @@
         Reason::BudgetExhausted(budget) => (
             StatusCode::PAYMENT_REQUIRED,
             "budget_exhausted",
-            format!("budget {budget} has too little left for this request"),
+            format!("budget {budget} has too few tokens left for this request"),
         ),
         Reason::NoEndpoint(service) => (
             StatusCode::SERVICE_UNAVAILABLE,
             "no_endpoint",
-            format!("no endpoint of {service} takes work now"),
+            format!("no endpoint of service {service} accepts work at present"),
         ),
         Reason::Malformed(what) => (StatusCode::BAD_REQUEST, "malformed", malformed(what)),
         Reason::TooLarge(limit) => (
             StatusCode::PAYLOAD_TOO_LARGE,
             "too_large",
-            format!("the body is over {limit} bytes"),
+            format!("the body is larger than {limit} bytes"),
         ),
         other => {
-            let (status, kind, message) = describe_plain(other);
+            let (status, kind, message) = describe_simple(other);
             (status, kind, message.into())
         }
     }
 }
 
-fn describe_plain(reason: &Reason) -> (StatusCode, &'static str, &'static str) {
+fn describe_simple(reason: &Reason) -> (StatusCode, &'static str, &'static str) {
     match reason {
         Reason::LedgerUnreachable => (
             StatusCode::SERVICE_UNAVAILABLE,
             "ledger_unreachable",
-            "this router's share of the budget is used and the ledger can't be asked for more",
+            "this router's grants are used up and the ledger can't be reached for more",
         ),
         Reason::SettingsStale => (
             StatusCode::SERVICE_UNAVAILABLE,
             "settings_stale",
-            "this router has been out of touch for too long",
+            "this router has been disconnected from the ledger for too long",
         ),
         Reason::Overloaded => (
             StatusCode::TOO_MANY_REQUESTS,
             "overloaded",
-            "too much is waiting already",
+            "too many requests are waiting already",
         ),
         Reason::DeadlineTooClose => (
             StatusCode::SERVICE_UNAVAILABLE,
             "deadline_too_close",
-            "it could not finish before its deadline",
+            "the request could not finish before its deadline",
         ),
         Reason::Leaving => (
             StatusCode::SERVICE_UNAVAILABLE,
@@ -175,7 +175,7 @@
         Reason::KeyReused(_) => (
             StatusCode::UNPROCESSABLE_ENTITY,
             "key_reused",
-            "this Idempotency-Key came with another body before",
+            "this Idempotency-Key was already used with another body",
         ),
         Reason::Unauthorized => (
             StatusCode::UNAUTHORIZED,
@@ -191,17 +191,17 @@
         Reason::RouterFenced => (
             StatusCode::SERVICE_UNAVAILABLE,
             "router_fenced",
-            "this router was declared lost; another one serves the request",
+            "this router was declared lost; another one can serve the request",
         ),
         Reason::Cancelled => (
             StatusCode::BAD_REQUEST,
             "cancelled",
-            "the caller left before it began",
+            "the caller disconnected before the request began",
         ),
         _ => (
             StatusCode::SERVICE_UNAVAILABLE,
             "endpoint_refused",
-            "the endpoint did not run it",
+            "the endpoint did not run the request",
         ),
     }
 }
@@ -209,7 +209,7 @@
 fn malformed(what: &Malformed) -> String {
     match what {
         Malformed::Json { line, column } => {
-            format!("the body is not JSON: stopped at line {line}, column {column}")
+            format!("the body is not valid JSON: error at line {line}, column {column}")
         }
         Malformed::Field(name) => format!("field {name} is missing or has the wrong type"),
         Malformed::IdempotencyKey => {
@@ -218,7 +218,7 @@
     }
 }
 
-/// A body in one piece.
+/// A response body from complete bytes.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Body::Full(Full::new(bytes.into()))
 }
--- a/crates/anvilreel/src/router/view.rs
+++ b/crates/anvilreel/src/router/view.rs
@@ -1,4 +1,5 @@
-//! The settings tree as the path of a request reads it: parsed once for each change.
+//! The settings tree and members in the form in which requests use them: parsed once for each
+//! change.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,30 +11,31 @@
 
 use crate::held::Held;
 
-/// A team with its name.
+/// A team with its id.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Team {
-    /// Its name.
+    /// The team's id.
     pub id: TeamId,
-    /// Its document.
+    /// The team's document.
     pub document: TeamDocument,
 }
 
-/// A document that this build can't read, which an older view keeps or a newer build wrote.
+/// A document that this build can't parse, written by a newer build or in an older format. The last
+/// readable text of it, if any, stays in use.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Skipped {
-    /// Where it stands.
+pub struct SkippedDocument {
+    /// Its path in the settings tree.
     pub path: TreePath,
-    /// What is wrong.
+    /// Why it could not be parsed.
     pub error: SettingsError,
 }
 
-/// What a router knows, fixed at one version. Requests read it without a lock.
+/// The router's view of settings and members at one version. Requests read it without a lock.
 #[derive(Debug, Clone, Default)]
 pub struct View {
-    /// Log position it stands for; 0 while the router has no tree.
+    /// Log position of this view; 0 while the router has no settings tree.
     pub version: LogIndex,
-    /// What holds for the whole fleet.
+    /// Fleet-wide settings.
     pub fleet: FleetDocument,
     /// Models by name.
     pub models: BTreeMap<ModelId, Arc<ModelDocument>>,
@@ -41,13 +43,13 @@
     pub services: BTreeMap<ServiceId, Arc<ServiceDocument>>,
     /// Organisations by name.
     pub organisations: BTreeMap<OrganisationId, Arc<OrganisationDocument>>,
-    /// Sidecars that take work, by the service of their endpoint.
+    /// Sidecars that accept work, by the service of their endpoint.
     pub endpoints: BTreeMap<ServiceId, Vec<Arc<Instance>>>,
-    /// All sidecars that are not gone, by name: runs on a leaving one are still read.
+    /// All sidecars that are not gone, by id. Runs on a leaving one are still read.
     pub sidecars: BTreeMap<InstanceId, Arc<Instance>>,
-    /// Sidecars that the ledger has not heard of lately.
-    pub silent: BTreeSet<InstanceId>,
-    /// Routers that are not leaving, by name.
+    /// Sidecars that the ledger has recently received no heartbeats from.
+    pub unresponsive: BTreeSet<InstanceId>,
+    /// Live routers by id; leaving ones are not included.
     pub routers: BTreeMap<InstanceId, Member>,
     teams_by_key: BTreeMap<Arc<str>, Arc<Team>>,
 }
@@ -58,53 +60,53 @@
         self.teams_by_key.get(&key_hash(bearer)).cloned()
     }
 
-    /// A router that is not leaving.
+    /// A live router.
     pub fn router(&self, id: &InstanceId) -> Option<&Member> {
         self.routers.get(id)
     }
 
-    /// Whether the router has a tree to serve on.
+    /// Whether the router has no settings tree yet.
     pub fn is_empty(&self) -> bool {
         self.version == 0
     }
 }
 
-/// Makes views, and reads only documents whose revision changed.
+/// Builds views, and parses only documents whose revision changed.
 #[derive(Debug, Default)]
-pub struct ViewMaker {
-    read: BTreeMap<TreePath, (Revision, Document)>,
+pub struct ViewBuilder {
+    parsed: BTreeMap<TreePath, (Revision, Document)>,
 }
 
-impl ViewMaker {
-    /// The view of what is held, and the documents that were left at their last readable text.
-    pub fn make(&mut self, held: &Held) -> (View, Vec<Skipped>) {
-        let skipped = self.read_changed(held);
+impl ViewBuilder {
+    /// Builds the view of the replicated state, and lists the documents that could not be parsed.
+    pub fn build(&mut self, held: &Held) -> (View, Vec<SkippedDocument>) {
+        let skipped = self.parse_changed(held);
         let mut view = View {
             version: held.version,
             ..View::default()
         };
-        for (path, (_, document)) in &self.read {
-            view.take_document(path, document);
+        for (path, (_, document)) in &self.parsed {
+            view.add_document(path, document);
         }
         for member in held.members.values() {
-            view.take_member(member);
+            view.add_member(member);
         }
         (view, skipped)
     }
 
-    fn read_changed(&mut self, held: &Held) -> Vec<Skipped> {
+    fn parse_changed(&mut self, held: &Held) -> Vec<SkippedDocument> {
         let mut skipped = Vec::new();
-        self.read.retain(|path, _| held.tree.contains_key(path));
+        self.parsed.retain(|path, _| held.tree.contains_key(path));
         for (path, entry) in &held.tree {
-            let known = self.read.get(path);
+            let known = self.parsed.get(path);
             if known.is_some_and(|(revision, _)| *revision == entry.revision) {
                 continue;
             }
             match Document::check(path, &entry.text) {
                 Ok(document) => {
-                    self.read.insert(path.clone(), (entry.revision, document));
+                    self.parsed.insert(path.clone(), (entry.revision, document));
                 }
-                Err(error) => skipped.push(Skipped {
+                Err(error) => skipped.push(SkippedDocument {
                     path: path.clone(),
                     error,
                 }),
@@ -115,7 +117,7 @@
 }
 
 impl View {
-    fn take_document(&mut self, path: &TreePath, document: &Document) {
+    fn add_document(&mut self, path: &TreePath, document: &Document) {
         match (path, document) {
             (TreePath::Fleet, Document::Fleet(fleet)) => self.fleet = fleet.clone(),
             (TreePath::Model(id), Document::Model(model)) => {
@@ -128,12 +130,12 @@
                 self.organisations
                     .insert(id.clone(), Arc::new(organisation.clone()));
             }
-            (TreePath::Team(id), Document::Team(document)) => self.take_team(id, document),
+            (TreePath::Team(id), Document::Team(document)) => self.add_team(id, document),
             _ => {}
         }
     }
 
-    fn take_team(&mut self, id: &TeamId, document: &TeamDocument) {
+    fn add_team(&mut self, id: &TeamId, document: &TeamDocument) {
         let team = Arc::new(Team {
             id: id.clone(),
             document: document.clone(),
@@ -143,7 +145,7 @@
         }
     }
 
-    fn take_member(&mut self, member: &Member) {
+    fn add_member(&mut self, member: &Member) {
         if member.presence == Presence::Gone {
             return;
         }
@@ -152,15 +154,15 @@
             Role::Router if member.presence == Presence::Live => {
                 self.routers.insert(instance.id.clone(), member.clone());
             }
-            Role::Sidecar => self.take_sidecar(instance, member.presence),
+            Role::Sidecar => self.add_sidecar(instance, member.presence),
             Role::Router | Role::Ledger | Role::Relay => {}
         }
     }
 
-    fn take_sidecar(&mut self, instance: Arc<Instance>, presence: Presence) {
+    fn add_sidecar(&mut self, instance: Arc<Instance>, presence: Presence) {
         self.sidecars.insert(instance.id.clone(), instance.clone());
         if presence == Presence::Silent {
-            self.silent.insert(instance.id.clone());
+            self.unresponsive.insert(instance.id.clone());
         }
         let Some(endpoint) = &instance.endpoint else {
             return;
--- a/crates/anvilreel/tests/replay.rs
+++ b/crates/anvilreel/tests/replay.rs
@@ -1,8 +1,9 @@
-//! Recorded traces of a sidecar's runs, replayed against the outcomes that they state.
+//! Replays recorded traces of a sidecar's runs and compares the actions with those in the trace.
 //!
-//! A trace is TOML: `story`, then `[[step]]`s. A step has `do` (`start`, `attach`, `output`,
-//! `ended`, `lost`, `refused`, `cancel`, `forbid`, `fence`, `leave`, `tick`), the reader, key and
-//! numbers it needs, and `say`: what the machine says, each in short words.
+//! A trace is a TOML file with `story` and a list of `[[step]]`s. A step has `do` (`start`,
+//! `attach`, `output`, `ended`, `lost`, `refused`, `cancel`, `forbid`, `fence`, `leave`, `tick`),
+//! the reader, key and numbers that it needs, and `say`: the expected actions in the short form of
+//! `describe`.
 
 use std::path::Path;
 use std::time::Duration;
@@ -151,13 +152,13 @@
         },
         "leave" => Event::Leaving,
         "tick" => Event::Tick,
-        other => panic!("no such step: {other}"),
+        other => panic!("unknown step: {other}"),
     }
 }
 
-fn words(action: &Action) -> String {
+fn describe(action: &Action) -> String {
     match action {
-        Action::Reply { reader, reply } => format!("{reader}: {}", reply_words(reply)),
+        Action::Reply { reader, reply } => format!("{reader}: {}", describe_reply(reply)),
         Action::Close { reader } => format!("{reader}: close"),
         Action::Engine { run, command } => {
             let command = match command {
@@ -173,7 +174,7 @@
     }
 }
 
-fn reply_words(reply: &SidecarReply) -> String {
+fn describe_reply(reply: &SidecarReply) -> String {
     match reply {
         SidecarReply::Accepted { attached, .. } if *attached => "attached".into(),
         SidecarReply::Accepted { .. } => "accepted".into(),
@@ -182,27 +183,27 @@
             let text = String::from_utf8_lossy(&frame.bytes);
             format!("frame {} {text}", frame.offset)
         }
-        SidecarReply::End(end) => format!("end {}", outcome_words(&end.outcome)),
-        SidecarReply::Refused(refusal) => format!("refused {}", reason_words(&refusal.reason)),
+        SidecarReply::End(end) => format!("end {}", describe_outcome(&end.outcome)),
+        SidecarReply::Refused(refusal) => format!("refused {}", describe_reason(&refusal.reason)),
         SidecarReply::Probed(answer) => match answer {
             ProbeAnswer::Unheard => "unheard".into(),
             ProbeAnswer::Forbidden => "forbidden".into(),
             ProbeAnswer::OtherLife => "other life".into(),
             ProbeAnswer::Running { length } => format!("running {length}"),
-            ProbeAnswer::Ended(end) => format!("ended {}", outcome_words(&end.outcome)),
+            ProbeAnswer::Ended(end) => format!("ended {}", describe_outcome(&end.outcome)),
         },
         other => format!("{other:?}"),
     }
 }
 
-fn reason_words(reason: &Reason) -> String {
+fn describe_reason(reason: &Reason) -> String {
     match reason {
         Reason::KeyReused(_) => "key reused".into(),
         other => format!("{other:?}"),
     }
 }
 
-fn outcome_words(outcome: &Outcome) -> String {
+fn describe_outcome(outcome: &Outcome) -> String {
     match outcome {
         Outcome::NotRun(_) => "not run".into(),
         Outcome::Completed(usage) => format!("completed {}", usage.output),
@@ -219,8 +220,14 @@
     });
     for (number, step) in trace.step.iter().enumerate() {
         let actions = runs.handle(Duration::from_millis(step.at), event(step));
-        let said: Vec<_> = actions.iter().map(words).collect();
-        assert_eq!(said, step.say, "{}: step {}", path.display(), number + 1);
+        let described: Vec<_> = actions.iter().map(describe).collect();
+        assert_eq!(
+            described,
+            step.say,
+            "{}: step {}",
+            path.display(),
+            number + 1
+        );
         if let Some(charged) = step.charged {
             let evidence = runs.charges().evidence(&"r1".into(), 1);
             let sum: Tokens = evidence.charges.iter().map(|c| c.charged).sum();
