--- a/crates/anvilreel/src/claims.rs
+++ b/crates/anvilreel/src/claims.rs
@@ -5,10 +5,10 @@
 //! suffice, and any two such pairs have a holder in common. `store` keeps the claims that one
 //! router holds; `holder_history` decides when it may confirm one.
 
-mod book;
+mod holder_history;
 mod placement;
-mod tenure;
+mod store;
 
-pub use book::ClaimBook;
+pub use holder_history::Tenure;
 pub use placement::{GENERATION_MARK, HOLDERS_PER_CLAIM, holder_incarnations, placement};
-pub use tenure::Tenure;
+pub use store::ClaimBook;
--- a/crates/anvilreel/src/money.rs
+++ b/crates/anvilreel/src/money.rs
@@ -10,19 +10,19 @@
 //! removed. Reading order: `account`, [`Reservation`], [`Shortage`], `batch_exchange`, then
 //! `closing` (how the ledger closes the grants of a lost router).
 
+mod account;
+mod batch_exchange;
+mod budget_grants;
 mod closing;
 mod demand;
 mod error;
-mod exchange;
-mod held;
 mod open_grant;
-mod purse;
 mod reservation;
 mod sizing;
 
+pub use account::{BudgetStatus, Purse};
 pub use closing::Closing;
 pub use error::MoneyError;
 pub use open_grant::OpenGrant;
-pub use purse::{BudgetStatus, Purse};
 pub use reservation::{Reservation, Shortage};
 pub use sizing::GrantPolicy;
--- a/crates/anvilreel/src/money/purse.rs
+++ b/crates/anvilreel/src/money/account.rs
@@ -11,8 +11,8 @@
 use tokio::sync::Notify;
 use tokio::sync::futures::Notified;
 
-use super::exchange::BatchState;
-use super::held::BudgetGrants;
+use super::batch_exchange::BatchState;
+use super::budget_grants::BudgetGrants;
 use super::reservation::ReservationPart;
 use super::{GrantPolicy, MoneyError, Reservation, Shortage};
 
--- a/crates/anvilreel/src/money/exchange.rs
+++ b/crates/anvilreel/src/money/batch_exchange.rs
@@ -10,8 +10,8 @@
 };
 use anvil_world::prelude::*;
 
-use super::held::{BudgetGrants, LedgerRefusal};
-use super::purse::{NO_BATCH_PENDING, Purse, millis};
+use super::account::{NO_BATCH_PENDING, Purse, millis};
+use super::budget_grants::{BudgetGrants, LedgerRefusal};
 use super::sizing::needed_for;
 use super::{MoneyError, OpenGrant};
 
--- a/crates/anvilreel/src/request.rs
+++ b/crates/anvilreel/src/request.rs
@@ -18,10 +18,10 @@
 mod error;
 mod event;
 mod exchange;
-mod lingering;
-mod moving;
-mod paying;
+mod failover;
+mod late_charge;
 mod reading;
+mod reserving;
 mod spec;
 
 pub use error::ExchangeError;
--- a/crates/anvilreel/src/router.rs
+++ b/crates/anvilreel/src/router.rs
@@ -8,20 +8,20 @@
 //! force).
 
 mod accept;
+mod batch_loop;
 mod call;
 mod chat;
 mod chat_call;
-mod flow;
+mod chat_encoder;
+mod claim_holders;
+mod endpoint_pools;
+mod errors;
 mod follow;
-mod front;
 mod job;
-mod keepers;
-mod lane;
-mod money_loop;
-mod places;
 mod plain_call;
-mod refuse;
-mod shape;
+mod pool_queue;
+mod request_task;
+mod routes;
 mod view;
 
 use std::net::SocketAddr;
@@ -49,10 +49,10 @@
 use crate::metrics::{Metrics, REQUESTS_OPEN};
 use crate::money::{GrantPolicy, Purse};
 use crate::peers::Peers;
+use endpoint_pools::EndpointPools;
 use follow::{Follower, ViewState};
-use places::EndpointPools;
 
-pub use refuse::ErrorBody;
+pub use errors::ErrorBody;
 
 /// Retry-After given to callers when another router or endpoint may serve the request.
 const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -130,7 +130,7 @@
         let core = Arc::new(Core::new(settings, wire_addr, log, metrics));
         event!(core.log, events::ROUTER_LISTENING, "addr" => addr.to_string());
         let close = Arc::new(Notify::new());
-        let serving = accept::serve(listener, front::routes(&core), close.clone());
+        let serving = accept::serve(listener, routes::routes(&core), close.clone());
         let serving = tokio::spawn(serving);
         let tasks = spawn_tasks(&core, server);
         Ok(Self {
@@ -195,8 +195,8 @@
         while core.open_requests.load(Ordering::Relaxed) > 0 {
             sleep(TICK_INTERVAL).await;
         }
-        keepers::hand_over(core).await;
-        money_loop::return_grants(core, GRANT_RETURN_TIMEOUT).await;
+        claim_holders::hand_over(core).await;
+        batch_loop::return_grants(core, GRANT_RETURN_TIMEOUT).await;
         event!(core.log, events::ROUTER_STOPPED);
         for task in &self.tasks {
             task.abort();
@@ -248,7 +248,7 @@
 fn spawn_tasks(core: &Arc<Core>, server: Server) -> Vec<JoinHandle<()>> {
     let call_core = core.clone();
     let handlers = Handlers::default().with::<RouterCall, _, _>(move |req, tx| {
-        let reply = keepers::answer(&call_core, req);
+        let reply = claim_holders::answer(&call_core, req);
         async move {
             // Sending fails only if the caller has disconnected; it will ask again.
             let _ = tx.finish(&reply).await;
@@ -270,7 +270,7 @@
         tokio::spawn(async move { follower.follow().await }),
         tokio::spawn(async move { heartbeat_sender.send_heartbeats(&life).await }),
         tokio::spawn(async move { tick_core.tick().await }),
-        tokio::spawn(async move { money_loop::run(&money_core).await }),
+        tokio::spawn(async move { batch_loop::run(&money_core).await }),
     ]
 }
 
--- a/crates/anvilreel/src/router/chat_call.rs
+++ b/crates/anvilreel/src/router/chat_call.rs
@@ -13,14 +13,14 @@
 use viz::{Body, Request, Response};
 
 use super::chat::{Chat, exceeds_prompt_limit, usage_upper_bound};
-use super::front::{
+use super::chat_encoder::{ChatEncoder, error_event};
+use super::errors::{self, refusal_body, unknown_body};
+use super::job::{AnswerPart, Job};
+use super::routes::{
     authenticate, check_accepting, claim_id, json_response, read_body, request_key, set_request_id,
 };
-use super::job::{AnswerPart, Job};
-use super::refuse::{self, refusal_body, unknown_body};
-use super::shape::{ChatEncoder, error_event};
 use super::view::{Team, View};
-use super::{Core, flow};
+use super::{Core, request_task};
 
 /// Answers a chat request.
 pub async fn handle(core: Arc<Core>, mut req: Request) -> Result<Response, Refusal> {
@@ -42,7 +42,7 @@
         (key.clone(), has_caller_key),
     );
     job.claim_id = claim_id(&core);
-    let answer_parts = flow::start(core, job);
+    let answer_parts = request_task::start(core, job);
     let mut response = if chat.stream {
         stream_response(encoder, answer_parts).await
     } else {
@@ -105,10 +105,10 @@
     mut answer_parts: Receiver<AnswerPart>,
 ) -> Response {
     let first = match answer_parts.recv().await {
-        Some(AnswerPart::Refused(refusal)) => return refuse::refusal_response(&refusal),
-        Some(AnswerPart::Doubt(doubt)) => return refuse::unknown_response(doubt, false),
+        Some(AnswerPart::Refused(refusal)) => return errors::refusal_response(&refusal),
+        Some(AnswerPart::Doubt(doubt)) => return errors::unknown_response(doubt, false),
         Some(answer_part) => encode_part(&mut encoder, answer_part),
-        None => return refuse::unknown_response(Doubt::EndpointLost, false),
+        None => return errors::unknown_response(Doubt::EndpointLost, false),
     };
     let events = unfold(
         (encoder, answer_parts, first),
@@ -162,9 +162,9 @@
             AnswerPart::End { finish, usage } => {
                 return json_response(encoder.whole(&text, &finish, usage));
             }
-            AnswerPart::Refused(refusal) => return refuse::refusal_response(&refusal),
-            AnswerPart::Doubt(doubt) => return refuse::unknown_response(doubt, false),
+            AnswerPart::Refused(refusal) => return errors::refusal_response(&refusal),
+            AnswerPart::Doubt(doubt) => return errors::unknown_response(doubt, false),
         }
     }
-    refuse::unknown_response(Doubt::EndpointLost, false)
+    errors::unknown_response(Doubt::EndpointLost, false)
 }
--- a/crates/anvilreel/src/router/places.rs
+++ b/crates/anvilreel/src/router/endpoint_pools.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::lane::PoolQueue;
+use super::pool_queue::PoolQueue;
 use super::view::View;
 use crate::life::Life;
 use crate::peers::Peers;
--- a/crates/anvilreel/src/router/plain_call.rs
+++ b/crates/anvilreel/src/router/plain_call.rs
@@ -12,13 +12,13 @@
 use tokio::sync::mpsc::Receiver;
 use viz::{Body, Request, Response};
 
-use super::front::{
+use super::errors;
+use super::job::{AnswerPart, Job};
+use super::routes::{
     authenticate, check_accepting, claim_id, read_body, request_key, set_request_id,
 };
-use super::job::{AnswerPart, Job};
-use super::refuse;
 use super::view::{Team, View};
-use super::{Core, flow};
+use super::{Core, request_task};
 
 /// Headers that concern one connection or the router itself; they are not forwarded.
 const HOP_BY_HOP_HEADERS: &[&str] = &[
@@ -71,7 +71,7 @@
     );
     job.claim_id = claim_id(&core);
     let once = job.at_most_once;
-    let mut response = respond(once, flow::start(core, job)).await;
+    let mut response = respond(once, request_task::start(core, job)).await;
     set_request_id(&mut response, &key);
     Ok(response)
 }
@@ -158,11 +158,11 @@
 async fn respond(once: bool, mut answer_parts: Receiver<AnswerPart>) -> Response {
     let mut response = match answer_parts.recv().await {
         Some(AnswerPart::Head(head)) => response_with_head(&head),
-        Some(AnswerPart::Refused(refusal)) => return refuse::refusal_response(&refusal),
-        Some(AnswerPart::Doubt(doubt)) => return refuse::unknown_response(doubt, once),
+        Some(AnswerPart::Refused(refusal)) => return errors::refusal_response(&refusal),
+        Some(AnswerPart::Doubt(doubt)) => return errors::unknown_response(doubt, once),
         // A run without a head violates an invariant of the sidecar, so its outcome is not known.
         Some(AnswerPart::Bytes(_) | AnswerPart::End { .. }) | None => {
-            return refuse::unknown_response(Doubt::EndpointLost, once);
+            return errors::unknown_response(Doubt::EndpointLost, once);
         }
     };
     let body = unfold(Some(answer_parts), |answer_parts| async {
--- a/crates/anvilreel/src/router/flow.rs
+++ b/crates/anvilreel/src/router/request_task.rs
@@ -16,8 +16,8 @@
 
 use super::call::{Call, next_event};
 use super::job::{AnswerPart, Job};
-use super::lane::EndpointPermit;
-use super::{Core, keepers};
+use super::pool_queue::EndpointPermit;
+use super::{Core, claim_holders};
 use crate::event;
 use crate::events;
 use crate::metrics;
@@ -190,16 +190,16 @@
             Action::Choose { exclude } => self.choose(exclude),
             Action::PutClaim { holder, claim } => {
                 let id = self.job.claim_id.clone();
-                let put = keepers::put_claim(core, holder, claim, id);
+                let put = claim_holders::put_claim(core, holder, claim, id);
                 self.push_pending(async move { TaskResult::Event(put.await) });
             }
             Action::PutLedgerClaim(claim) => {
-                let put = keepers::put_ledger_claim(core, claim);
+                let put = claim_holders::put_ledger_claim(core, claim);
                 self.push_pending(async move { TaskResult::Event(put.await) });
             }
             Action::SettleClaim(settle) => {
                 let core = core.clone();
-                tokio::spawn(async move { keepers::settle(&core, settle).await });
+                tokio::spawn(async move { claim_holders::settle(&core, settle).await });
             }
             Action::Reserve => events.push_back(self.reserve()),
             Action::Release(reservation) => core.grant_account.release(reservation),
--- a/crates/anvilreel/src/router/front.rs
+++ b/crates/anvilreel/src/router/routes.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 use viz::{Body, Request, Response};
 
-use super::refuse::{self, full};
+use super::errors::{self, full};
 use super::view::{Team, View};
 use super::{Core, chat_call, plain_call};
 
@@ -58,7 +58,7 @@
         Box::pin(async move {
             Ok(f(core.clone(), req).await.unwrap_or_else(|refusal| {
                 core.metrics.count(crate::metrics::REQUESTS_REFUSED);
-                refuse::refusal_response(&refusal)
+                errors::refusal_response(&refusal)
             }))
         })
     }
--- a/crates/anvilreel/tests/money/main.rs
+++ b/crates/anvilreel/tests/money/main.rs
@@ -1,5 +1,5 @@
 //! A router's grant account against the ledger's real state.
 
+mod grant_account;
 mod ledger;
-mod purse;
 mod sparse;
