--- a/crates/anvilreel/src/money/account.rs
+++ b/crates/anvilreel/src/money/account.rs
@@ -253,7 +253,7 @@
         let otherwise = refusal(exhausted, EXHAUSTED_RETRY_AFTER);
         // Routers that died with unspent tokens in their grants can't return them, although the
         // ledger recalls them again and again. Without this time limit each request would wait for
-        // these tokens, be told to retry, and wait again.
+        // these tokens, be refused with Retry-After, and wait again.
         let recalled = now >= last_refusal.unbroken_since + self.policy.recalled_within;
         let recoverable = if recalled {
             0
--- a/crates/anvilreel/src/request/failover.rs
+++ b/crates/anvilreel/src/request/failover.rs
@@ -112,8 +112,7 @@
     pub(super) fn start_forbidden(&mut self, cause: Refusal) {
         self.start_state = StartState::NotSent;
         if self.spec.once {
-            // No other exchange can have been told that this claim is fresh and still start it
-            // here.
+            // No other exchange can have received this claim as fresh and still start the key here.
             self.owns_claim = true;
             return self.refuse(retryable(cause.reason));
         }
@@ -207,8 +206,8 @@
             return self.finish(Outcome::Unknown(Doubt::Stopped), None);
         }
         if self.completed_in_ledger {
-            // An order was placed and its sidecar restarted. A caller that asks again must not be
-            // told that the order may have run, since the ledger knows that it did.
+            // An order was placed and its sidecar restarted. A caller that asks again must not get
+            // the answer that the order may have run, since the ledger knows that it did.
             return self.finish(Outcome::Unknown(Doubt::AnswerLost), None);
         }
         if !self.may_continue() {
--- a/crates/anvilreel/src/router/request_task.rs
+++ b/crates/anvilreel/src/router/request_task.rs
@@ -49,7 +49,7 @@
     core: &'a Arc<Core>,
     job: Job,
     tx: Sender<AnswerPart>,
-    /// Whether the exchange has been told that the caller disconnected.
+    /// Whether the exchange has been notified that the caller disconnected.
     caller_left: bool,
     pending_results: FuturesUnordered<BoxFuture<'a, TaskResult>>,
     /// Open calls to sidecars: one, except while several sidecars are probed for a key.
