--- a/crates/anvil_ledger/src/state/references.rs
+++ b/crates/anvil_ledger/src/state/references.rs
@@ -43,7 +43,7 @@
                 let found = format!("a key of {owner}");
                 return Err(reference_error(
                     path,
-                    Problem::new("keys", found, "a key that no other team has"),
+                    Problem::new("keys", found, "a key of its own"),
                 ));
             }
         }
@@ -55,8 +55,8 @@
         let Some(first) = self.named_by.get(path).and_then(BTreeSet::first) else {
             return Ok(());
         };
-        let found = format!("referenced by {first}");
-        let problem = Problem::new("remove", found, "a document that no other references");
+        let found = format!("named by {first}");
+        let problem = Problem::new("remove", found, "a document that no other names");
         Err(reference_error(path, problem))
     }
 
--- a/crates/anvil_ledger/src/state/tree.rs
+++ b/crates/anvil_ledger/src/state/tree.rs
@@ -169,10 +169,10 @@
         if unspent == 0 {
             return Ok(());
         }
-        let found = format!("{unspent} unspent tokens");
+        let found = format!("{unspent} tokens not spent");
         Err(Denial::Reference {
             path: path.clone(),
-            problem: Problem::new("remove", found, "a budget without unspent tokens"),
+            problem: Problem::new("remove", found, "a budget that is spent"),
         })
     }
 
--- a/crates/anvilreel/src/router/errors.rs
+++ b/crates/anvilreel/src/router/errors.rs
@@ -59,18 +59,18 @@
 /// sidecar that runs it, or it runs if it has not, and it is charged once in either case.
 pub fn unknown_body(doubt: Doubt, once: bool) -> (StatusCode, ErrorBody) {
     let message = match doubt {
-        Doubt::EndpointLost => "the endpoint was lost after the request had been sent to it",
-        Doubt::SidecarLost => "the sidecar that holds the run can't be reached",
-        Doubt::AnswerDropped => "the answer is no longer stored",
-        Doubt::Stopped => "the request was stopped before its end",
+        Doubt::EndpointLost => "the endpoint was lost after the request had left for it",
+        Doubt::SidecarLost => "the process that holds the run can't be reached",
+        Doubt::AnswerDropped => "the answer is no longer kept",
+        Doubt::Stopped => "it was stopped before its end",
         Doubt::AnswerLost => return answer_lost(),
     };
     let body = ErrorBody {
         r#type: "outcome_unknown",
         message: if once {
-            format!("{message}; the request may have run and will not be run again")
+            format!("{message}; it may have run and is never run again")
         } else {
-            format!("{message}; retry with the same Idempotency-Key")
+            format!("{message}; ask again under the same Idempotency-Key")
         },
         outcome: "unknown",
         billed: None,
@@ -89,7 +89,7 @@
 fn answer_lost() -> (StatusCode, ErrorBody) {
     let body = ErrorBody {
         r#type: "answer_lost",
-        message: "the request completed and is charged once; its answer is no longer stored".into(),
+        message: "it ran to its end and is billed once; its answer is no longer kept".into(),
         outcome: "completed",
         billed: Some(true),
         retry_after_ms: None,
@@ -125,18 +125,18 @@
         Reason::BudgetExhausted(budget) => (
             StatusCode::PAYMENT_REQUIRED,
             "budget_exhausted",
-            format!("budget {budget} has too few tokens left for this request"),
+            format!("budget {budget} has too little left for this request"),
         ),
         Reason::NoEndpoint(service) => (
             StatusCode::SERVICE_UNAVAILABLE,
             "no_endpoint",
-            format!("no endpoint of service {service} accepts work at present"),
+            format!("no endpoint of {service} takes work now"),
         ),
         Reason::Malformed(what) => (StatusCode::BAD_REQUEST, "malformed", malformed(what)),
         Reason::TooLarge(limit) => (
             StatusCode::PAYLOAD_TOO_LARGE,
             "too_large",
-            format!("the body is larger than {limit} bytes"),
+            format!("the body is over {limit} bytes"),
         ),
         other => {
             let (status, kind, message) = describe_simple(other);
@@ -150,22 +150,22 @@
         Reason::LedgerUnreachable => (
             StatusCode::SERVICE_UNAVAILABLE,
             "ledger_unreachable",
-            "this router's grants are used up and the ledger can't be reached for more",
+            "this router's share of the budget is used and the ledger can't be asked for more",
         ),
         Reason::SettingsStale => (
             StatusCode::SERVICE_UNAVAILABLE,
             "settings_stale",
-            "this router has been disconnected from the ledger for too long",
+            "this router has been out of touch for too long",
         ),
         Reason::Overloaded => (
             StatusCode::TOO_MANY_REQUESTS,
             "overloaded",
-            "too many requests are waiting already",
+            "too much is waiting already",
         ),
         Reason::DeadlineTooClose => (
             StatusCode::SERVICE_UNAVAILABLE,
             "deadline_too_close",
-            "the request could not finish before its deadline",
+            "it could not finish before its deadline",
         ),
         Reason::Leaving => (
             StatusCode::SERVICE_UNAVAILABLE,
@@ -175,7 +175,7 @@
         Reason::KeyReused(_) => (
             StatusCode::UNPROCESSABLE_ENTITY,
             "key_reused",
-            "this Idempotency-Key was already used with another body",
+            "this Idempotency-Key came with another body before",
         ),
         Reason::Unauthorized => (
             StatusCode::UNAUTHORIZED,
@@ -191,17 +191,17 @@
         Reason::RouterFenced => (
             StatusCode::SERVICE_UNAVAILABLE,
             "router_fenced",
-            "this router was declared lost; another one can serve the request",
+            "this router was declared lost; another one serves the request",
         ),
         Reason::Cancelled => (
             StatusCode::BAD_REQUEST,
             "cancelled",
-            "the caller disconnected before the request began",
+            "the caller left before it began",
         ),
         _ => (
             StatusCode::SERVICE_UNAVAILABLE,
             "endpoint_refused",
-            "the endpoint did not run the request",
+            "the endpoint did not run it",
         ),
     }
 }
@@ -209,7 +209,7 @@
 fn malformed(what: &Malformed) -> String {
     match what {
         Malformed::Json { line, column } => {
-            format!("the body is not valid JSON: error at line {line}, column {column}")
+            format!("the body is not JSON: stopped at line {line}, column {column}")
         }
         Malformed::Field(name) => format!("field {name} is missing or has the wrong type"),
         Malformed::IdempotencyKey => {
--- a/crates/anvilreel/src/router/routes.rs
+++ b/crates/anvilreel/src/router/routes.rs
@@ -68,9 +68,9 @@
     let why = if core.life.is_leaving() {
         "leaving"
     } else if core.view_state.view.load().is_empty() {
-        "settings not loaded yet"
+        "no settings yet"
     } else if !core.view_state.accepts_work() {
-        "disconnected from the ledger"
+        "out of touch with the ledger"
     } else {
         "ready"
     };
