--- a/crates/anvil_daemons/examples/slopes/live/swarm.rs
+++ b/crates/anvil_daemons/examples/slopes/live/swarm.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use anvil_wire::Channel;
-use anvil_wire::msg::{FollowEvent, Heartbeat, Interest, LedgerCall, LedgerReply, LedgerRequest};
+use anvil_wire::msg::{
+    FollowEvent, FollowScope, Heartbeat, LedgerCall, LedgerReply, LedgerRequest,
+};
 use anvil_world::prelude::*;
 use futures::StreamExt;
 use futures::stream::FuturesUnordered;
@@ -64,7 +66,7 @@
 async fn follower(instance: InstanceId, replica: Channel, version: Arc<AtomicU64>) {
     let ask = LedgerRequest::Follow {
         instance,
-        interest: Interest::Sidecar,
+        interest: FollowScope::Sidecar,
         version: 0,
     };
     let Ok(mut replies) = replica.open::<LedgerCall>(&ask).await else {
--- a/crates/anvil_daemons/examples/slopes/sample.rs
+++ b/crates/anvil_daemons/examples/slopes/sample.rs
@@ -6,7 +6,7 @@
 
 use anvil_ledger::state::State;
 use anvil_world::command::{
-    Change, Claim, Edit, GrantAsk, GrantBatch, GrantReport, Join, TopUp, change_id,
+    Change, Claim, Edit, GrantBatch, GrantReport, GrantRequest, Join, TopUp, change_id,
 };
 use anvil_world::document::key_hash;
 use anvil_world::prelude::*;
@@ -81,7 +81,7 @@
         &mut self,
         router: u64,
         reports: Vec<GrantReport>,
-        asks: Vec<GrantAsk>,
+        asks: Vec<GrantRequest>,
     ) -> Command {
         self.batches += 1;
         Command::GrantBatch(GrantBatch {
@@ -181,8 +181,8 @@
 }
 
 /// A wish for a grant.
-pub fn ask(at: u64, wanted: Tokens) -> GrantAsk {
-    GrantAsk {
+pub fn ask(at: u64, wanted: Tokens) -> GrantRequest {
+    GrantRequest {
         budget: budget(at),
         wanted,
         least: 500,
--- a/crates/anvil_daemons/src/bin/anvilreel-router.rs
+++ b/crates/anvil_daemons/src/bin/anvilreel-router.rs
@@ -26,7 +26,7 @@
                     router.stop().await;
                     return Ok(());
                 }
-                () = router.over() => router.retire(),
+                () = router.incarnation_over() => router.retire(),
             }
         }
     })
--- a/crates/anvil_daemons/src/daemon.rs
+++ b/crates/anvil_daemons/src/daemon.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use anvil_world::SettingsError;
-use anvil_world::settings::{Check, read};
+use anvil_world::settings::{Validate, parse_settings};
 use argh::FromArgs;
 use serde::de::DeserializeOwned;
 use snafu::{ResultExt, Snafu};
@@ -80,9 +80,9 @@
 }
 
 /// Reads a settings file and checks it whole.
-pub fn read_settings<T: DeserializeOwned + Check>(path: &Path) -> Result<T, StartError> {
+pub fn read_settings<T: DeserializeOwned + Validate>(path: &Path) -> Result<T, StartError> {
     let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
-    read(&path.display().to_string(), &text).context(SettingsSnafu)
+    parse_settings(&path.display().to_string(), &text).context(SettingsSnafu)
 }
 
 /// A runtime with so many threads; 0 means one for each core.
--- a/crates/anvil_daemons/src/operate/check.rs
+++ b/crates/anvil_daemons/src/operate/check.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use anvil_world::prelude::*;
-use anvil_world::settings::{LedgerSettings, RouterSettings, SidecarSettings, read};
+use anvil_world::settings::{LedgerSettings, RouterSettings, SidecarSettings, parse_settings};
 use anvilreel::operator::OperatorError;
 
 /// Keys that only one kind of process has.
@@ -31,10 +31,10 @@
 fn check_process(name: &str, text: &str) -> Result<&'static str, SettingsError> {
     let table: toml::Table = toml::from_str(text).unwrap_or_default();
     if table.contains_key(SIDECAR_KEY) {
-        return read::<SidecarSettings>(name, text).map(|_| "sidecar");
+        return parse_settings::<SidecarSettings>(name, text).map(|_| "sidecar");
     }
     if table.contains_key(LEDGER_KEY) {
-        return read::<LedgerSettings>(name, text).map(|_| "ledger");
+        return parse_settings::<LedgerSettings>(name, text).map(|_| "ledger");
     }
-    read::<RouterSettings>(name, text).map(|_| "router")
+    parse_settings::<RouterSettings>(name, text).map(|_| "router")
 }
--- a/crates/anvil_daemons/tests/path_settings.rs
+++ b/crates/anvil_daemons/tests/path_settings.rs
@@ -97,7 +97,7 @@
 
 fn accepts<T>(path: &std::path::Path) -> bool
 where
-    T: serde::de::DeserializeOwned + anvil_world::settings::Check,
+    T: serde::de::DeserializeOwned + anvil_world::settings::Validate,
 {
     read_settings::<T>(path).is_ok()
 }
--- a/crates/anvil_gateway/src/admit.rs
+++ b/crates/anvil_gateway/src/admit.rs
@@ -15,7 +15,7 @@
 
 use crate::attempt_counter::AttemptCounter;
 use crate::availability;
-use crate::dialect::Ask;
+use crate::dialect::RequestHead;
 use crate::exchange::{DEFAULT_RETRY_AFTER, Exchange, RequestRefusal};
 use crate::gateway::Gateway;
 use crate::metrics;
@@ -34,7 +34,7 @@
 pub async fn handle_request(gw: &Arc<Gateway>, req: Request<Incoming>) -> Reply {
     let received_at = Instant::now();
     let (head, body) = req.into_parts();
-    let request = match (gw.cfg.dialect.ask)(&head) {
+    let request = match (gw.cfg.dialect.parse_request)(&head) {
         Ok(request) => request,
         Err(e) => {
             let mut trace = Trace::new(gw.clone(), "unknown".into(), received_at);
@@ -54,7 +54,7 @@
 }
 
 struct Admitted {
-    request: Ask,
+    request: RequestHead,
     route: Arc<Route>,
     organisation: Option<Arc<Organisation>>,
     service: ServiceId,
@@ -68,7 +68,7 @@
 
 impl Admitted {
     fn into_exchange(self, gw: Arc<Gateway>, trace: Trace) -> Exchange {
-        let prompt_parts = self.request.work.as_ref();
+        let prompt_parts = self.request.model_work.as_ref();
         let prompt_parts =
             prompt_parts.map(|work| work.parts.iter().map(|p| (p.id, p.tokens)).collect());
         Exchange {
@@ -99,7 +99,7 @@
     gw: &Arc<Gateway>,
     head: request::Parts,
     body: Incoming,
-    request: Ask,
+    request: RequestHead,
     received_at: Instant,
     trace: &mut Trace,
 ) -> Result<Admitted, RequestRefusal> {
@@ -110,7 +110,7 @@
     if let Some(organisation) = &organisation {
         trace.record_organisation(&organisation.id);
     }
-    let deadline = received_at + request.patience.min(route.timeout);
+    let deadline = received_at + request.timeout.min(route.timeout);
     let body = read_body(body, table.limits.body_bytes, deadline).await?;
     let payer = organisation.as_deref();
     let request_digest = request_digest::digest(payer, &route, &head.method, &head.uri, &body);
@@ -141,10 +141,10 @@
 /// The routing table. A process that has just started waits for its first one.
 async fn wait_for_table(
     gw: &Gateway,
-    request: &Ask,
+    request: &RequestHead,
     trace: &mut Trace,
 ) -> Result<Arc<RouteTable>, RequestRefusal> {
-    let max_wait = availability::startup_wait(gw.lifecycle.now(), request.patience);
+    let max_wait = availability::startup_wait(gw.lifecycle.now(), request.timeout);
     let table = availability::wait_until_available(gw, max_wait, || gw.table.load_full()).await;
     if table.is_none() {
         trace.step(format_args!("no routing table"));
@@ -163,10 +163,10 @@
 fn identify_sender(
     table: &RouteTable,
     route: &Route,
-    request: &Ask,
+    request: &RequestHead,
 ) -> Result<Option<Arc<Organisation>>, RequestRefusal> {
     let organisation = request
-        .key
+        .bearer_key
         .as_deref()
         .and_then(|key| table.organisation(key));
     if organisation.is_none() && table.requires_keys() && !route.public {
@@ -197,18 +197,18 @@
 async fn reserve(
     gw: &Arc<Gateway>,
     organisation: Option<&Organisation>,
-    request: &Ask,
+    request: &RequestHead,
     deadline: Instant,
     trace: &mut Trace,
 ) -> Result<Option<RequestCharge>, RequestRefusal> {
     let Some(organisation) = organisation.filter(|organisation| organisation.prepaid) else {
         return Ok(None);
     };
-    let Some(work) = &request.work else {
+    let Some(work) = &request.model_work else {
         return Ok(None);
     };
-    let split = Split::whole(organisation.id.clone());
-    let max_cost = work.prompt.saturating_add(work.most_output);
+    let split = Split::single_payer(organisation.id.clone());
+    let max_cost = work.prompt.saturating_add(work.max_output);
     let mut give_up_at: Option<Now> = None;
     let wait_started = Instant::now();
     loop {
--- a/crates/anvil_gateway/src/attempt.rs
+++ b/crates/anvil_gateway/src/attempt.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::connection_watch::ConnectionWatch;
-use crate::dialect::AnswerHead;
+use crate::dialect::ResponseHead;
 use crate::endpoint::{Endpoint, EndpointSlot};
 use crate::gateway::Gateway;
 use crate::pool::Connection;
@@ -47,7 +47,7 @@
     /// Status and headers as the endpoint sent them.
     pub parts: response::Parts,
     /// The parsed response head.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// The body.
     pub body: Incoming,
     /// The connection, to be returned to the pool after the complete body.
@@ -64,9 +64,9 @@
         sender: SendRequest<Full<Bytes>>,
         watch: Arc<ConnectionWatch>,
         endpoint: &Endpoint,
-        head: &AnswerHead,
+        head: &ResponseHead,
     ) {
-        endpoint.pool.put(sender, watch, head.keeps);
+        endpoint.pool.put(sender, watch, head.idle_timeout);
     }
 }
 
@@ -143,7 +143,7 @@
         };
         connection.watch.response_started();
         let (parts, body) = response.into_parts();
-        let head = (gw.cfg.dialect.answer)(parts.status, &parts.headers);
+        let head = (gw.cfg.dialect.parse_response)(parts.status, &parts.headers);
         // Failure: an endpoint sends a second, late response on the connection, and it is taken for
         // the response to the next request, from another client. Only the id tells them apart.
         if head.id.as_deref().is_some_and(|id| id != outgoing.id) {
@@ -155,7 +155,7 @@
             drain_refusal(connection, &endpoint, &head, body).await;
             return AttemptOutcome::NotRun(NotRun::Refused(status));
         }
-        let is_complete_head = head.sealed && !head.encoded && head.id.is_some();
+        let is_complete_head = head.signed && !head.unexpected_encoding && head.id.is_some();
         if parts.status.is_success() && !is_complete_head {
             return AttemptOutcome::Doubt(Doubt::Spoiled);
         }
@@ -187,7 +187,7 @@
 async fn drain_refusal(
     connection: Connection,
     endpoint: &Endpoint,
-    head: &AnswerHead,
+    head: &ResponseHead,
     body: Incoming,
 ) {
     use http_body_util::{BodyExt, Limited};
--- a/crates/anvil_gateway/src/choose.rs
+++ b/crates/anvil_gateway/src/choose.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use anvil_policy::copying::{self, Copying, Lacking};
+use anvil_policy::copying::{self, Copying, MissingTokens};
 use anvil_policy::engine::{Prompt, home_rank};
 use anvil_policy::rate_share::Clocks;
 use anvil_world::prelude::*;
@@ -82,8 +82,8 @@
         let source = self.copy_source(service, prompt, best, &candidates);
         let missing_tokens = source
             .as_ref()
-            .map_or(best.lacking.believed, |source| source.equivalent_tokens);
-        let load_summary = best.endpoint.load().grounds(now);
+            .map_or(best.lacking.with_home, |source| source.equivalent_tokens);
+        let load_summary = best.endpoint.load().describe(now);
         let slot = EndpointSlot::take(
             best.endpoint.clone(),
             now,
@@ -147,7 +147,7 @@
         selected: &Candidate<'_>,
         candidates: &[Candidate<'_>],
     ) -> Option<CopySource> {
-        prompt.subject()?;
+        prompt.shared_prefix()?;
         let table = self.table.load();
         let engine = table.as_ref()?.services.get(service)?.engine?;
         let copy_rate =
@@ -160,8 +160,8 @@
         let (addr, source_lacking) = copying::source(selected.lacking, &others)?;
         Some(CopySource {
             addr,
-            equivalent_tokens: copy_rate.as_if_missing(
-                selected.lacking.believed,
+            equivalent_tokens: copy_rate.equivalent_missing(
+                selected.lacking.with_home,
                 source_lacking,
                 &self.engine_rule,
             ),
@@ -178,40 +178,43 @@
         let load = endpoint.load();
         let is_other_zone = *endpoint.zone != *self.cfg.zone.id;
         let network_delay = if is_other_zone {
-            self.engine_rule.other_zone
+            self.engine_rule.other_zone_round_trip
         } else {
             Duration::ZERO
         };
-        let base = network_delay + load.set_back(RETRY_COST);
-        let on_cooldown = load.is_shut(now);
+        let base = network_delay + load.failure_cost(RETRY_COST);
+        let on_cooldown = load.is_on_cooldown(now);
         if prompt.parts.is_empty() {
-            let utilisation =
-                f64::from(load.busy(now)) / f64::from(load.slots(endpoint.slots).max(1));
+            let utilisation = f64::from(load.estimated_requests(now))
+                / f64::from(load.slots(endpoint.slots).max(1));
             let jitter = Duration::from_micros(rand::random_range(0..500));
             return Candidate {
                 endpoint,
                 expected: base + FULL_ENDPOINT_WAIT.mul_f64(utilisation) + jitter,
-                lacking: Lacking {
-                    unsent: 0,
-                    believed: 0,
+                lacking: MissingTokens {
+                    by_own_requests: 0,
+                    with_home: 0,
                 },
                 on_cooldown,
             };
         }
         let is_home = prompt
-            .subject()
+            .shared_prefix()
             .is_some_and(|subject| Some(home_rank(subject, &endpoint.id)) == home);
-        let unsent = load.missing(now, &self.engine_rule, prompt, false);
-        let believed = if is_home {
-            load.missing(now, &self.engine_rule, prompt, true)
+        let by_own_requests = load.missing_tokens(now, &self.engine_rule, prompt, false);
+        let with_home = if is_home {
+            load.missing_tokens(now, &self.engine_rule, prompt, true)
         } else {
-            unsent
+            by_own_requests
         };
-        let expected = load.expected(now, &self.engine_rule, believed, endpoint.slots);
+        let expected = load.expected_first_token(now, &self.engine_rule, with_home, endpoint.slots);
         Candidate {
             endpoint,
             expected: base + expected,
-            lacking: Lacking { unsent, believed },
+            lacking: MissingTokens {
+                by_own_requests,
+                with_home,
+            },
             on_cooldown,
         }
     }
@@ -223,7 +226,7 @@
     /// Time to the first token if all missing prompt tokens are processed.
     expected: Duration,
     /// Prompt tokens that are not cached there.
-    lacking: Lacking,
+    lacking: MissingTokens,
     /// Whether it failed recently and is on cooldown.
     on_cooldown: bool,
 }
@@ -236,7 +239,7 @@
 }
 
 fn home_of(prompt: &Prompt<'_>, endpoints: &[Arc<Endpoint>]) -> Option<u64> {
-    let subject = prompt.subject()?;
+    let subject = prompt.shared_prefix()?;
     let ranks = endpoints
         .iter()
         .map(|endpoint| home_rank(subject, &endpoint.id));
--- a/crates/anvil_gateway/src/crashes.rs
+++ b/crates/anvil_gateway/src/crashes.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use anvil_policy::crash::{CrashWatch, Evidence, Lost};
+use anvil_policy::crash::{CrashWatch, Evidence, LostAnswerAction};
 use anvil_world::prelude::*;
 use anvil_world::suspect::CrashedRun;
 use anvilreel::event;
@@ -37,13 +37,15 @@
             return;
         }
         let now = self.lifecycle.now();
-        let verdict = self.crash_watch().lost(now, &endpoint.id, digest, progress);
+        let verdict = self
+            .crash_watch()
+            .record_lost_answer(now, &endpoint.id, digest, progress);
         match verdict {
-            Lost::Wait => {}
-            Lost::Look => {
+            LostAnswerAction::Wait => {}
+            LostAnswerAction::Probe => {
                 tokio::spawn(probe(self.clone(), endpoint.clone()));
             }
-            Lost::Crashed => {
+            LostAnswerAction::Crashed => {
                 self.report_crash(&endpoint.id, BTreeMap::from([(digest, progress)]), None);
             }
         }
@@ -51,18 +53,21 @@
 
     /// Records that an endpoint has begun to respond, so it is alive.
     pub fn record_endpoint_alive(&self, endpoint: &Endpoint) {
-        self.crash_watch().lives(&endpoint.id);
+        self.crash_watch().record_alive(&endpoint.id);
     }
 
     /// Records that an endpoint has answered a request completely.
     pub fn record_answered(&self, digest: RequestDigest) {
-        self.crash_watch().answered(self.lifecycle.now(), digest);
+        self.crash_watch()
+            .record_answer(self.lifecycle.now(), digest);
         self.suspects.record_answered(digest);
     }
 
     /// Records evidence that an endpoint's process has ended although it was not leaving.
     pub fn record_crash_evidence(&self, endpoint: &InstanceId, evidence: Evidence) {
-        let digests = self.crash_watch().crashed(self.lifecycle.now(), endpoint);
+        let digests = self
+            .crash_watch()
+            .record_crash(self.lifecycle.now(), endpoint);
         self.report_crash(endpoint, digests, Some(evidence));
     }
 
@@ -93,7 +98,7 @@
     /// Whether an endpoint answered a request shortly before.
     pub fn was_recently_answered(&self, digest: RequestDigest) -> bool {
         let now = self.lifecycle.now();
-        self.crash_watch().was_answered(now, digest)
+        self.crash_watch().was_recently_answered(now, digest)
     }
 
     fn crash_watch(&self) -> MutexGuard<'_, CrashWatch> {
--- a/crates/anvil_gateway/src/dialect.rs
+++ b/crates/anvil_gateway/src/dialect.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use anvil_wire::msg::Listed;
+use anvil_wire::msg::ListedEndpoint;
 use anvil_world::prelude::*;
 use bytes::Bytes;
 use http::{HeaderMap, StatusCode, request};
@@ -33,77 +33,77 @@
     /// Tokens of the whole prompt.
     pub prompt: Tokens,
     /// Maximum tokens of output.
-    pub most_output: Tokens,
+    pub max_output: Tokens,
     /// Parts of the prompt; the last one is specific to the request, the others are shared.
     pub parts: Vec<PromptPart>,
 }
 
 /// The parsed head of a client's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct RequestHead {
     /// Id of this attempt of the client; unique.
     pub id: Arc<str>,
     /// The client's timeout.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Bearer key.
-    pub key: Option<Arc<str>>,
+    pub bearer_key: Option<Arc<str>>,
     /// Set only for requests to a model engine.
-    pub work: Option<ModelWork>,
+    pub model_work: Option<ModelWork>,
     /// Id of the last event of the stream that the client already has.
-    pub after: Option<u64>,
+    pub resume_after: Option<u64>,
 }
 
 /// A request head that can't be served.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{what} is missing or can't be read"))]
-pub struct BadAsk {
+pub struct RequestHeadError {
     /// The missing or invalid part of the head.
     pub what: &'static str,
 }
 
 /// What is added to the client's headers for an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Onward<'a> {
+pub struct ForwardedHead<'a> {
     /// The endpoint incarnation that is meant; any other one must refuse the request.
     pub endpoint: &'a str,
     /// The organisation that sent the request.
     pub organisation: Option<&'a str>,
     /// Time left until the deadline.
-    pub left: Duration,
+    pub time_left: Duration,
     /// Priority class at the endpoint; 0 is the most urgent.
-    pub class: u8,
+    pub priority_class: u8,
     /// Resume the stream after this event.
-    pub after: Option<u64>,
+    pub resume_after: Option<u64>,
     /// The engine to copy the prompt's cached prefix from.
     pub copy_from: Option<SocketAddr>,
 }
 
 /// The load that an endpoint reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Load {
+pub struct ReportedLoad {
     /// Running requests.
     pub running: u32,
     /// Queued requests.
-    pub waiting: u32,
+    pub queued: u32,
     /// Requests that it can run concurrently.
     pub slots: u32,
 }
 
 /// The parsed head of an endpoint's response.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Id of the request, if the response names it.
     pub id: Option<Arc<str>>,
     /// The endpoint states that it did not run the request and never will.
     pub not_run: bool,
     /// The response carries the endpoint's signature.
-    pub sealed: bool,
+    pub signed: bool,
     /// The endpoint's load.
-    pub load: Option<Load>,
+    pub load: Option<ReportedLoad>,
     /// For how long the endpoint keeps this connection open without a request.
-    pub keeps: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
     /// The body has a content encoding that was not requested.
-    pub encoded: bool,
+    pub unexpected_encoding: bool,
     /// The rate limit that the endpoint announces to all callers together.
     pub limit: AnnouncedLimit,
 }
@@ -122,7 +122,7 @@
 /// An invalid routing table.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{place}: found {found}; allowed is {allowed}"))]
-pub struct BadTable {
+pub struct InvalidTable {
     /// Position in the text.
     pub place: String,
     /// What is there.
@@ -135,24 +135,24 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Dialect {
     /// Parses the head of a client's request.
-    pub ask: fn(&request::Parts) -> Result<Ask, BadAsk>,
+    pub parse_request: fn(&request::Parts) -> Result<RequestHead, RequestHeadError>,
     /// Makes the headers for an endpoint from the client's.
-    pub onward: fn(&HeaderMap, &Onward<'_>) -> HeaderMap,
+    pub forward_headers: fn(&HeaderMap, &ForwardedHead<'_>) -> HeaderMap,
     /// Parses the head of an endpoint's response.
-    pub answer: fn(StatusCode, &HeaderMap) -> AnswerHead,
+    pub parse_response: fn(StatusCode, &HeaderMap) -> ResponseHead,
     /// Parses and checks a routing table.
-    pub table: fn(&str) -> Result<RouteTable, BadTable>,
+    pub parse_table: fn(&str) -> Result<RouteTable, InvalidTable>,
 }
 
 /// One page of the platform's list.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ListPage {
     /// Valid entries.
-    pub listed: Vec<Listed>,
+    pub listed: Vec<ListedEndpoint>,
     /// Number of entries that can't be parsed and are skipped.
     pub unreadable: u32,
     /// Path of the next page.
-    pub next: Option<String>,
+    pub next_path: Option<String>,
 }
 
 /// Location and format of the platform's list.
@@ -161,11 +161,11 @@
     /// Address.
     pub addr: SocketAddr,
     /// Path of the first page.
-    pub path: String,
+    pub first_page_path: String,
     /// Maximum lag of the list.
-    pub lag: Duration,
+    pub max_lag: Duration,
     /// Calls per second that the platform accepts from all processes together.
     pub calls_per_second: f64,
     /// Parses a page.
-    pub page: fn(&Bytes) -> Result<ListPage, String>,
+    pub parse_page: fn(&Bytes) -> Result<ListPage, String>,
 }
--- a/crates/anvil_gateway/src/directory.rs
+++ b/crates/anvil_gateway/src/directory.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use anvil_wire::msg::Listed;
+use anvil_wire::msg::ListedEndpoint;
 use anvil_world::prelude::*;
 use arc_swap::ArcSwap;
 
@@ -124,13 +124,13 @@
         let available: Vec<_> = all.filter(|endpoint| !endpoint.is_leaving()).collect();
         let on_cooldown = available
             .iter()
-            .filter(|endpoint| endpoint.load().is_shut(now));
+            .filter(|endpoint| endpoint.load().is_on_cooldown(now));
         (available.len() as u64, on_cooldown.count() as u64)
     }
 
     /// Applies a complete list. An endpoint with the same id, address and service keeps its
     /// connections and statistics; endpoints that are not listed receive no new requests.
-    pub fn apply_list(&self, list: &[Listed]) -> Changes {
+    pub fn apply_list(&self, list: &[ListedEndpoint]) -> Changes {
         let previous = self.groups.load();
         let mut known: BTreeMap<&InstanceId, &Arc<Endpoint>> = BTreeMap::new();
         for endpoint in previous.values().flatten() {
--- a/crates/anvil_gateway/src/discovery.rs
+++ b/crates/anvil_gateway/src/discovery.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use anvil_policy::crash::Evidence;
-use anvil_policy::list_turn::{ListAges, Step, next_step};
+use anvil_policy::list_turn::{ListAges, RefreshStep, next_step};
 use anvil_wire::WireError;
-use anvil_wire::msg::{ListAsk, ListCall, ListReply, Listed};
+use anvil_wire::msg::{ListCall, ListReply, ListRequest, ListedEndpoint};
 use anvil_world::prelude::*;
 use anvilreel::event;
 use tokio::time::{sleep, timeout};
@@ -43,17 +43,17 @@
 
 /// Keeps the list current for as long as the process runs.
 pub async fn run(gw: &Gateway) {
-    let ages = ListAges::within(gw.cfg.list_within);
+    let ages = ListAges::within(gw.cfg.max_list_age);
     let mut discovery = Discovery::default();
     loop {
         let order = gw.siblings.reading_order(gw.lifecycle.now());
         let age = gw.list_cache.age();
         match next_step(&gw.cfg.id, &order, &ages, age, rand::random()) {
-            Step::Read(at) => {
+            RefreshStep::Read(at) => {
                 wait_until_due(gw, at.saturating_sub(age)).await;
                 discovery.read_from_platform(gw).await;
             }
-            Step::Ask(sibling, until) => {
+            RefreshStep::RequestFrom(sibling, until) => {
                 discovery.request_from_sibling(gw, sibling, until).await;
             }
         }
@@ -163,7 +163,7 @@
     let within = until.saturating_sub(gw.list_cache.age());
     let channel = gw.siblings.channel(sibling).ok_or(WireError::Ended)?;
     let asked_at = Moment::now();
-    let request = ListAsk {
+    let request = ListRequest {
         have: gw.list_cache.version(),
         read_within,
         wait: within.saturating_sub(TRANSIT_TIME),
@@ -185,7 +185,7 @@
     let Some(snapshot) = gw.list_cache.newest() else {
         return;
     };
-    let listed: Vec<Listed> = snapshot.endpoints().cloned().collect();
+    let listed: Vec<ListedEndpoint> = snapshot.endpoints().cloned().collect();
     let changes = gw.directory.apply_list(&listed);
     for endpoint in &changes.vanished {
         gw.record_crash_evidence(endpoint, Evidence::Unlisted);
--- a/crates/anvil_gateway/src/endpoint.rs
+++ b/crates/anvil_gateway/src/endpoint.rs
@@ -5,14 +5,14 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use anvil_policy::engine::{EndpointLoad, EngineRule, Prompt};
-use anvil_policy::rate_share::{Clocks, RateShare, Turn};
-use anvil_wire::msg::Listed;
+use anvil_policy::engine::{EndpointView, EngineRule, Prompt};
+use anvil_policy::rate_share::{Clocks, RateShare, RouterRank};
+use anvil_wire::msg::ListedEndpoint;
 use anvil_world::prelude::*;
 use anvilreel::event;
 use slog::Logger;
 
-use crate::dialect::Load;
+use crate::dialect::ReportedLoad;
 use crate::log_events as events;
 use crate::pool::ConnectionPool;
 
@@ -31,13 +31,13 @@
     /// Connections to it.
     pub pool: ConnectionPool,
     leaving: AtomicBool,
-    load: Mutex<EndpointLoad>,
+    load: Mutex<EndpointView>,
     rate_share: Mutex<RateShare>,
 }
 
 impl Endpoint {
     /// Creates it from an entry of the platform's list.
-    pub fn new(listed: &Listed) -> Self {
+    pub fn new(listed: &ListedEndpoint) -> Self {
         Self {
             id: listed.id.clone(),
             service: listed.service.clone(),
@@ -63,7 +63,7 @@
     }
 
     /// Its known load.
-    pub fn load(&self) -> MutexGuard<'_, EndpointLoad> {
+    pub fn load(&self) -> MutexGuard<'_, EndpointView> {
         // Sound after a panic elsewhere: each number is valid by itself.
         self.load.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -81,14 +81,14 @@
         limit: Option<RateLimit>,
         log: &Logger,
     ) {
-        if self.rate_share().heard(now, sent_at, limit) {
+        if self.rate_share().apply_answer(now, sent_at, limit) {
             self.log_limit("heard", log);
         }
     }
 
     /// Applies the limit reported by the ledger, or its end.
     pub fn apply_reported_limit(&self, now: Now, limit: Option<RateLimit>, log: &Logger) {
-        if self.rate_share().told(now, limit) {
+        if self.rate_share().set_limit(now, limit) {
             self.log_limit("told", log);
         }
     }
@@ -102,18 +102,18 @@
 
     /// Requests sent since the limit is known, and thousandths of requests this gateway could have
     /// sent.
-    pub fn limit_used(&self, now: Now, position: Turn) -> (u64, u64) {
-        self.rate_share().used(now, position)
+    pub fn limit_used(&self, now: Now, position: RouterRank) -> (u64, u64) {
+        self.rate_share().usage(now, position)
     }
 
     /// Time until the limit allows another request; zero if it does now.
-    pub fn rate_limit_wait(&self, clocks: Clocks, position: Turn) -> Duration {
-        self.rate_share().opens_in(clocks, position)
+    pub fn rate_limit_wait(&self, clocks: Clocks, position: RouterRank) -> Duration {
+        self.rate_share().time_until_send(clocks, position)
     }
 
     /// Counts a request that is about to be sent. Returns false if the limit does not allow it.
-    pub fn try_count_request(&self, clocks: Clocks, position: Turn) -> bool {
-        self.rate_share().send(clocks, position)
+    pub fn try_count_request(&self, clocks: Clocks, position: RouterRank) -> bool {
+        self.rate_share().try_send(clocks, position)
     }
 
     fn rate_share(&self) -> MutexGuard<'_, RateShare> {
@@ -126,8 +126,8 @@
     /// Records a failed request and puts the endpoint on cooldown.
     pub fn record_failure(&self, now: Now, log: &Logger, reason: &str) {
         let mut load = self.load();
-        let was_on_cooldown = load.is_shut(now);
-        load.failed(now);
+        let was_on_cooldown = load.is_on_cooldown(now);
+        load.record_failure(now);
         if !was_on_cooldown {
             event!(
                 log, events::GATEWAY_ENDPOINT_SHUT,
@@ -137,9 +137,9 @@
     }
 
     /// Applies the load that the endpoint reports.
-    pub fn apply_load(&self, now: Now, load: &Load) {
+    pub fn apply_load(&self, now: Now, load: &ReportedLoad) {
         self.load()
-            .heard(now, load.running, load.waiting, load.slots);
+            .apply_report(now, load.running, load.queued, load.slots);
     }
 }
 
@@ -159,7 +159,9 @@
         prompt: &Prompt<'_>,
         unprocessed_tokens: Tokens,
     ) -> Self {
-        endpoint.load().start(now, rule, prompt, unprocessed_tokens);
+        endpoint
+            .load()
+            .record_start(now, rule, prompt, unprocessed_tokens);
         Self {
             endpoint,
             unprocessed_tokens,
@@ -169,13 +171,13 @@
     /// Records that the response has begun, so the prompt has been processed.
     pub fn response_started(&mut self) {
         let unprocessed_tokens = std::mem::take(&mut self.unprocessed_tokens);
-        self.endpoint.load().read(unprocessed_tokens);
+        self.endpoint.load().end_prefill(unprocessed_tokens);
     }
 }
 
 impl Drop for EndpointSlot {
     fn drop(&mut self) {
         self.response_started();
-        self.endpoint.load().end();
+        self.endpoint.load().record_end();
     }
 }
--- a/crates/anvil_gateway/src/exchange.rs
+++ b/crates/anvil_gateway/src/exchange.rs
@@ -19,11 +19,11 @@
 use crate::availability;
 use crate::choose::Unplaced;
 use crate::connection_watch::ConnectionWatch;
-use crate::dialect::{Ask, Onward};
+use crate::dialect::{ForwardedHead, RequestHead};
 use crate::gateway::Gateway;
 use crate::log_events as events;
 use crate::metrics;
-use crate::reply::{Cause, Reply, refusal, remove_connection_headers, whole};
+use crate::reply::{Cause, Reply, full_body, refusal, remove_connection_headers};
 use crate::request_charge::RequestCharge;
 use crate::stream_relay::StreamRelay;
 use crate::table::{Organisation, Route};
@@ -51,7 +51,7 @@
     /// State shared by all requests.
     pub gw: Arc<Gateway>,
     /// The parsed request head.
-    pub request: Ask,
+    pub request: RequestHead,
     /// The matching route.
     pub route: Arc<Route>,
     /// The organisation that sent the request.
@@ -93,7 +93,9 @@
     pub async fn run(mut self) -> Reply {
         self.gw.count_first_attempt(&self.service);
         match self.first_response(None).await {
-            Ok(response) if self.route.repeat.is_stream() && response.parts.status.is_success() => {
+            Ok(response)
+                if self.route.retry_mode.is_stream() && response.parts.status.is_success() =>
+            {
                 StreamRelay::start_response(self, *response).await
             }
             Ok(response) => self.buffered_response(*response).await,
@@ -167,7 +169,7 @@
         }
         self.has_waited_for_endpoints = true;
         self.gw.list_mismatch.notify_one();
-        let max_wait = availability::endpoints_wait(self.gw.cfg.list.lag, self.time_left());
+        let max_wait = availability::endpoints_wait(self.gw.cfg.list.max_lag, self.time_left());
         let found = availability::wait_until_available(&self.gw, max_wait, || {
             let available = self
                 .gw
@@ -189,13 +191,13 @@
     fn is_final(&mut self, response: &EndpointResponse) -> bool {
         self.in_doubt = true;
         let failed = response.parts.status.is_server_error();
-        let retry = failed && self.route.repeat.may_run_again() && self.has_attempts_left();
+        let retry = failed && self.route.retry_mode.may_run_again() && self.has_attempts_left();
         !(retry && self.gw.try_count_retry(&self.service))
     }
 
     /// Whether the attempt limit and the deadline allow another attempt.
     pub fn has_attempts_left(&self) -> bool {
-        self.attempt_counter.may_continue(self.route.attempts) && !self.time_left().is_zero()
+        self.attempt_counter.may_continue(self.route.max_attempts) && !self.time_left().is_zero()
     }
 
     fn record_not_run(&mut self, reason: &NotRun) -> Cause {
@@ -221,7 +223,7 @@
         } else {
             failed
         };
-        let allowed = !self.in_doubt || self.route.repeat.may_run_again();
+        let allowed = !self.in_doubt || self.route.retry_mode.may_run_again();
         if !allowed || !self.has_attempts_left() || !self.retry_budget_allows() {
             return Err((cause, DEFAULT_RETRY_AFTER));
         }
@@ -269,22 +271,22 @@
             self.gw.metrics.count(metrics::ATTEMPTS_AFTER_FIRST);
         }
         let left = self.time_left();
-        let onward = Onward {
+        let onward = ForwardedHead {
             endpoint: &endpoint.id,
             organisation: self
                 .organisation
                 .as_ref()
                 .map(|organisation| &*organisation.id),
-            left,
-            class: self.priority_class(),
-            after: after.or(self.request.after),
+            time_left: left,
+            priority_class: self.priority_class(),
+            resume_after: after.or(self.request.resume_after),
             copy_from: selection.copy_from,
         };
         let response_deadline = self.response_deadline();
         let outgoing = OutgoingRequest {
             method: &self.method,
             uri: &self.uri,
-            headers: (self.gw.cfg.dialect.onward)(&self.headers, &onward),
+            headers: (self.gw.cfg.dialect.forward_headers)(&self.headers, &onward),
             body: self.body.clone(),
             id: &self.request.id,
             response_deadline,
@@ -312,11 +314,12 @@
     /// Until when the response head is awaited: up to the deadline, or less if another endpoint may
     /// run the request instead.
     fn response_deadline(&self) -> Instant {
-        let repeatable = self.route.repeat.may_run_again();
-        if !repeatable || self.attempt_counter.is_last(self.route.attempts) {
+        let repeatable = self.route.retry_mode.may_run_again();
+        if !repeatable || self.attempt_counter.is_last(self.route.max_attempts) {
             return self.deadline;
         }
-        let unresponsive_at = Instant::now() + self.route.target.mul_f64(UNRESPONSIVE_TARGETS);
+        let unresponsive_at =
+            Instant::now() + self.route.target_latency.mul_f64(UNRESPONSIVE_TARGETS);
         unresponsive_at.min(self.deadline)
     }
 
@@ -324,9 +327,9 @@
         let organisation_class = self
             .organisation
             .as_ref()
-            .and_then(|organisation| organisation.class);
+            .and_then(|organisation| organisation.priority_class);
         organisation_class
-            .unwrap_or(self.route.class)
+            .unwrap_or(self.route.priority_class)
             .min(LEAST_URGENT_CLASS)
     }
 
@@ -378,7 +381,7 @@
                 } else {
                     "endpoint_failed"
                 });
-                return Reply::from_parts(parts, whole(body.to_bytes()));
+                return Reply::from_parts(parts, full_body(body.to_bytes()));
             }
             self.record_lost_response(
                 &slot.endpoint,
--- a/crates/anvil_gateway/src/exchange/outcome.rs
+++ b/crates/anvil_gateway/src/exchange/outcome.rs
@@ -31,7 +31,7 @@
                 }
                 endpoint
                     .load()
-                    .answered(response.parts.status.is_server_error());
+                    .record_answer(response.parts.status.is_server_error());
             }
             AttemptOutcome::NotRun(NotRun::Refused(MISDIRECTED_STATUS)) => {
                 self.gw
@@ -41,14 +41,14 @@
                 self.gw.list_mismatch.notify_one();
             }
             AttemptOutcome::NotRun(NotRun::Refused(_)) => {
-                endpoint.load().was_full(now, FULL_ENDPOINT_PAUSE);
+                endpoint.load().record_full(now, FULL_ENDPOINT_PAUSE);
             }
             AttemptOutcome::NotRun(NotRun::Unreachable(reason)) => {
                 self.record_endpoint_failure(endpoint, reason);
             }
             // Not a sign of failure if the client's timeout is shorter than a normal response
             // takes.
-            AttemptOutcome::Doubt(Doubt::Silent) if waited < self.route.target => {}
+            AttemptOutcome::Doubt(Doubt::Silent) if waited < self.route.target_latency => {}
             AttemptOutcome::Doubt(doubt) => {
                 self.record_lost_response(
                     endpoint,
--- a/crates/anvil_gateway/src/gateway.rs
+++ b/crates/anvil_gateway/src/gateway.rs
@@ -8,15 +8,15 @@
 
 use anvil_policy::crash::CrashWatch;
 use anvil_policy::engine::EngineRule;
-use anvil_policy::rate_share::Turn;
-use anvil_policy::retry::{Repeat, RetryBudget, RetryRule};
+use anvil_policy::rate_share::RouterRank;
+use anvil_policy::retry::{RetryBudget, RetryRule, RetrySafety};
 use anvil_world::prelude::*;
 use anvilreel::event;
 use anvilreel::ledger_client::LedgerClient;
 use anvilreel::life::Life;
 use anvilreel::logs::Dropped;
 use anvilreel::metrics::Metrics;
-use anvilreel::money::{GrantPolicy, Purse};
+use anvilreel::money::{GrantAccount, GrantPolicy};
 use arc_swap::{ArcSwap, ArcSwapOption};
 use slog::Logger;
 use tokio::sync::Notify;
@@ -49,20 +49,20 @@
     /// The platform's header and text formats.
     pub dialect: Dialect,
     /// Time from the signal for a planned stop to the end of the process.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// Retries that all gateways together may make, as a fraction of requests.
-    pub retry_part: f64,
+    pub retry_fraction: f64,
     /// Retries beyond that fraction that all gateways together may make within
     /// [`Self::retry_window`].
     pub retry_slack: f64,
     /// See [`Self::retry_slack`].
     pub retry_window: Duration,
     /// Address at which the gateways of this zone reach this one; all of them use the same port.
-    pub siblings: SocketAddr,
-    /// Address to bind for them, if traffic to [`Self::siblings`] is forwarded to another address.
+    pub siblings_addr: SocketAddr,
+    /// Address to bind for them, if traffic to [`Self::siblings_addr`] is forwarded to another address.
     pub siblings_bind: Option<SocketAddr>,
     /// Maximum age of the platform's list before it is read again.
-    pub list_within: Duration,
+    pub max_list_age: Duration,
 }
 
 /// One gateway process.
@@ -74,7 +74,7 @@
     /// The endpoints.
     pub directory: Directory,
     /// Grants, and what is reserved and settled on them.
-    pub grant_account: Arc<Purse>,
+    pub grant_account: Arc<GrantAccount>,
     /// Wakes the task that requests grants from the ledger.
     pub grants_wanted: Notify,
     /// The process's clock and incarnation, and whether it is stopping.
@@ -152,19 +152,19 @@
     GrantPolicy {
         horizon: Duration::from_millis(700),
         // About five batches, and about the duration of a response to a prompt.
-        smooth_over: Some(Duration::from_secs(1)),
-        patience: Duration::from_millis(450),
-        recall_patience: Duration::from_millis(120),
+        smoothing_window: Some(Duration::from_secs(1)),
+        max_ledger_wait: Duration::from_millis(450),
+        max_recall_wait: Duration::from_millis(120),
         // Four batches: the ledger recalls in one, routers return in the next, and a lost one is
         // sent again.
-        recalled_within: Duration::from_millis(800),
-        row_within: Duration::from_secs(10),
-        idle: Duration::from_millis(400),
-        batch_every: Duration::from_millis(200),
-        urgent_every: Duration::from_millis(10),
-        verdict_holds: Duration::from_millis(300),
+        recall_timeout: Duration::from_millis(800),
+        max_refusal_gap: Duration::from_secs(10),
+        idle_timeout: Duration::from_millis(400),
+        batch_interval: Duration::from_millis(200),
+        urgent_batch_interval: Duration::from_millis(10),
+        refusal_lifetime: Duration::from_millis(300),
         spare_requests: 0,
-        least_expected: 1.0,
+        min_expected_requests: 1.0,
         ..GrantPolicy::default()
     }
 }
@@ -176,7 +176,7 @@
         // If the clock was set back, a later incarnation would look older and the ledger would
         // refuse its batches. A random part of the name keeps incarnations apart.
         let name = format!("{}#{:x}", cfg.id, rand::random::<u64>());
-        let grant_account = Purse::new(name.into(), lifecycle.incarnation, grant_policy());
+        let grant_account = GrantAccount::new(name.into(), lifecycle.incarnation, grant_policy());
         Self {
             table: ArcSwapOption::empty(),
             directory: Directory::default(),
@@ -195,7 +195,7 @@
             gateway_rank: AtomicU32::new(rand::random_range(0..ASSUMED_GATEWAYS)),
             ledger_confirmed_ms: AtomicU64::new(0),
             list_cache: ListCache::default(),
-            siblings: Siblings::new(cfg.id.clone(), cfg.siblings),
+            siblings: Siblings::new(cfg.id.clone(), cfg.siblings_addr),
             list_read_requested: Notify::new(),
             list_mismatch: Notify::new(),
             state_changed: Notify::new(),
@@ -240,7 +240,7 @@
     }
 
     /// Sets the counter of dropped log lines.
-    pub fn with_dropped(mut self, dropped: Dropped) -> Self {
+    pub fn with_dropped_counter(mut self, dropped: Dropped) -> Self {
         self.dropped_log_lines = dropped;
         self
     }
@@ -250,15 +250,15 @@
     }
 
     /// The position of this gateway among those that share endpoints' rate limits.
-    pub(crate) fn share_position(&self) -> Turn {
-        Turn {
+    pub(crate) fn share_position(&self) -> RouterRank {
+        RouterRank {
             rank: self.gateway_rank.load(Ordering::Relaxed),
             routers: self.gateway_count.load(Ordering::Relaxed),
         }
     }
 
     /// Replaces the seeds after the settings have changed.
-    pub fn set_seeds(&self, seeds: &[SocketAddr]) {
+    pub fn set_ledger_seeds(&self, seeds: &[SocketAddr]) {
         self.seeds.store(Arc::new(seeds.to_vec()));
         self.ledger.add_ways(seeds);
     }
@@ -278,14 +278,15 @@
     /// Counts the first attempt of a request to a service.
     pub fn count_first_attempt(&self, service: &ServiceId) {
         let now = self.lifecycle.now();
-        self.with_retry_budget(service, |budget| budget.first_try(now));
+        self.with_retry_budget(service, |budget| budget.record_first_attempt(now));
     }
 
     /// Whether the budget allows a retry at a service; if so, it is counted.
     pub fn try_count_retry(&self, service: &ServiceId) -> bool {
         let now = self.lifecycle.now();
         let mut rng = rand::rng();
-        let count_retry = |budget: &mut RetryBudget| budget.again(now, 1, Repeat::Safe, &mut rng);
+        let count_retry =
+            |budget: &mut RetryBudget| budget.next_backoff(now, 1, RetrySafety::Safe, &mut rng);
         let allowed = self.with_retry_budget(service, count_retry).is_some();
         if !allowed {
             self.metrics.count(RETRIES_DENIED);
@@ -323,10 +324,10 @@
     fn retry_rule(&self, gateways: u32) -> RetryRule {
         let slack = self.cfg.retry_slack / f64::from(gateways);
         RetryRule {
-            part: RETRY_BUDGET_FRACTION * self.cfg.retry_part,
-            reserve: RETRY_RESERVE * slack,
-            each_second: RETRY_REFILL * slack / self.cfg.retry_window.as_secs_f64(),
-            most_tries: u32::MAX,
+            retry_ratio: RETRY_BUDGET_FRACTION * self.cfg.retry_fraction,
+            max_saved: RETRY_RESERVE * slack,
+            refill_per_s: RETRY_REFILL * slack / self.cfg.retry_window.as_secs_f64(),
+            max_attempts: u32::MAX,
             ..RetryRule::default()
         }
     }
--- a/crates/anvil_gateway/src/grant_loop.rs
+++ b/crates/anvil_gateway/src/grant_loop.rs
@@ -30,7 +30,7 @@
 
 /// Returns all grants to the ledger, as far as possible within this time.
 pub async fn return_grants(gw: &Gateway, within: Duration) {
-    gw.grant_account.stop();
+    gw.grant_account.begin_drain();
     let deadline = Instant::now() + within;
     while !gw.grant_account.is_empty() && Instant::now() < deadline {
         gw.grants_wanted.notify_one();
@@ -39,7 +39,7 @@
 }
 
 async fn exchange_batch(gw: &Gateway) {
-    let Some(batch) = gw.grant_account.batch(gw.lifecycle.now()) else {
+    let Some(batch) = gw.grant_account.next_batch(gw.lifecycle.now()) else {
         return;
     };
     let command = Command::GrantBatch(batch);
@@ -54,12 +54,12 @@
                     "refused" => format!("{:?}", answer.refused)
                 );
             }
-            if let Err(e) = gw.grant_account.answered(gw.lifecycle.now(), &answer) {
+            if let Err(e) = gw.grant_account.apply_answer(gw.lifecycle.now(), &answer) {
                 event!(gw.log, events::GATEWAY_SETTLEMENT_REFUSED, "error" => e.to_string());
             }
         }
         Ok(Answer::Denied(denial)) => {
-            if gw.grant_account.denied(gw.lifecycle.now(), &denial) {
+            if gw.grant_account.apply_denial(gw.lifecycle.now(), &denial) {
                 event!(gw.log, events::GATEWAY_FENCED, "why" => denial.to_string());
             }
         }
--- a/crates/anvil_gateway/src/ledger_updates.rs
+++ b/crates/anvil_gateway/src/ledger_updates.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use anvil_wire::msg::{Interest, LedgerReply};
+use anvil_wire::msg::{FollowScope, LedgerReply};
 use anvil_world::prelude::*;
 use anvilreel::event;
 use anvilreel::held::Held;
@@ -51,9 +51,12 @@
     revision: &mut Revision,
     connected: &mut bool,
 ) -> bool {
-    let opening = gw
-        .ledger
-        .follow(replica, gw.cfg.id.clone(), Interest::Router, cached.version);
+    let opening = gw.ledger.follow(
+        replica,
+        gw.cfg.id.clone(),
+        FollowScope::Router,
+        cached.version,
+    );
     let Ok(Ok(mut replies)) = timeout(OPEN_TIMEOUT, opening).await else {
         return false;
     };
@@ -98,7 +101,7 @@
         return;
     }
     *revision = entry.revision;
-    match (gw.cfg.dialect.table)(&entry.text) {
+    match (gw.cfg.dialect.parse_table)(&entry.text) {
         Ok(table) => {
             let version = table.version;
             gw.table.store(Some(Arc::new(table)));
--- a/crates/anvil_gateway/src/list_cache.rs
+++ b/crates/anvil_gateway/src/list_cache.rs
@@ -4,13 +4,13 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime};
 
-use anvil_wire::msg::{ListAsk, ListNews, ListReply, ListVersion, Listed};
+use anvil_wire::msg::{ListDigest, ListReply, ListRequest, ListUpdate, ListedEndpoint};
 use anvil_world::prelude::*;
 use tokio::sync::watch;
 use xxhash_rust::xxh3::Xxh3;
 
 /// Endpoints by id.
-type Entries = BTreeMap<InstanceId, Listed>;
+type Entries = BTreeMap<InstanceId, ListedEndpoint>;
 
 /// Earlier lists that are kept to send only the changes to siblings. A sibling with an older list
 /// receives the complete one.
@@ -56,7 +56,7 @@
 /// One version of the list.
 #[derive(Debug, Clone)]
 pub struct ListSnapshot {
-    version: ListVersion,
+    version: ListDigest,
     entries: Arc<Entries>,
     /// When its reading began, or earlier.
     as_of: Moment,
@@ -72,7 +72,7 @@
     }
 
     /// All endpoints.
-    pub fn endpoints(&self) -> impl Iterator<Item = &Listed> {
+    pub fn endpoints(&self) -> impl Iterator<Item = &ListedEndpoint> {
         self.entries.values()
     }
 
@@ -110,13 +110,13 @@
     }
 
     /// Version of the newest list; 0 if there is none.
-    pub fn version(&self) -> ListVersion {
+    pub fn version(&self) -> ListDigest {
         let newest = self.newest.borrow();
         newest.as_ref().map_or(0, |snapshot| snapshot.version)
     }
 
     /// Stores a list whose reading from the platform began at `started`.
-    pub fn store_reading(&self, started: Moment, listed: Vec<Listed>) {
+    pub fn store_reading(&self, started: Moment, listed: Vec<ListedEndpoint>) {
         let mut entries = Entries::new();
         for listed in listed {
             let is_leaving = listed.leaving;
@@ -156,7 +156,7 @@
     }
 
     /// Waits until the cached list satisfies the request or its time is over, then replies.
-    pub async fn answer_when_fresh(&self, request: &ListAsk, max_age: Duration) -> ListReply {
+    pub async fn answer_when_fresh(&self, request: &ListRequest, max_age: Duration) -> ListReply {
         let asked_at = Moment::now();
         let is_fresh = |snapshot: &ListSnapshot| {
             snapshot.as_of.monotonic + request.read_within >= asked_at.monotonic
@@ -173,26 +173,26 @@
         }
     }
 
-    fn changes_since(&self, known_version: ListVersion) -> ListNews {
+    fn changes_since(&self, known_version: ListDigest) -> ListUpdate {
         let Some(newest) = self.newest() else {
-            return ListNews::Nothing;
+            return ListUpdate::Nothing;
         };
         if newest.version == known_version {
-            return ListNews::Same;
+            return ListUpdate::Same;
         }
         let earlier = self.earlier();
         let base = earlier
             .iter()
             .find(|snapshot| snapshot.version == known_version);
         let Some(base) = base else {
-            return ListNews::Whole {
+            return ListUpdate::Whole {
                 version: newest.version,
                 listed: newest.endpoints().cloned().collect(),
             };
         };
-        let is_new = |listed: &&Listed| base.entries.get(&listed.id) != Some(*listed);
+        let is_new = |listed: &&ListedEndpoint| base.entries.get(&listed.id) != Some(*listed);
         let is_gone = |id: &&InstanceId| !newest.entries.contains_key(*id);
-        ListNews::Changes {
+        ListUpdate::Changes {
             version: newest.version,
             listed: newest.endpoints().filter(is_new).cloned().collect(),
             gone: base.entries.keys().filter(is_gone).cloned().collect(),
@@ -207,18 +207,18 @@
 
 /// The list that results from a reply; `None` if it does not match the version the reply names.
 fn apply_news(
-    update: ListNews,
+    update: ListUpdate,
     cached: Option<ListSnapshot>,
     as_of: Moment,
 ) -> Option<ListSnapshot> {
     let (version, entries) = match update {
-        ListNews::Nothing => return None,
-        ListNews::Same => return Some(ListSnapshot { as_of, ..cached? }),
-        ListNews::Whole { version, listed } => {
+        ListUpdate::Nothing => return None,
+        ListUpdate::Same => return Some(ListSnapshot { as_of, ..cached? }),
+        ListUpdate::Whole { version, listed } => {
             let by_id = listed.into_iter().map(|listed| (listed.id.clone(), listed));
             (version, by_id.collect())
         }
-        ListNews::Changes {
+        ListUpdate::Changes {
             version,
             listed,
             gone,
@@ -233,7 +233,7 @@
 }
 
 /// Equal for equal lists on all gateways; never 0.
-fn digest(entries: &Entries) -> ListVersion {
+fn digest(entries: &Entries) -> ListDigest {
     let mut hasher = Xxh3::new();
     for listed in entries.values() {
         for text in [&listed.id, &listed.service, &listed.zone] {
--- a/crates/anvil_gateway/src/list_reader.rs
+++ b/crates/anvil_gateway/src/list_reader.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use anvil_wire::msg::Listed;
+use anvil_wire::msg::ListedEndpoint;
 use bytes::Bytes;
 use http::Request;
 use http_body_util::{BodyExt, Full, Limited};
@@ -55,7 +55,7 @@
     pub async fn read_list(
         &mut self,
         source: &ListSource,
-    ) -> Result<(Vec<Listed>, u32), ListError> {
+    ) -> Result<(Vec<ListedEndpoint>, u32), ListError> {
         let listed = self.read_pages(source).await;
         if listed.is_err() {
             self.sender = None;
@@ -63,16 +63,19 @@
         listed
     }
 
-    async fn read_pages(&mut self, source: &ListSource) -> Result<(Vec<Listed>, u32), ListError> {
+    async fn read_pages(
+        &mut self,
+        source: &ListSource,
+    ) -> Result<(Vec<ListedEndpoint>, u32), ListError> {
         let mut listed = Vec::new();
         let mut unreadable = 0;
-        let mut path = source.path.clone();
+        let mut path = source.first_page_path.clone();
         for _ in 0..MAX_PAGES {
             let reading = timeout(PAGE_TIMEOUT, self.read_page(source, &path)).await;
             let page = reading.unwrap_or(Err(ListError::Timeout))?;
             listed.extend(page.listed);
             unreadable += page.unreadable;
-            match page.next {
+            match page.next_path {
                 Some(next) => path = next,
                 None => return Ok((listed, unreadable)),
             }
@@ -102,7 +105,7 @@
             let status = status.as_u16();
             return StatusSnafu { status }.fail();
         }
-        (source.page)(&body).map_err(failed)
+        (source.parse_page)(&body).map_err(failed)
     }
 }
 
--- a/crates/anvil_gateway/src/metrics.rs
+++ b/crates/anvil_gateway/src/metrics.rs
@@ -104,7 +104,7 @@
 
 impl Gateway {
     /// Updates the gauges.
-    pub fn measure(&self) {
+    pub fn update_gauges(&self) {
         let now = self.now_ms();
         let (available, on_cooldown) = self.directory.count_available(self.lifecycle.now());
         let (limited, limit_used) = self.measure_limits();
--- a/crates/anvil_gateway/src/reply.rs
+++ b/crates/anvil_gateway/src/reply.rs
@@ -148,7 +148,7 @@
 }
 
 /// A body that is available as a whole.
-pub fn whole(bytes: Bytes) -> ReplyBody {
+pub fn full_body(bytes: Bytes) -> ReplyBody {
     Full::new(bytes).map_err(never).boxed_unsync()
 }
 
@@ -163,7 +163,7 @@
 }
 
 /// Headers that apply to a single connection.
-pub const ONE_CONNECTION: [HeaderName; 8] = [
+pub const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     http::header::CONNECTION,
     HeaderName::from_static("keep-alive"),
     http::header::PROXY_AUTHENTICATE,
@@ -176,7 +176,7 @@
 
 /// Removes headers that apply only to the connection to the endpoint.
 pub fn remove_connection_headers(headers: &mut HeaderMap) {
-    for name in ONE_CONNECTION {
+    for name in HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
     headers.remove(http::header::CONTENT_LENGTH);
--- a/crates/anvil_gateway/src/request_charge.rs
+++ b/crates/anvil_gateway/src/request_charge.rs
@@ -3,12 +3,12 @@
 use std::sync::Arc;
 
 use anvil_world::prelude::*;
-use anvilreel::money::{Purse, Reservation};
+use anvilreel::money::{GrantAccount, Reservation};
 
 /// Tokens reserved for one request. Dropping it settles what was used, however the request ended:
 /// answered, failed, or abandoned by its client.
 pub struct RequestCharge {
-    grant_account: Arc<Purse>,
+    grant_account: Arc<GrantAccount>,
     reservation: Option<Reservation>,
     prompt: Tokens,
     output: Tokens,
@@ -17,7 +17,7 @@
 
 impl RequestCharge {
     /// Starts with a reservation that covers the prompt and the maximum output.
-    pub fn new(grant_account: Arc<Purse>, reservation: Reservation, prompt: Tokens) -> Self {
+    pub fn new(grant_account: Arc<GrantAccount>, reservation: Reservation, prompt: Tokens) -> Self {
         Self {
             grant_account,
             reservation: Some(reservation),
--- a/crates/anvil_gateway/src/serve.rs
+++ b/crates/anvil_gateway/src/serve.rs
@@ -18,7 +18,7 @@
 use crate::admit::handle_request;
 use crate::gateway::Gateway;
 use crate::log_events as events;
-use crate::reply::{Reply, set_connection_close, whole};
+use crate::reply::{Reply, full_body, set_connection_close};
 use anvilreel::event;
 
 /// Idle timeout of a client's connection until a routing table sets one.
@@ -60,7 +60,7 @@
     drop(listener);
     // Fails only if no connection is left.
     let _ = stop_tx.send(true);
-    let end = stopped_at + gw.cfg.grace.saturating_sub(STOP_MARGIN);
+    let end = stopped_at + gw.cfg.grace_period.saturating_sub(STOP_MARGIN);
     while let Ok(Some(_)) = timeout_at(end, connections.join_next()).await {}
 }
 
@@ -71,7 +71,7 @@
     let table = gw.table.load();
     let idle_timeout = table
         .as_ref()
-        .map_or(DEFAULT_IDLE_TIMEOUT, |table| table.limits.idle_time);
+        .map_or(DEFAULT_IDLE_TIMEOUT, |table| table.limits.idle_timeout);
     drop(table);
     let service = service_fn(|req: Request<Incoming>| {
         let gw = gw.clone();
@@ -132,7 +132,7 @@
             StatusCode::SERVICE_UNAVAILABLE
         };
         async move {
-            let mut reply = Response::new(whole(bytes::Bytes::new()));
+            let mut reply = Response::new(full_body(bytes::Bytes::new()));
             *reply.status_mut() = status;
             Ok::<Reply, Infallible>(reply)
         }
--- a/crates/anvil_gateway/src/siblings.rs
+++ b/crates/anvil_gateway/src/siblings.rs
@@ -6,8 +6,8 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use anvil_policy::list_turn::in_order;
-use anvil_wire::msg::{ListAsk, ListCall, ListReply};
+use anvil_policy::list_turn::reader_order;
+use anvil_wire::msg::{ListCall, ListReply, ListRequest};
 use anvil_wire::{Channel, Handlers, Server, WireError};
 use anvil_world::prelude::*;
 use anvilreel::peers::Peers;
@@ -62,7 +62,7 @@
         let mut skipped = self.skipped();
         skipped.retain(|_, until| now < *until);
         let addrs = self.addrs.load();
-        in_order(addrs.keys().cloned(), |id| skipped.contains_key(id))
+        reader_order(addrs.keys().cloned(), |id| skipped.contains_key(id))
     }
 
     /// The channel to a sibling.
@@ -84,12 +84,12 @@
 
 /// Listens for siblings.
 pub async fn listen(gw: &Gateway) -> Result<Server, WireError> {
-    Server::bind(gw.cfg.siblings_bind.unwrap_or(gw.cfg.siblings)).await
+    Server::bind(gw.cfg.siblings_bind.unwrap_or(gw.cfg.siblings_addr)).await
 }
 
 /// Serves siblings for as long as the process runs.
 pub async fn serve_siblings(gw: Arc<Gateway>, server: Server) {
-    let handlers = Handlers::default().with::<ListCall, _, _>(move |request: ListAsk, tx| {
+    let handlers = Handlers::default().with::<ListCall, _, _>(move |request: ListRequest, tx| {
         let gw = gw.clone();
         async move {
             let reply = reply_to(&gw, &request).await;
@@ -100,11 +100,11 @@
     server.serve(handlers, std::future::pending()).await;
 }
 
-async fn reply_to(gw: &Gateway, request: &ListAsk) -> ListReply {
+async fn reply_to(gw: &Gateway, request: &ListRequest) -> ListReply {
     if request.read_within.is_zero() {
         gw.list_read_requested.notify_one();
     }
     gw.list_cache
-        .answer_when_fresh(request, gw.cfg.list_within)
+        .answer_when_fresh(request, gw.cfg.max_list_age)
         .await
 }
--- a/crates/anvil_gateway/src/stream_relay.rs
+++ b/crates/anvil_gateway/src/stream_relay.rs
@@ -18,7 +18,7 @@
 
 use crate::attempt::EndpointResponse;
 use crate::connection_watch::ConnectionWatch;
-use crate::dialect::AnswerHead;
+use crate::dialect::ResponseHead;
 use crate::endpoint::EndpointSlot;
 use crate::exchange::Exchange;
 use crate::metrics;
@@ -36,7 +36,7 @@
     splitter: EventSplitter,
     sender: SendRequest<http_body_util::Full<Bytes>>,
     watch: Arc<ConnectionWatch>,
-    head: AnswerHead,
+    head: ResponseHead,
     slot: EndpointSlot,
     /// What is reported should the endpoint crash now.
     progress: CrashedRun,
@@ -66,7 +66,7 @@
     pub async fn start_response(exchange: Exchange, response: EndpointResponse) -> Reply {
         let mut parts = response.parts.clone();
         remove_connection_headers(&mut parts.headers);
-        let last_delivered = exchange.request.after;
+        let last_delivered = exchange.request.resume_after;
         let mut relay = Self {
             exchange,
             source: Some(StreamSource::from(response)),
@@ -184,11 +184,12 @@
     /// endpoint may resume the stream.
     fn stall_deadline(&self) -> Instant {
         let deadline = self.exchange.deadline;
-        if !self.exchange.route.repeat.may_resume_elsewhere() || !self.exchange.has_attempts_left()
+        if !self.exchange.route.retry_mode.may_resume_elsewhere()
+            || !self.exchange.has_attempts_left()
         {
             return deadline;
         }
-        let gap = self.exchange.route.gap;
+        let gap = self.exchange.route.max_gap;
         let stall_time = gap.map_or(DEFAULT_STALL_TIME, |gap| gap.mul_f64(STALL_GAPS));
         deadline.min(Instant::now() + stall_time)
     }
@@ -213,7 +214,7 @@
         } else {
             Cause::ResponseLost
         };
-        if !self.exchange.route.repeat.may_resume_elsewhere() {
+        if !self.exchange.route.retry_mode.may_resume_elsewhere() {
             return Err(cause);
         }
         self.exchange.may_retry(cause).map_err(|(cause, _)| cause)?;
--- a/crates/anvil_gateway/src/suspects.rs
+++ b/crates/anvil_gateway/src/suspects.rs
@@ -11,7 +11,7 @@
 
 use anvil_world::command::{ClearSuspects, ReportCrash};
 use anvil_world::prelude::*;
-use anvil_world::suspect::{CrashedRun, QUARANTINED_FROM};
+use anvil_world::suspect::{CrashedRun, QUARANTINE_MIN_WEIGHT};
 use anvilreel::event;
 use arc_swap::ArcSwap;
 use tokio::sync::Notify;
@@ -36,7 +36,7 @@
 /// A suspect request as the ledger reports it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct LedgerSuspect {
-    suspect: Suspect,
+    suspect: SuspectRequest,
     /// When the ledger first reported it to this gateway.
     learned_at: Now,
 }
@@ -138,12 +138,13 @@
         }
         let now = SystemTime::now();
         let suspect = reported.map(|reported| reported.suspect.clone());
-        let mut suspect = suspect.unwrap_or_else(|| Suspect::new(now));
+        let mut suspect = suspect.unwrap_or_else(|| SuspectRequest::new(now));
         for (endpoint, run) in pending.into_iter().flatten() {
-            suspect.crashed(&endpoint, run, now);
+            suspect.record_crash(&endpoint, run, now);
         }
-        let time_left = suspect.quarantined_for(now);
-        let reported = reported.filter(|reported| reported.suspect.weight() >= QUARANTINED_FROM);
+        let time_left = suspect.quarantine_remaining(now);
+        let reported =
+            reported.filter(|reported| reported.suspect.weight() >= QUARANTINE_MIN_WEIGHT);
         (!time_left.is_zero()).then(|| Quarantine {
             time_left,
             endpoints: endpoints_of(&suspect),
@@ -205,20 +206,20 @@
     }
 }
 
-fn endpoints_of(suspect: &Suspect) -> Vec<InstanceId> {
+fn endpoints_of(suspect: &SuspectRequest) -> Vec<InstanceId> {
     let crashes = suspect.crashes.iter();
     crashes.map(|crash| crash.endpoint.clone()).collect()
 }
 
-fn is_quarantined(suspect: &Suspect, now: SystemTime) -> bool {
-    !suspect.quarantined_for(now).is_zero()
+fn is_quarantined(suspect: &SuspectRequest, now: SystemTime) -> bool {
+    !suspect.quarantine_remaining(now).is_zero()
 }
 
 impl Gateway {
     /// Applies the suspects reported by the ledger. A request that an endpoint answered here
     /// shortly before is cleared: when a zone loses power, equal requests from many clients were in
     /// flight at several endpoints.
-    pub fn apply_ledger_suspects(&self, reported: &BTreeMap<RequestDigest, Suspect>) {
+    pub fn apply_ledger_suspects(&self, reported: &BTreeMap<RequestDigest, SuspectRequest>) {
         let previous = self.suspects.from_ledger.load_full();
         let known = previous
             .iter()
--- a/crates/anvil_gateway/src/table.rs
+++ b/crates/anvil_gateway/src/table.rs
@@ -9,31 +9,31 @@
 
 /// How often a request on a route may run, and whether its response is a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryMode {
     /// May run any number of times.
     Idempotent,
     /// May run at most once.
-    Once,
+    AtMostOnce,
     /// A stream of events; may run at most once.
-    StreamOnce,
+    StreamAtMostOnce,
     /// A stream of events that another endpoint may resume after the last delivered event.
-    StreamResumed,
+    ResumableStream,
 }
 
-impl Repeat {
+impl RetryMode {
     /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
-        matches!(self, Self::StreamOnce | Self::StreamResumed)
+        matches!(self, Self::StreamAtMostOnce | Self::ResumableStream)
     }
 
     /// Whether another endpoint may resume the stream after the last delivered event.
     pub fn may_resume_elsewhere(self) -> bool {
-        self == Self::StreamResumed
+        self == Self::ResumableStream
     }
 
     /// Whether a request that may have run may be run again.
     pub fn may_run_again(self) -> bool {
-        matches!(self, Self::Idempotent | Self::StreamResumed)
+        matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 }
 
@@ -47,19 +47,19 @@
     /// Path prefix that it matches; begins and ends with a slash.
     pub prefix: Arc<str>,
     /// How often a request may run.
-    pub repeat: Repeat,
+    pub retry_mode: RetryMode,
     /// Upper bound of a request's timeout.
     pub timeout: Duration,
     /// Target time to the complete response, or to the first event of a stream.
-    pub target: Duration,
+    pub target_latency: Duration,
     /// Target for the longest gap between two events; `None` if there is none.
-    pub gap: Option<Duration>,
+    pub max_gap: Option<Duration>,
     /// Priority class; 0 is the most urgent.
-    pub class: u8,
+    pub priority_class: u8,
     /// Services that serve the route, with their weights.
     pub services: Vec<(ServiceId, u32)>,
     /// Maximum number of endpoints that receive one request.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether requests need no bearer key.
     pub public: bool,
 }
@@ -70,7 +70,7 @@
     /// Name.
     pub id: ServiceId,
     /// Connections that one endpoint accepts from all callers together.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Set only for a pool of model engines.
     pub engine: Option<Engine>,
 }
@@ -79,9 +79,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Engine {
     /// Requests that an engine runs concurrently.
-    pub batch: u32,
+    pub concurrent_requests: u32,
     /// Tokens that fit into an engine's memory.
-    pub memory: Tokens,
+    pub memory_tokens: Tokens,
     /// Maximum output tokens in one event.
     pub tokens_per_event: Tokens,
     /// Bytes of memory per token; 0 if unknown.
@@ -96,7 +96,7 @@
     /// Name; its budget has the same name.
     pub id: OrganisationId,
     /// Priority class that overrides the route's.
-    pub class: Option<u8>,
+    pub priority_class: Option<u8>,
     /// Whether it has a prepaid budget.
     pub prepaid: bool,
 }
@@ -109,9 +109,9 @@
     /// Maximum bytes of a request body.
     pub body_bytes: usize,
     /// Maximum time to receive a request head.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Maximum time that a connection may be idle.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// A complete, immutable routing table; an update replaces it as a whole.
--- a/crates/anvil_gateway/tests/direct/charging.rs
+++ b/crates/anvil_gateway/tests/direct/charging.rs
@@ -15,7 +15,7 @@
 fn add_grant(gateway: &TestGateway, id: GrantId, amount: Tokens) {
     let grant_account = &gateway.gw.grant_account;
     let batch = grant_account
-        .batch(gateway.gw.lifecycle.now())
+        .next_batch(gateway.gw.lifecycle.now())
         .expect("a batch");
     let grant = Grant {
         id,
@@ -33,7 +33,7 @@
         ..GrantBatchAnswer::default()
     };
     grant_account
-        .answered(gateway.gw.lifecycle.now(), &answer)
+        .apply_answer(gateway.gw.lifecycle.now(), &answer)
         .expect("a grant");
 }
 
@@ -81,7 +81,7 @@
         (1..=4).contains(&served),
         "{served} served out of 500 tokens"
     );
-    let view = gateway.gw.grant_account.view("co-op");
+    let view = gateway.gw.grant_account.budget_status("co-op");
     assert_eq!(view.free + view.reserved, 500 - served * 109);
 }
 
@@ -99,7 +99,7 @@
     }
     drop(client);
     tokio::time::sleep(Duration::from_millis(400)).await;
-    let view = gateway.gw.grant_account.view("co-op");
+    let view = gateway.gw.grant_account.budget_status("co-op");
     assert_eq!((view.free, view.reserved), (500, 0));
 }
 
@@ -122,7 +122,7 @@
     while !client.read_some().await.contains("piece 1") {}
     drop(client);
     tokio::time::sleep(Duration::from_millis(400)).await;
-    let view = gateway.gw.grant_account.view("co-op");
+    let view = gateway.gw.grant_account.budget_status("co-op");
     assert_eq!((view.free, view.reserved), (500 - 103, 0));
 }
 
@@ -139,7 +139,7 @@
         client.request("/stream/x", "id", &headers).await.status,
         503
     );
-    let view = gateway.gw.grant_account.view("co-op");
+    let view = gateway.gw.grant_account.budget_status("co-op");
     assert_eq!((view.free, view.reserved), (500, 0));
 }
 
@@ -180,7 +180,7 @@
     gateway
         .gw
         .grant_account
-        .batch(gateway.gw.lifecycle.now() + Duration::from_secs(1));
+        .next_batch(gateway.gw.lifecycle.now() + Duration::from_secs(1));
     let batch_sent_at = gateway.gw.lifecycle.now();
     tokio::time::sleep(Duration::from_millis(600)).await;
     let first = retry_after("early").await;
--- a/crates/anvil_gateway/tests/direct/crashing.rs
+++ b/crates/anvil_gateway/tests/direct/crashing.rs
@@ -279,7 +279,7 @@
     gateway: &TestGateway,
     path: &str,
     key: Option<&str>,
-) -> BTreeMap<RequestDigest, Suspect> {
+) -> BTreeMap<RequestDigest, SuspectRequest> {
     let table = gateway.gw.table.load_full().expect("a table");
     let route = table.route("shop", path).expect("a route").clone();
     let organisation = key.and_then(|key| table.organisation(key).cloned());
@@ -292,9 +292,9 @@
         &uri,
         &body,
     );
-    let mut suspect = Suspect::new(SystemTime::now());
+    let mut suspect = SuspectRequest::new(SystemTime::now());
     for endpoint in ["x", "y", "z"] {
-        suspect.crashed(&endpoint.into(), CrashedRun::BeforeOutput, suspect.since);
+        suspect.record_crash(&endpoint.into(), CrashedRun::BeforeOutput, suspect.since);
     }
     BTreeMap::from([(content, suspect)])
 }
--- a/crates/anvil_gateway/tests/direct/dialect.rs
+++ b/crates/anvil_gateway/tests/direct/dialect.rs
@@ -3,49 +3,50 @@
 use std::time::Duration;
 
 use anvil_gateway::dialect::{
-    AnnouncedLimit, AnswerHead, Ask, BadAsk, BadTable, Dialect, Load, ModelWork, Onward, PromptPart,
+    AnnouncedLimit, Dialect, ForwardedHead, InvalidTable, ModelWork, PromptPart, ReportedLoad,
+    RequestHead, RequestHeadError, ResponseHead,
 };
 use anvil_gateway::table::RouteTable;
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode, request};
 
 /// The dialect of the tests.
 pub const DIALECT: Dialect = Dialect {
-    ask,
-    onward,
-    answer,
-    table,
+    parse_request: ask,
+    forward_headers: onward,
+    parse_response: answer,
+    parse_table: table,
 };
 
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn ask(head: &request::Parts) -> Result<Ask, BadAsk> {
+fn ask(head: &request::Parts) -> Result<RequestHead, RequestHeadError> {
     let headers = &head.headers;
-    let id = text(headers, "x-id").ok_or(BadAsk { what: "the id" })?;
+    let id = text(headers, "x-id").ok_or(RequestHeadError { what: "the id" })?;
     let timeout_ms = text(headers, "x-wait").and_then(|ms| ms.parse().ok());
     let work = text(headers, "x-tokens").and_then(|tokens| {
         let (prompt, most_output) = tokens.split_once(',')?;
         let prompt = prompt.parse().ok()?;
         Some(ModelWork {
             prompt,
-            most_output: most_output.parse().ok()?,
+            max_output: most_output.parse().ok()?,
             parts: vec![PromptPart {
                 id: 1,
                 tokens: prompt,
             }],
         })
     });
-    Ok(Ask {
+    Ok(RequestHead {
         id: id.into(),
-        patience: Duration::from_millis(timeout_ms.unwrap_or(3_000)),
-        key: text(headers, "x-key").map(Into::into),
-        work,
-        after: text(headers, "x-after").and_then(|id| id.parse().ok()),
+        timeout: Duration::from_millis(timeout_ms.unwrap_or(3_000)),
+        bearer_key: text(headers, "x-key").map(Into::into),
+        model_work: work,
+        resume_after: text(headers, "x-after").and_then(|id| id.parse().ok()),
     })
 }
 
-fn onward(client: &HeaderMap, onward: &Onward<'_>) -> HeaderMap {
+fn onward(client: &HeaderMap, onward: &ForwardedHead<'_>) -> HeaderMap {
     let mut headers = client.clone();
     for name in ["connection", "content-length", "x-key"] {
         headers.remove(name);
@@ -55,31 +56,31 @@
         headers.insert(HeaderName::from_static(name), value);
     };
     set("x-endpoint", onward.endpoint.into());
-    set("x-wait", onward.left.as_millis().to_string());
+    set("x-wait", onward.time_left.as_millis().to_string());
     if let Some(organisation) = onward.organisation {
         set("x-organisation", organisation.into());
     }
-    if let Some(after) = onward.after {
+    if let Some(after) = onward.resume_after {
         set("x-after", after.to_string());
     }
     headers
 }
 
-fn answer(status: StatusCode, headers: &HeaderMap) -> AnswerHead {
-    AnswerHead {
+fn answer(status: StatusCode, headers: &HeaderMap) -> ResponseHead {
+    ResponseHead {
         id: text(headers, "x-id").map(Into::into),
         not_run: headers.contains_key("x-not-run") || status == StatusCode::MISDIRECTED_REQUEST,
-        sealed: headers.contains_key("x-seal"),
+        signed: headers.contains_key("x-seal"),
         load: text(headers, "x-load").and_then(|load| {
             let mut numbers = load.split(',').map(|n| n.parse().ok());
-            Some(Load {
+            Some(ReportedLoad {
                 running: numbers.next()??,
-                waiting: numbers.next()??,
+                queued: numbers.next()??,
                 slots: numbers.next()??,
             })
         }),
-        keeps: None,
-        encoded: headers.contains_key("content-encoding"),
+        idle_timeout: None,
+        unexpected_encoding: headers.contains_key("content-encoding"),
         limit: match text(headers, "x-limit").map(str::parse) {
             None => AnnouncedLimit::None,
             Some(Ok(limit)) => AnnouncedLimit::Rate(limit),
@@ -88,6 +89,6 @@
     }
 }
 
-fn table(_: &str) -> Result<RouteTable, BadTable> {
+fn table(_: &str) -> Result<RouteTable, InvalidTable> {
     unreachable!("tests set the table directly")
 }
--- a/crates/anvil_gateway/tests/direct/gateway.rs
+++ b/crates/anvil_gateway/tests/direct/gateway.rs
@@ -6,10 +6,10 @@
 
 use anvil_gateway::dialect::{ListPage, ListSource};
 use anvil_gateway::table::{
-    Engine, Limits, Organisation, Repeat, Route, RouteTable, Service, TableParts,
+    Engine, Limits, Organisation, RetryMode, Route, RouteTable, Service, TableParts,
 };
 use anvil_gateway::{Gateway, GatewaySettings, discovery, serve};
-use anvil_wire::msg::Listed;
+use anvil_wire::msg::ListedEndpoint;
 use anvil_world::prelude::*;
 use anvilreel::metrics::Metrics;
 use bytes::Bytes;
@@ -38,20 +38,20 @@
         name: name.into(),
         host: "shop".into(),
         prefix: format!("/{name}/").into(),
-        repeat,
+        retry_mode: repeat,
         timeout: Duration::from_secs(3),
-        target: Duration::from_millis(150),
-        gap: Some(Duration::from_millis(100)),
-        class: 1,
+        target_latency: Duration::from_millis(150),
+        max_gap: Some(Duration::from_millis(100)),
+        priority_class: 1,
         services: vec![(SERVICE.into(), 1)],
-        attempts: 2,
+        max_attempts: 2,
         public: true,
     };
     vec![
-        route("idempotent", Repeat::Idempotent),
-        route("once", Repeat::Once),
-        route("stream", Repeat::StreamOnce),
-        route("resumed", Repeat::StreamResumed),
+        route("idempotent", RetryMode::Idempotent),
+        route("once", RetryMode::AtMostOnce),
+        route("stream", RetryMode::StreamAtMostOnce),
+        route("resumed", RetryMode::ResumableStream),
     ]
 }
 
@@ -59,15 +59,15 @@
 pub fn table(version: RoutingVersion, routes: Vec<Route>) -> RouteTable {
     let organisation = Organisation {
         id: "co-op".into(),
-        class: None,
+        priority_class: None,
         prepaid: true,
     };
     let service = Service {
         id: SERVICE.into(),
-        connections: 100,
+        max_connections: 100,
         engine: Some(Engine {
-            batch: 8,
-            memory: 100_000,
+            concurrent_requests: 8,
+            memory_tokens: 100_000,
             tokens_per_event: 3,
             bytes_per_token: 1e4,
             link_mbps: 1e5,
@@ -81,15 +81,15 @@
         limits: Limits {
             head_bytes: 16_384,
             body_bytes: 10_000,
-            head_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         },
     })
 }
 
 /// An endpoint as the platform would list it.
-pub fn listed(id: &str, addr: SocketAddr) -> Listed {
-    Listed {
+pub fn listed(id: &str, addr: SocketAddr) -> ListedEndpoint {
+    ListedEndpoint {
         id: id.into(),
         service: SERVICE.into(),
         addr,
@@ -110,19 +110,19 @@
         ledger: Vec::new(),
         list: ListSource {
             addr: nowhere,
-            path: "/".into(),
-            lag: Duration::from_millis(300),
+            first_page_path: "/".into(),
+            max_lag: Duration::from_millis(300),
             calls_per_second: 50.0,
-            page: |_: &Bytes| Ok(ListPage::default()),
+            parse_page: |_: &Bytes| Ok(ListPage::default()),
         },
         dialect: DIALECT,
-        grace: Duration::from_secs(4),
-        retry_part: 0.2,
+        grace_period: Duration::from_secs(4),
+        retry_fraction: 0.2,
         retry_slack: 200.0,
         retry_window: Duration::from_secs(10),
-        siblings: nowhere,
+        siblings_addr: nowhere,
         siblings_bind: None,
-        list_within: Duration::from_secs(1),
+        max_list_age: Duration::from_secs(1),
     }
 }
 
@@ -161,7 +161,7 @@
     pub async fn start_reading_list(list: ListSource, list_within: Duration) -> Self {
         let cfg = GatewaySettings {
             list,
-            list_within,
+            max_list_age: list_within,
             ..settings()
         };
         let log = Logger::root(Discard, o!());
--- a/crates/anvil_gateway/tests/direct/missing_endpoints.rs
+++ b/crates/anvil_gateway/tests/direct/missing_endpoints.rs
@@ -36,7 +36,7 @@
     gateway.gw.directory.apply_list(&list);
     let mut routes = routes();
     for route in &mut routes {
-        route.attempts = 1;
+        route.max_attempts = 1;
     }
     gateway.gw.table.store(Some(Arc::new(table(2, routes))));
     gateway
@@ -141,10 +141,10 @@
     .await;
     let source = ListSource {
         addr: list.addr,
-        path: "/".into(),
-        lag: Duration::from_millis(300),
+        first_page_path: "/".into(),
+        max_lag: Duration::from_millis(300),
         calls_per_second: 50.0,
-        page,
+        parse_page: page,
     };
     let gateway = TestGateway::start_reading_list(source, Duration::from_mins(10)).await;
     while gateway.gw.directory.is_empty() {
--- a/crates/anvil_gateway/tests/direct/processes.rs
+++ b/crates/anvil_gateway/tests/direct/processes.rs
@@ -41,10 +41,10 @@
     .await;
     ListSource {
         addr: list.addr,
-        path: "/".into(),
-        lag: Duration::from_millis(300),
+        first_page_path: "/".into(),
+        max_lag: Duration::from_millis(300),
         calls_per_second: 50.0,
-        page,
+        parse_page: page,
     }
 }
 
@@ -163,11 +163,11 @@
             id: format!("gateway-{number}").into(),
             listen: self.client_addr(number),
             ready_listen: (self.ip(number), 18_220).into(),
-            siblings: (self.ip(number), 17_342).into(),
+            siblings_addr: (self.ip(number), 17_342).into(),
             ledger: vec![self.ledger_addr()],
             list: self.list.clone(),
             dialect: Dialect {
-                table: |_| Ok(table(1, routes())),
+                parse_table: |_| Ok(table(1, routes())),
                 ..DIALECT
             },
             ..settings()
--- a/crates/anvil_gateway/tests/direct/siblings.rs
+++ b/crates/anvil_gateway/tests/direct/siblings.rs
@@ -61,10 +61,10 @@
         .await;
         let source = ListSource {
             addr: list.addr,
-            path: "/".into(),
-            lag: Duration::from_millis(100),
+            first_page_path: "/".into(),
+            max_lag: Duration::from_millis(100),
             calls_per_second: 50.0,
-            page,
+            parse_page: page,
         };
         Self {
             source,
@@ -116,9 +116,9 @@
         let cfg = GatewaySettings {
             id: format!("gateway-{number}").into(),
             listen: addr,
-            siblings: addr,
+            siblings_addr: addr,
             list: platform_list.source.clone(),
-            list_within: max_age,
+            max_list_age: max_age,
             ..settings()
         };
         let log = Logger::root(Discard, o!());
--- a/crates/anvil_gateway/tests/list_cache.rs
+++ b/crates/anvil_gateway/tests/list_cache.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use anvil_gateway::list_cache::{ListCache, Moment};
-use anvil_wire::msg::{ListAsk, ListNews, ListReply, Listed};
+use anvil_wire::msg::{ListReply, ListRequest, ListUpdate, ListedEndpoint};
 
 const MAX_AGE: Duration = Duration::from_secs(1);
 
-fn listed(id: &str, leaving: bool) -> Listed {
-    Listed {
+fn listed(id: &str, leaving: bool) -> ListedEndpoint {
+    ListedEndpoint {
         id: id.into(),
         service: "desk".into(),
         addr: ([127, 0, 0, 1], 80).into(),
@@ -18,8 +18,8 @@
     }
 }
 
-fn request(have: u64, read_within: Duration) -> ListAsk {
-    ListAsk {
+fn request(have: u64, read_within: Duration) -> ListRequest {
+    ListRequest {
         have,
         read_within,
         wait: Duration::from_millis(50),
@@ -27,7 +27,7 @@
 }
 
 /// The cache of a gateway that has just read this list.
-fn cache_with(listed: Vec<Listed>) -> ListCache {
+fn cache_with(listed: Vec<ListedEndpoint>) -> ListCache {
     let cache = ListCache::default();
     cache.store_reading(Moment::now(), listed);
     cache
@@ -53,13 +53,13 @@
     reader.store_reading(Moment::now(), vec![listed("b", true), listed("c", false)]);
     let received = reply(&reader, requester.version()).await;
     assert!(
-        matches!(&received.news, ListNews::Changes { listed, gone, .. } if listed.len() == 2 && gone.len() == 1)
+        matches!(&received.news, ListUpdate::Changes { listed, gone, .. } if listed.len() == 2 && gone.len() == 1)
     );
     assert!(requester.apply_reply(Moment::now(), received));
     assert_eq!(endpoints(&requester), endpoints(&reader));
     assert_eq!(requester.version(), reader.version());
     let same = reply(&reader, requester.version()).await;
-    assert_eq!(same.news, ListNews::Same);
+    assert_eq!(same.news, ListUpdate::Same);
 }
 
 /// Guards against an outdated list, held by a suspended sibling, being accepted as a newer one.
@@ -103,7 +103,7 @@
         reader.store_reading(Moment::now(), vec![listed(&format!("e-{number}"), false)]);
     }
     let received = reply(&reader, requester.version()).await;
-    assert!(matches!(received.news, ListNews::Whole { .. }));
+    assert!(matches!(received.news, ListUpdate::Whole { .. }));
     assert!(requester.apply_reply(Moment::now(), received));
     assert_eq!(endpoints(&requester), endpoints(&reader));
 }
@@ -117,7 +117,7 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
         reader.store_reading(Moment::now(), vec![listed("after", false)]);
     });
-    assert!(matches!(received.news, ListNews::Changes { .. }));
+    assert!(matches!(received.news, ListUpdate::Changes { .. }));
 }
 
 /// Guards against a duplicate entry that hides that an endpoint is leaving.
--- a/crates/anvil_gateway/tests/request_digest.rs
+++ b/crates/anvil_gateway/tests/request_digest.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anvil_gateway::request_digest::digest;
-use anvil_gateway::table::{Organisation, Repeat, Route};
+use anvil_gateway::table::{Organisation, RetryMode, Route};
 use anvil_world::prelude::*;
 use bytes::Bytes;
 use http::Method;
@@ -18,20 +18,20 @@
 ) -> RequestDigest {
     let organisation = Organisation {
         id: organisation.into(),
-        class: None,
+        priority_class: None,
         prepaid: true,
     };
     let route = Route {
         name: "route".into(),
         host: host.into(),
         prefix: "/".into(),
-        repeat: Repeat::Once,
+        retry_mode: RetryMode::AtMostOnce,
         timeout: Duration::from_secs(1),
-        target: Duration::from_secs(1),
-        gap: None,
-        class: 1,
+        target_latency: Duration::from_secs(1),
+        max_gap: None,
+        priority_class: 1,
         services: Vec::new(),
-        attempts: 1,
+        max_attempts: 1,
         public: false,
     };
     let uri = path.parse().expect("a path");
--- a/crates/anvil_ledger/src/core/election.rs
+++ b/crates/anvil_ledger/src/core/election.rs
@@ -71,7 +71,7 @@
         }
         let complete = last >= self.log.last();
         let granted = if trial {
-            term > self.hard.term && complete && !self.in_touch()
+            term > self.hard.term && complete && !self.is_connected()
         } else {
             let free = self.hard.vote.is_none_or(|vote| vote == from);
             term == self.hard.term && complete && free
--- a/crates/anvil_ledger/src/core/event.rs
+++ b/crates/anvil_ledger/src/core/event.rs
@@ -128,7 +128,7 @@
         voters: usize,
     },
     /// This replica is about to hand over leadership: an entry has waited too long for a majority.
-    Yields {
+    SlowCommit {
         /// Position of the entry.
         index: LogIndex,
         /// How long it has waited.
--- a/crates/anvil_ledger/src/core/leader.rs
+++ b/crates/anvil_ledger/src/core/leader.rs
@@ -72,19 +72,19 @@
             // A leader that is cut off would go on accepting proposals and reads that are never
             // confirmed. It steps down within one election timeout, and waiting callers learn that
             // their outcome is in doubt.
-            let (heard, voters) = self.voters_heard();
+            let (heard, voters) = self.responsive_voters();
             self.out.push(Action::MajorityLost { heard, voters });
             self.step_down();
             return;
         }
         if let Some((index, waited)) = self.slow_commit() {
-            self.out.push(Action::Yields { index, waited });
+            self.out.push(Action::SlowCommit { index, waited });
             self.hand_over_leadership();
             return;
         }
         self.advance_membership();
         let now = self.now;
-        let heartbeat = self.cfg.heartbeat;
+        let heartbeat = self.cfg.heartbeat_interval;
         let Some(lead) = self.leadership() else {
             return;
         };
@@ -104,7 +104,7 @@
     /// links.
     fn slow_commit(&mut self) -> Option<(LogIndex, Duration)> {
         let (now, committed, last) = (self.now, self.committed, self.log.last().index);
-        let limit = self.cfg.slow_commit?;
+        let limit = self.cfg.slow_commit_limit?;
         let may_hand_over = self.may_hand_over() && self.others_have_majority();
         let lead = self.leadership()?;
         let waited = lead.commit_wait.map(|(_, since)| now.saturating_sub(since));
@@ -152,7 +152,7 @@
     /// changing the leader does not help.
     fn hand_over_leadership(&mut self) {
         self.step_down();
-        self.election_deadline = self.now + PAUSE_ELECTION_TIMEOUTS * self.cfg.election;
+        self.election_deadline = self.now + PAUSE_ELECTION_TIMEOUTS * self.cfg.election_timeout;
         self.candidacy_paused_until = Some(self.election_deadline);
     }
 
@@ -169,7 +169,7 @@
     ///
     /// If an instance is replaced by one at another address and never comes back, its replica would
     /// go on counting for the majority, and the next loss would stop the ledger.
-    pub fn lost_voter(&self, timeout: Duration, min_voters: usize) -> Option<&InstanceId> {
+    pub fn unresponsive_voter(&self, timeout: Duration, min_voters: usize) -> Option<&InstanceId> {
         let membership = self.membership();
         if membership.voters.len() <= min_voters {
             return None;
@@ -190,14 +190,14 @@
         let Role::Leader(lead) = &self.role else {
             return false;
         };
-        let limit = self.cfg.election;
+        let limit = self.cfg.election_timeout;
         let progress = lead.progress.get(&id);
         id == self.id || progress.is_some_and(|p| self.now < p.last_response + limit)
     }
 
     /// How many voters have responded to this leader within the election timeout, itself among
     /// them, and how many voters there are. The first number is 0 on a replica that does not lead.
-    pub fn voters_heard(&self) -> (usize, usize) {
+    pub fn responsive_voters(&self) -> (usize, usize) {
         let voters = &self.membership().voters;
         let heard = voters
             .keys()
@@ -207,7 +207,10 @@
     }
 
     /// Learners that have not responded to this leader for `timeout`.
-    pub fn silent_learners(&self, timeout: Duration) -> impl Iterator<Item = (ReplicaId, &Site)> {
+    pub fn unresponsive_learners(
+        &self,
+        timeout: Duration,
+    ) -> impl Iterator<Item = (ReplicaId, &Site)> {
         let learners = self.membership().learners.iter();
         let unresponsive = learners.filter(move |(id, _)| self.is_unresponsive(**id, timeout));
         unresponsive.map(|(id, site)| (*id, site))
--- a/crates/anvil_ledger/src/core/membership_change.rs
+++ b/crates/anvil_ledger/src/core/membership_change.rs
@@ -104,7 +104,7 @@
         let Role::Leader(lead) = &self.role else {
             return false;
         };
-        let limit: Duration = self.cfg.election;
+        let limit: Duration = self.cfg.election_timeout;
         let close = |progress: &Progress| {
             let recent = self.now < progress.last_response + limit;
             recent && progress.matched > 0 && progress.matched + MAX_LEARNER_LAG >= self.committed
--- a/crates/anvil_ledger/src/core/replica.rs
+++ b/crates/anvil_ledger/src/core/replica.rs
@@ -21,26 +21,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CoreSettings {
     /// Interval of a leader's heartbeats.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Election timeout. A follower waits between once and twice this long for a heartbeat, at
     /// random, so that two rarely become candidates at the same time. A leader that has not heard
     /// from a majority for this long steps down.
-    pub election: Duration,
+    pub election_timeout: Duration,
     /// A leader whose entries wait this long for a majority hands over leadership; `None` disables
     /// that.
-    pub slow_commit: Option<Duration>,
+    pub slow_commit_limit: Option<Duration>,
     /// Entries kept before a snapshot, so that a follower that lags a little needs no snapshot.
-    pub trailing: LogIndex,
+    pub trailing_entries: LogIndex,
 }
 
 impl Default for CoreSettings {
     /// Zones are about a millisecond apart; the margin is for a busy machine.
     fn default() -> Self {
         Self {
-            heartbeat: Duration::from_millis(100),
-            election: Duration::from_millis(600),
-            slow_commit: None,
-            trailing: 4_096,
+            heartbeat_interval: Duration::from_millis(100),
+            election_timeout: Duration::from_millis(600),
+            slow_commit_limit: None,
+            trailing_entries: 4_096,
         }
     }
 }
@@ -154,7 +154,7 @@
             leader_since: None,
             previous_leader_since: None,
             last_leader_contact: None,
-            fast_election_until: now + STARTUP_ELECTION_TIMEOUTS * cfg.election,
+            fast_election_until: now + STARTUP_ELECTION_TIMEOUTS * cfg.election_timeout,
             election_deadline: now,
             verified: 0,
             newest_round: 0,
@@ -280,7 +280,7 @@
     }
 
     /// Whether this replica leads, or has heard from the leader within the election timeout.
-    pub fn in_touch(&self) -> bool {
+    pub fn is_connected(&self) -> bool {
         self.leads() || self.has_recent_leader_contact()
     }
 
@@ -289,8 +289,8 @@
     /// A leader that is cut off may add a new disk; that entry never commits, the next leader does
     /// not know it, and the replica would wait for ever. So it asks again whenever it hears from no
     /// leader, until it votes.
-    pub fn seeks_ledger(&self) -> bool {
-        !self.is_voter() && !self.in_touch()
+    pub fn needs_to_join(&self) -> bool {
+        !self.is_voter() && !self.is_connected()
     }
 
     /// Newest position known to be committed.
@@ -335,7 +335,7 @@
     }
 
     pub(super) fn has_recent_leader_contact(&self) -> bool {
-        let limit = self.cfg.election;
+        let limit = self.cfg.election_timeout;
         self.last_leader_contact
             .is_some_and(|contact| self.now < contact + limit)
     }
@@ -350,9 +350,9 @@
     pub(super) fn wait_for_leader(&mut self) {
         let factor = self.rng.random_range(1.0..2.0);
         let timeout = if self.now < self.fast_election_until {
-            2 * self.cfg.heartbeat
+            2 * self.cfg.heartbeat_interval
         } else {
-            self.cfg.election
+            self.cfg.election_timeout
         };
         self.election_deadline = self.now + timeout.mul_f64(factor);
     }
--- a/crates/anvil_ledger/src/core/snapshot.rs
+++ b/crates/anvil_ledger/src/core/snapshot.rs
@@ -19,7 +19,7 @@
         }
         let index = meta.last.index;
         self.snapshot = Some(meta);
-        let upto = index.saturating_sub(self.cfg.trailing);
+        let upto = index.saturating_sub(self.cfg.trailing_entries);
         if upto > self.log.base().index {
             self.log.compact(upto);
             self.out.push(Action::Compact(upto));
--- a/crates/anvil_ledger/src/lib.rs
+++ b/crates/anvil_ledger/src/lib.rs
@@ -23,14 +23,14 @@
 //! * [`storage`]: log and snapshots in one data folder.
 //! * [`state`]: the state machine of committed commands: settings tree, budgets, claims, fences,
 //!   members, audit trail.
-//! * [`machine`]: the state together with the lost incarnations of sidecars ([`lives`]), the
+//! * [`machine`]: the state together with the lost incarnations of sidecars ([`lost_incarnations`]), the
 //!   [`suspects`] and the [`limits`]; all of it is in a snapshot.
 //! * [`inspect`]: reads a data folder offline.
 
 pub mod core;
 pub mod inspect;
 pub mod limits;
-pub mod lives;
+pub mod lost_incarnations;
 pub mod machine;
 pub mod state;
 pub mod storage;
--- a/crates/anvil_ledger/src/machine.rs
+++ b/crates/anvil_ledger/src/machine.rs
@@ -13,8 +13,8 @@
 
 use crate::core::{Entry, Payload};
 use crate::limits::Limits;
-use crate::lives::LostIncarnations;
-use crate::state::{InvariantError, State, Touched};
+use crate::lost_incarnations::LostIncarnations;
+use crate::state::{ChangedItem, InvariantError, State};
 use crate::suspects::Suspects;
 
 /// An error after which the state machine can't continue. The replica stops.
@@ -47,7 +47,7 @@
     pub state: State,
     /// Lost incarnations of sidecars.
     #[serde(rename = "lives")]
-    pub lives: LostIncarnations,
+    pub lost_incarnations: LostIncarnations,
     /// Requests during which endpoints crashed.
     pub suspects: Suspects,
     /// Limits that endpoints announced.
@@ -58,11 +58,11 @@
     /// Decodes a snapshot.
     pub fn restore(data: &[u8]) -> Result<Self, MachineError> {
         let decoded = bincode::serde::decode_from_slice(data, standard());
-        let ((state, lives), read) = decoded.context(DecodeSnafu)?;
+        let ((state, lost_incarnations), read) = decoded.context(DecodeSnafu)?;
         let mut rest = data.get(read..).unwrap_or_default();
         Ok(Self {
             state,
-            lives,
+            lost_incarnations,
             suspects: next_part(&mut rest)?,
             limits: next_part(&mut rest)?,
         })
@@ -82,7 +82,7 @@
         };
         let before = self.affected_member(&command);
         let answer = self.state.apply(entry.id.index, entry.id.term, &command);
-        self.state.holds().context(InvariantSnafu)?;
+        self.state.invariants_held().context(InvariantSnafu)?;
         self.track_incarnations(&command, before.as_ref(), &answer);
         self.apply_router_reports(entry.id.index, &command);
         Ok(answer)
@@ -107,8 +107,8 @@
             Command::ReportLimit(report) => self.limits.report(report),
             _ => BTreeSet::new(),
         };
-        let suspects = suspects.into_iter().map(Touched::Suspect);
-        let limits = limits.into_iter().map(Touched::Limit);
+        let suspects = suspects.into_iter().map(ChangedItem::Suspect);
+        let limits = limits.into_iter().map(ChangedItem::Limit);
         for touched in suspects.chain(limits) {
             self.state.record_change(index, touched);
         }
@@ -117,15 +117,15 @@
     fn track_incarnations(&mut self, command: &Command, before: Option<&Member>, answer: &Answer) {
         match (command, answer) {
             (_, Answer::Denied(_)) => {}
-            (Command::Join(join), _) => self.lives.joined(before, &join.instance),
+            (Command::Join(join), _) => self.lost_incarnations.joined(before, &join.instance),
             (Command::SetPresence(set), _) if set.presence == Presence::Gone => {
                 if let Some(member) = before.filter(|m| m.presence != Presence::Gone) {
-                    self.lives.gone(member);
+                    self.lost_incarnations.gone(member);
                 }
             }
             (_, Answer::Grants(grants)) => {
                 for grant in &grants.opened {
-                    self.lives.opened(grant.id);
+                    self.lost_incarnations.opened(grant.id);
                 }
             }
             _ => {}
--- a/crates/anvil_ledger/src/state.rs
+++ b/crates/anvil_ledger/src/state.rs
@@ -9,7 +9,7 @@
 //!
 //! let mut state = State::default();
 //! assert_eq!(state.apply(1, 1, &Command::Noop), Answer::Done);
-//! assert!(state.holds().is_ok());
+//! assert!(state.invariants_held().is_ok());
 //! ```
 
 mod audit;
@@ -35,8 +35,8 @@
 use members::Members;
 use money::Money;
 use receipts::Receipts;
+pub use recent_changes::ChangedItem;
 use recent_changes::RecentChanges;
-pub use recent_changes::Touched;
 use tree::Tree;
 
 /// The ledger's state after all commands applied so far.
@@ -90,7 +90,7 @@
 
     /// Records that something which followers copy, but is kept outside this state, changed at this
     /// index.
-    pub fn record_change(&mut self, index: LogIndex, touched: Touched) {
+    pub fn record_change(&mut self, index: LogIndex, touched: ChangedItem) {
         self.recent_changes.record_at(index, touched);
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// What changed after a version; `None` if that is too long ago to be known.
-    pub fn touched_since(&self, version: LogIndex) -> Option<BTreeSet<Touched>> {
+    pub fn changed_since(&self, version: LogIndex) -> Option<BTreeSet<ChangedItem>> {
         self.recent_changes.since(version)
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// The first invariant violation at any apply, if there was one. The replica then has to stop.
-    pub fn holds(&self) -> Result<(), InvariantError> {
+    pub fn invariants_held(&self) -> Result<(), InvariantError> {
         match &self.violated {
             None => Ok(()),
             Some(e) => Err(e.clone()),
@@ -174,7 +174,7 @@
 
     /// Checks every budget again: slow, for tests and for reading a data folder offline.
     pub fn check_all(&self) -> Result<(), InvariantError> {
-        self.holds()?;
+        self.invariants_held()?;
         self.money.check_all()
     }
 
--- a/crates/anvil_ledger/src/state/claims.rs
+++ b/crates/anvil_ledger/src/state/claims.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use anvil_world::command::{Claim, ClaimRecord, ClaimState, Denial, Noun, SettleClaim};
+use anvil_world::command::{Claim, ClaimRecord, ClaimState, Denial, EntityKind, SettleClaim};
 use anvil_world::document::FleetDocument;
 use anvil_world::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -54,7 +54,7 @@
     pub(super) fn settle(&mut self, settle: &SettleClaim) -> Result<Answer, Denial> {
         let Some((claim, state)) = self.by_key.get_mut(&settle.key) else {
             return Err(Denial::Unknown {
-                what: Noun::Claim,
+                what: EntityKind::Claim,
                 name: settle.key.id.to_string(),
             });
         };
--- a/crates/anvil_ledger/src/state/members.rs
+++ b/crates/anvil_ledger/src/state/members.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use anvil_world::command::{Denial, Drain, Noun, SetPresence};
+use anvil_world::command::{Denial, Drain, EntityKind, SetPresence};
 use anvil_world::prelude::*;
 use serde::{Deserialize, Serialize};
 
 use super::operator_change::{AppliedChange, OperatorChange};
-use super::{State, Touched};
+use super::{ChangedItem, State};
 
 /// Instances in their newest incarnation, and the newest fenced incarnation of each fenced router.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -126,7 +126,7 @@
         self.members.fenced.insert(router.clone(), upto);
         self.money.fence(router, upto);
         self.recent_changes
-            .record_at(index, Touched::Fence(router.clone()));
+            .record_at(index, ChangedItem::Fence(router.clone()));
     }
 
     /// Fences every incarnation of a router that is older than the present one.
@@ -146,13 +146,13 @@
 
     fn record_member_change(&mut self, index: LogIndex, id: &InstanceId) {
         self.recent_changes
-            .record_at(index, Touched::Member(id.clone()));
+            .record_at(index, ChangedItem::Member(id.clone()));
     }
 }
 
 fn unknown(id: &InstanceId) -> Denial {
     Denial::Unknown {
-        what: Noun::Instance,
+        what: EntityKind::Instance,
         name: id.to_string(),
     }
 }
--- a/crates/anvil_ledger/src/state/money.rs
+++ b/crates/anvil_ledger/src/state/money.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use anvil_world::command::{
-    Denial, GrantAsk, GrantBatch, GrantBatchAnswer, GrantRefusal, GrantReport, Noun,
+    Denial, EntityKind, GrantBatch, GrantBatchAnswer, GrantRefusal, GrantReport, GrantRequest,
 };
 use anvil_world::prelude::*;
 use serde::{Deserialize, Serialize};
@@ -106,7 +106,7 @@
             }
             if let Some(budget) = self.budgets.get_mut(&budget) {
                 // The grant was just found open, so marking it can't fail.
-                let _ = budget.mark(id, GrantState::Fenced);
+                let _ = budget.set_state(id, GrantState::Fenced);
             }
         }
     }
@@ -119,7 +119,7 @@
         let Some(budget) = self.budgets.get(id) else {
             return Ok(());
         };
-        if budget.holds() {
+        if budget.invariant_holds() {
             return Ok(());
         }
         Err(InvariantError::Budget {
@@ -139,7 +139,7 @@
         let budget = self.budget_of.get(&grant);
         let budget = budget.and_then(|id| self.budgets.get_mut(id));
         budget.ok_or_else(|| Denial::Unknown {
-            what: Noun::Grant,
+            what: EntityKind::Grant,
             name: grant.to_string(),
         })
     }
@@ -211,7 +211,7 @@
     fn apply_report(&mut self, report: &GrantReport) -> Option<GrantId> {
         let budget = self.budget_of_grant(report.grant).ok()?;
         budget.settle(report.grant, report.settled).ok()?;
-        budget.give_back(report.grant, report.returned).ok()?;
+        budget.return_tokens(report.grant, report.returned).ok()?;
         if !report.close {
             return None;
         }
@@ -221,7 +221,11 @@
     }
 
     /// Opens a grant for an ask, or refuses it and recalls unspent grants.
-    fn open_grant(&mut self, batch: &GrantBatch, ask: &GrantAsk) -> Result<Grant, GrantRefusal> {
+    fn open_grant(
+        &mut self,
+        batch: &GrantBatch,
+        ask: &GrantRequest,
+    ) -> Result<Grant, GrantRefusal> {
         let Some(budget) = self.budgets.get_mut(&ask.budget) else {
             return Err(GrantRefusal {
                 budget: ask.budget.clone(),
--- a/crates/anvil_ledger/src/state/money/apply.rs
+++ b/crates/anvil_ledger/src/state/money/apply.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use anvil_world::command::{Denial, GrantBatch, GrantBatchAnswer, Noun, TopUp, WriteOff};
+use anvil_world::command::{Denial, EntityKind, GrantBatch, GrantBatchAnswer, TopUp, WriteOff};
 use anvil_world::prelude::*;
 
 use super::LastBatch;
@@ -132,7 +132,7 @@
     fn credit(&mut self, id: &BudgetId, amount: Tokens) -> Result<AppliedChange, Denial> {
         let budget = self.money.budgets.get_mut(id);
         let budget = budget.ok_or_else(|| Denial::Unknown {
-            what: Noun::Budget,
+            what: EntityKind::Budget,
             name: id.to_string(),
         })?;
         let before = budget.credited;
--- a/crates/anvil_ledger/src/state/receipts.rs
+++ b/crates/anvil_ledger/src/state/receipts.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use anvil_world::command::{ChangeReceipt, Denial, change_made_at};
+use anvil_world::command::{ChangeReceipt, Denial, change_id_time};
 use anvil_world::prelude::*;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_128;
@@ -86,7 +86,7 @@
     }
 
     fn made_at(&self, id: &ChangeId) -> Result<SystemTime, Denial> {
-        let made = change_made_at(id).filter(|made| {
+        let made = change_id_time(id).filter(|made| {
             let oldest = self.clock.checked_sub(RETENTION).unwrap_or(UNIX_EPOCH);
             (oldest..=self.clock + MAX_CLOCK_LEAD).contains(made)
         });
--- a/crates/anvil_ledger/src/state/recent_changes.rs
+++ b/crates/anvil_ledger/src/state/recent_changes.rs
@@ -11,7 +11,7 @@
 
 /// Something that followers hold a copy of.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Touched {
+pub enum ChangedItem {
     /// A document.
     Document(TreePath),
     /// An instance.
@@ -29,11 +29,11 @@
 pub(super) struct RecentChanges {
     /// The newest version that is no longer recorded.
     forgotten: LogIndex,
-    recent: BTreeMap<LogIndex, BTreeSet<Touched>>,
+    recent: BTreeMap<LogIndex, BTreeSet<ChangedItem>>,
 }
 
 impl RecentChanges {
-    pub(super) fn record_at(&mut self, index: LogIndex, touched: Touched) {
+    pub(super) fn record_at(&mut self, index: LogIndex, touched: ChangedItem) {
         self.recent.entry(index).or_default().insert(touched);
         if self.recent.len() > MAX_RECORDED
             && let Some((oldest, _)) = self.recent.pop_first()
@@ -47,7 +47,7 @@
         newest.map_or(self.forgotten, |(index, _)| *index)
     }
 
-    pub(super) fn since(&self, version: LogIndex) -> Option<BTreeSet<Touched>> {
+    pub(super) fn since(&self, version: LogIndex) -> Option<BTreeSet<ChangedItem>> {
         if version < self.forgotten {
             return None;
         }
--- a/crates/anvil_ledger/src/state/routing.rs
+++ b/crates/anvil_ledger/src/state/routing.rs
@@ -7,7 +7,7 @@
 use anvil_world::command::{AuditEntry, ReplaceRouting, change_id};
 use anvil_world::prelude::*;
 
-use super::{State, Touched};
+use super::{ChangedItem, State};
 
 impl State {
     pub(super) fn replace_routing(&mut self, index: LogIndex, new: &ReplaceRouting) -> Answer {
@@ -20,7 +20,7 @@
             self.money.set_credited(budget, *credited);
         }
         self.recent_changes
-            .record_at(index, Touched::Document(TreePath::Routing));
+            .record_at(index, ChangedItem::Document(TreePath::Routing));
         self.audit.write(AuditEntry {
             at: new.at,
             operator: new.operator.clone(),
--- a/crates/anvil_ledger/src/state/tree.rs
+++ b/crates/anvil_ledger/src/state/tree.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use anvil_world::command::{Change, Denial, Edit, Noun, ReplaceRouting};
+use anvil_world::command::{Change, Denial, Edit, EntityKind, ReplaceRouting};
 use anvil_world::prelude::*;
 use anvil_world::settings::Problem;
 use serde::{Deserialize, Serialize};
 
 use super::operator_change::{AppliedChange, OperatorChange};
 use super::references::References;
-use super::{InvariantError, State, Touched};
+use super::{ChangedItem, InvariantError, State};
 
 /// Documents by path. Only a change of its own path changes a document's bytes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -88,7 +88,7 @@
         }
         let old_entry = self.entries.remove(path);
         old_entry.map(drop).ok_or_else(|| Denial::Unknown {
-            what: Noun::Path,
+            what: EntityKind::Path,
             name: path.to_string(),
         })
     }
@@ -124,7 +124,7 @@
         let before = self.tree.entries.get(&change.path).cloned();
         let after = self.edit(index, change)?;
         self.check_revision_rises(index, &change.path, before.as_ref());
-        let touched = Touched::Document(change.path.clone());
+        let touched = ChangedItem::Document(change.path.clone());
         self.recent_changes.record_at(index, touched);
         Ok(AppliedChange {
             subject: change.path.to_string(),
--- a/crates/anvil_ledger/src/storage.rs
+++ b/crates/anvil_ledger/src/storage.rs
@@ -14,12 +14,12 @@
 //! * [`disk`]: the operations that a folder offers, so that tests can make each one fail.
 //! * [`store`]: [`Storage`], which writes the log. [`writer`]: the thread that runs it.
 //! * [`frame`], [`segment`], [`snapshot`]: the file formats. [`recover`]: reading them back.
-//! * [`harm`]: fault injection for whole processes.
+//! * [`fault_injection`]: fault injection for whole processes.
 
 pub mod disk;
 mod error;
+pub mod fault_injection;
 pub mod frame;
-pub mod harm;
 pub mod recover;
 pub mod segment;
 pub mod snapshot;
--- a/crates/anvil_ledger/src/storage/harm.rs
+++ b/crates/anvil_ledger/src/storage/fault_injection.rs
@@ -13,7 +13,7 @@
 use super::disk::{Disk, Op};
 
 /// Wraps a disk so that its writes fail or wait as the command file says.
-pub fn obeying(disk: Disk, command_file: PathBuf) -> Disk {
+pub fn with_injected_faults(disk: Disk, command_file: PathBuf) -> Disk {
     Disk::new(move |op| {
         if is_write(op) {
             inject(&fs::read_to_string(&command_file).unwrap_or_default())?;
--- a/crates/anvil_ledger/src/storage/writer.rs
+++ b/crates/anvil_ledger/src/storage/writer.rs
@@ -11,7 +11,7 @@
 use super::{Storage, StorageError};
 use crate::core::{SnapshotMeta, Write, WriteSeq};
 
-/// Number of queued jobs above which [`Writer::give`] blocks. The core issues a few jobs for each
+/// Number of queued jobs above which [`Writer::submit`] blocks. The core issues a few jobs for each
 /// event, so a disk may hang for seconds before that. The channel allocates all its slots at the
 /// start, so each one holds only a pointer: 130 KB in all. A queue of 65,536 unboxed jobs took 8 of
 /// the 11 MB of a replica.
@@ -77,7 +77,7 @@
     }
 
     /// Queues a job; false if the thread has ended.
-    pub fn give(&self, job: Job) -> bool {
+    pub fn submit(&self, job: Job) -> bool {
         self.tx.send(Box::new(job)).is_ok()
     }
 }
--- a/crates/anvil_ledger/src/suspects.rs
+++ b/crates/anvil_ledger/src/suspects.rs
@@ -24,7 +24,7 @@
 pub struct Suspects {
     /// The latest time in any report so far. Leaders' clocks differ; this never falls.
     clock: SystemTime,
-    all: BTreeMap<RequestDigest, Suspect>,
+    all: BTreeMap<RequestDigest, SuspectRequest>,
 }
 
 impl Default for Suspects {
@@ -42,9 +42,9 @@
         self.clock = self.clock.max(report.at);
         let mut changed = self.expire();
         for (request, run) in &report.requests {
-            let new = || Suspect::new(self.clock);
+            let new = || SuspectRequest::new(self.clock);
             let suspect = self.all.entry(*request).or_insert_with(new);
-            if suspect.crashed(&report.endpoint, *run, self.clock) && is_announced(suspect) {
+            if suspect.record_crash(&report.endpoint, *run, self.clock) && is_announced(suspect) {
                 changed.insert(*request);
             }
         }
@@ -59,14 +59,14 @@
     }
 
     /// The record of a request, if it is announced to routers.
-    pub fn get(&self, request: RequestDigest) -> Option<&Suspect> {
+    pub fn get(&self, request: RequestDigest) -> Option<&SuspectRequest> {
         self.all
             .get(&request)
             .filter(|suspect| is_announced(suspect))
     }
 
     /// All records that are announced to routers.
-    pub fn told(&self) -> impl Iterator<Item = (RequestDigest, &Suspect)> {
+    pub fn announced(&self) -> impl Iterator<Item = (RequestDigest, &SuspectRequest)> {
         let all = self
             .all
             .iter()
@@ -76,7 +76,7 @@
 
     fn expire(&mut self) -> BTreeSet<RequestDigest> {
         let all = self.all.iter();
-        let over = all.filter(|(_, suspect)| suspect.is_over(self.clock));
+        let over = all.filter(|(_, suspect)| suspect.is_expired(self.clock));
         let over = over.map(|(request, _)| *request).collect();
         self.remove(over)
     }
@@ -86,7 +86,7 @@
         if self.all.len() <= MAX_SUSPECTS {
             return BTreeSet::new();
         }
-        let weight = |suspect: &Suspect| (suspect.weight(), suspect.since);
+        let weight = |suspect: &SuspectRequest| (suspect.weight(), suspect.since);
         let all = self.all.iter();
         let mut ranked: Vec<_> = all
             .map(|(request, suspect)| (weight(suspect), *request))
@@ -105,6 +105,6 @@
     }
 }
 
-fn is_announced(suspect: &Suspect) -> bool {
+fn is_announced(suspect: &SuspectRequest) -> bool {
     suspect.weight() >= MIN_ANNOUNCED_WEIGHT
 }
--- a/crates/anvil_ledger/tests/common/fixture.rs
+++ b/crates/anvil_ledger/tests/common/fixture.rs
@@ -6,7 +6,7 @@
 
 use anvil_ledger::state::State;
 use anvil_world::command::{
-    Change, Denial, Edit, GrantAsk, GrantBatch, GrantBatchAnswer, GrantReport, Join, TopUp,
+    Change, Denial, Edit, GrantBatch, GrantBatchAnswer, GrantReport, GrantRequest, Join, TopUp,
     change_id,
 };
 use anvil_world::prelude::*;
@@ -112,7 +112,7 @@
 }
 
 pub fn asking(mut batch: GrantBatch, budget: &str, wanted: Tokens, least: Tokens) -> GrantBatch {
-    batch.asks.push(GrantAsk {
+    batch.asks.push(GrantRequest {
         budget: budget.into(),
         wanted,
         least,
--- a/crates/anvil_ledger/tests/core_guards.rs
+++ b/crates/anvil_ledger/tests/core_guards.rs
@@ -419,7 +419,7 @@
 fn a_leader_with_a_stalled_commit_hands_over_leadership() {
     let slow_commit = Some(Duration::from_millis(450));
     let cfg = CoreSettings {
-        slow_commit,
+        slow_commit_limit: slow_commit,
         ..CoreSettings::default()
     };
     let mut driver = Driver::with(cfg);
@@ -436,16 +436,16 @@
     driver.advance_with_acks(300, 3);
     assert!(!driver.replica.leads());
     assert!(driver.actions.contains(&Action::Deposed));
-    let is_hand_over = |action: &Action| matches!(action, Action::Yields { index: 4, .. });
+    let is_hand_over = |action: &Action| matches!(action, Action::SlowCommit { index: 4, .. });
     assert!(driver.actions.iter().any(is_hand_over));
     driver.actions.clear();
-    driver.advance_time(2 * cfg.election);
+    driver.advance_time(2 * cfg.election_timeout);
     let requests_vote = |action: &Action| matches!(action, Action::Send(sent) if matches!(sent.message, Message::AskVote { .. }));
     assert!(
         !driver.actions.iter().any(requests_vote),
         "the other replicas become candidates first"
     );
-    driver.advance_time(2 * cfg.election);
+    driver.advance_time(2 * cfg.election_timeout);
     assert!(
         driver.actions.iter().any(requests_vote),
         "it becomes a candidate after the pause"
@@ -457,7 +457,7 @@
 #[test]
 fn a_leader_with_repeatedly_slow_commits_hands_over_leadership() {
     let cfg = CoreSettings {
-        slow_commit: Some(Duration::from_millis(450)),
+        slow_commit_limit: Some(Duration::from_millis(450)),
         ..CoreSettings::default()
     };
     let mut driver = Driver::with(cfg);
--- a/crates/anvil_ledger/tests/failures.rs
+++ b/crates/anvil_ledger/tests/failures.rs
@@ -269,9 +269,9 @@
     const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
     const MIN_MEAN_LEADERSHIP: Duration = Duration::from_secs(4);
     let short_timeouts = CoreSettings {
-        heartbeat: Duration::from_millis(70),
-        election: Duration::from_millis(350),
-        slow_commit: Some(Duration::from_millis(450)),
+        heartbeat_interval: Duration::from_millis(70),
+        election_timeout: Duration::from_millis(350),
+        slow_commit_limit: Some(Duration::from_millis(450)),
         ..fleet::core_settings()
     };
     for seed in 0..6 {
--- a/crates/anvil_ledger/tests/limits.rs
+++ b/crates/anvil_ledger/tests/limits.rs
@@ -6,7 +6,7 @@
 use anvil_ledger::core::{Entry, EntryId, Payload};
 use anvil_ledger::limits::Limits;
 use anvil_ledger::machine::{Machine, encode};
-use anvil_ledger::state::Touched;
+use anvil_ledger::state::ChangedItem;
 use anvil_world::command::ReportLimit;
 use anvil_world::prelude::*;
 
@@ -65,8 +65,8 @@
         payload: Payload::Data(encode(&command).expect("bytes")),
     };
     machine.apply(&entry).expect("applied");
-    let touched = BTreeSet::from([Touched::Limit("a".into())]);
-    assert_eq!(machine.state.touched_since(0), Some(touched));
+    let touched = BTreeSet::from([ChangedItem::Limit("a".into())]);
+    assert_eq!(machine.state.changed_since(0), Some(touched));
     let restored = Machine::restore(&machine.save().expect("bytes")).expect("a machine");
     assert_eq!(restored, machine);
 }
--- a/crates/anvil_ledger/tests/state_routing.rs
+++ b/crates/anvil_ledger/tests/state_routing.rs
@@ -5,7 +5,7 @@
 
 use anvil_ledger::state::State;
 use anvil_world::command::{
-    Change, Denial, Edit, GrantAsk, GrantBatch, GrantReport, ReplaceRouting, change_id,
+    Change, Denial, Edit, GrantBatch, GrantReport, GrantRequest, ReplaceRouting, change_id,
 };
 use anvil_world::prelude::*;
 
@@ -27,7 +27,7 @@
     fn apply(&mut self, command: &Command) -> Answer {
         self.index += 1;
         let answer = self.state.apply(self.index, 1, command);
-        assert_eq!(self.state.holds(), Ok(()));
+        assert_eq!(self.state.invariants_held(), Ok(()));
         answer
     }
 
@@ -43,7 +43,7 @@
 
     fn batch(&mut self, reports: Vec<GrantReport>, wanted: Tokens) -> Vec<Grant> {
         self.seq += 1;
-        let ask = GrantAsk {
+        let ask = GrantRequest {
             budget: "co-op".into(),
             wanted,
             least: wanted,
--- a/crates/anvil_ledger/tests/state_tree.rs
+++ b/crates/anvil_ledger/tests/state_tree.rs
@@ -3,7 +3,7 @@
 #[path = "common/fixture.rs"]
 mod fixture;
 
-use anvil_ledger::state::Touched;
+use anvil_ledger::state::ChangedItem;
 use anvil_world::command::{Claim, ClaimState, Denial, Edit, SetPresence, SettleClaim};
 use anvil_world::document::key_hash;
 use anvil_world::prelude::*;
@@ -106,15 +106,15 @@
     let version = f.state.version();
     f.join("s1", 1, Role::Sidecar);
     f.put("fleet", "");
-    let touched = f.state.touched_since(version).expect("recent");
+    let touched = f.state.changed_since(version).expect("recent");
     let expected = [
-        Touched::Document(TreePath::Fleet),
-        Touched::Member("s1".into()),
+        ChangedItem::Document(TreePath::Fleet),
+        ChangedItem::Member("s1".into()),
     ];
     assert_eq!(touched, expected.into());
     assert!(
         f.state
-            .touched_since(f.state.version())
+            .changed_since(f.state.version())
             .expect("recent")
             .is_empty()
     );
--- a/crates/anvil_ledger/tests/support/clients.rs
+++ b/crates/anvil_ledger/tests/support/clients.rs
@@ -5,7 +5,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use anvil_world::command::{
-    Change, Denial, Edit, FenceRouter, GrantAsk, GrantBatch, GrantReport, Join, TopUp, change_id,
+    Change, Denial, Edit, FenceRouter, GrantBatch, GrantReport, GrantRequest, Join, TopUp,
+    change_id,
 };
 use anvil_world::prelude::*;
 use rand::RngExt;
@@ -134,7 +135,7 @@
                 close: rng.random_bool(0.3),
             });
         }
-        let ask = GrantAsk {
+        let ask = GrantRequest {
             budget: budget(rng.random_range(0..BUDGETS)),
             wanted: rng.random_range(1..3_000),
             least: 1,
--- a/crates/anvil_ledger/tests/support/fleet.rs
+++ b/crates/anvil_ledger/tests/support/fleet.rs
@@ -104,8 +104,8 @@
 /// A short log, so that lagging followers need snapshots.
 pub fn core_settings() -> CoreSettings {
     CoreSettings {
-        slow_commit: Some(std::time::Duration::from_millis(700)),
-        trailing: 40,
+        slow_commit_limit: Some(std::time::Duration::from_millis(700)),
+        trailing_entries: 40,
         ..CoreSettings::default()
     }
 }
@@ -373,7 +373,7 @@
                 }
             }
             // `Deposed` follows.
-            Action::MajorityLost { .. } | Action::Yields { .. } => {}
+            Action::MajorityLost { .. } | Action::SlowCommit { .. } => {}
             Action::Fetch { from, .. } => self.fetch(number, from),
             Action::Compact(upto) => {
                 let Some(process) = self.process(number) else {
@@ -548,7 +548,7 @@
         let Some(process) = self.instances[number].process.as_ref() else {
             return;
         };
-        if !process.replica.seeks_ledger() {
+        if !process.replica.needs_to_join() {
             return;
         }
         let id = process.replica.id();
--- a/crates/anvil_ledger/tests/suspects.rs
+++ b/crates/anvil_ledger/tests/suspects.rs
@@ -4,13 +4,13 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use anvil_ledger::core::{Entry, EntryId, Payload};
-use anvil_ledger::lives::LostIncarnations;
+use anvil_ledger::lost_incarnations::LostIncarnations;
 use anvil_ledger::machine::{Machine, encode};
-use anvil_ledger::state::{State, Touched};
+use anvil_ledger::state::{ChangedItem, State};
 use anvil_ledger::suspects::Suspects;
 use anvil_world::command::{ClearSuspects, ReportCrash};
 use anvil_world::prelude::*;
-use anvil_world::suspect::{CrashedRun, QUARANTINED_FOR, REMEMBERED_FOR};
+use anvil_world::suspect::{CRASH_RETENTION, CrashedRun, QUARANTINE_TIME};
 use bincode::config::standard;
 
 const RUN: CrashedRun = CrashedRun::BeforeOutput;
@@ -30,7 +30,7 @@
 fn is_quarantined(suspects: &Suspects, request: RequestDigest, second: u64) -> bool {
     let left = suspects
         .get(request)
-        .map(|suspect| suspect.quarantined_for(at(second)));
+        .map(|suspect| suspect.quarantine_remaining(at(second)));
     left.is_some_and(|left| !left.is_zero())
 }
 
@@ -73,7 +73,7 @@
     };
     assert_eq!(suspects.clear(&clear), BTreeSet::from([1]));
     assert!(!is_quarantined(&suspects, 1, 9) && is_quarantined(&suspects, 2, 9));
-    let over = QUARANTINED_FOR.as_secs();
+    let over = QUARANTINE_TIME.as_secs();
     assert!(is_quarantined(&suspects, 2, over - 1));
     assert!(!is_quarantined(&suspects, 2, over));
 }
@@ -85,14 +85,14 @@
     for endpoint in ["a", "b", "c"] {
         suspects.report(&crash(endpoint, &[1], 0));
     }
-    let over = QUARANTINED_FOR.as_secs();
+    let over = QUARANTINE_TIME.as_secs();
     assert!(!is_quarantined(&suspects, 1, over));
     assert_eq!(
         suspects.report(&crash("d", &[1], over)),
         BTreeSet::from([1])
     );
     assert!(is_quarantined(&suspects, 1, over));
-    let expired = over + REMEMBERED_FOR.as_secs();
+    let expired = over + CRASH_RETENTION.as_secs();
     assert_eq!(
         suspects.report(&crash("e", &[1], expired)),
         BTreeSet::from([1])
@@ -148,8 +148,8 @@
         machine.apply(&entry(index, &command)).expect("applied");
     }
     assert_eq!(
-        machine.state.touched_since(2),
-        Some(BTreeSet::from([Touched::Suspect(7)]))
+        machine.state.changed_since(2),
+        Some(BTreeSet::from([ChangedItem::Suspect(7)]))
     );
     let restored = Machine::restore(&machine.save().expect("bytes")).expect("a machine");
     assert_eq!(restored, machine);
--- a/crates/anvil_policy/examples/decision_time.rs
+++ b/crates/anvil_policy/examples/decision_time.rs
@@ -69,7 +69,7 @@
             Vec::new()
         };
         let cached: Vec<_> = held.into_iter().map(|(id, n)| (id, n as Tokens)).collect();
-        let ask = Ask {
+        let ask = ChoiceRequest {
             prompt: 1_000,
             cached: &cached,
             avoid: &[],
@@ -88,7 +88,7 @@
         .collect();
     for hashes in &prompts {
         let at = rng.random_range(0..pool.endpoints().len());
-        index.sent(Duration::ZERO, &pool.endpoints()[at].id, hashes);
+        index.record_sent(Duration::ZERO, &pool.endpoints()[at].id, hashes);
     }
     (index, prompts)
 }
@@ -97,12 +97,12 @@
 /// queued.
 fn admission_time(organisations: u32, full: bool) -> Duration {
     let rule = AdmissionRule {
-        longest_wait: Duration::from_hours(1),
+        max_wait: Duration::from_hours(1),
         saturated_wait: Duration::from_hours(1),
         max_waiting: 1 << 20,
         ..AdmissionRule::default()
     };
-    let mut gate = Gate::new(rule).with_limit(1_000);
+    let mut gate = AdmissionGate::new(rule).with_limit(1_000);
     let names: Vec<OrganisationId> = (0..organisations)
         .map(|at| format!("organisation-{at}").into())
         .collect();
--- a/crates/anvil_policy/src/admission.rs
+++ b/crates/anvil_policy/src/admission.rs
@@ -7,7 +7,7 @@
 //! organisation fills the queue and all others are refused.
 //!
 //! *Mechanism:* queued work is measured in slot time, so the expected wait is the backlog divided
-//! by the number of slots ([`Gate::set_limit`]). A new request is refused at once when
+//! by the number of slots ([`AdmissionGate::set_limit`]). A new request is refused at once when
 //! * it can't finish before its deadline after waiting for its organisation's fair share, or
 //! * the backlog of its organisation exceeds the part of the whole that is still free. This is a
 //!   dynamic threshold: one organisation alone fills half, two fill a third each, and an
@@ -31,7 +31,7 @@
     /// Maximum wait that is accepted for interactive work. Batch work may wait as long as it can
     /// still finish before its deadline. Admitted work is not dropped after this time if capacity
     /// falls: it is dispatched first, and is dropped only when it can no longer meet its deadline.
-    pub longest_wait: Duration,
+    pub max_wait: Duration,
     /// A queue that has not been empty for this long indicates saturation rather than a burst.
     pub saturated_after: Duration,
     /// Maximum wait that is accepted during saturation. A longer queue serves no more requests:
@@ -48,7 +48,7 @@
 impl Default for AdmissionRule {
     fn default() -> Self {
         Self {
-            longest_wait: Duration::from_secs(30),
+            max_wait: Duration::from_secs(30),
             saturated_after: Duration::from_secs(30),
             saturated_wait: Duration::from_secs(5),
             wait_safety_factor: 1.33,
@@ -59,10 +59,10 @@
 
 /// Outcome of admission for one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict {
-    /// The request runs now. The caller reports its end with [`Gate::finished`].
-    Go,
-    /// The request is queued; [`Gate::next`] or [`Gate::expired`] returns it later.
+pub enum AdmissionDecision {
+    /// The request runs now. The caller reports its end with [`AdmissionGate::finished`].
+    Run,
+    /// The request is queued; [`AdmissionGate::next`] or [`AdmissionGate::expired`] returns it later.
     Wait(WaiterId),
     /// The request is refused now.
     Refuse(Refusal),
@@ -71,7 +71,7 @@
 /// Admission and queue of one pool in one router. All calls are short and are meant to be made
 /// under a lock.
 #[derive(Debug, Clone, Default)]
-pub struct Gate {
+pub struct AdmissionGate {
     rule: AdmissionRule,
     waiting: WaitQueue,
     running: u32,
@@ -79,7 +79,7 @@
     last_empty_at: Now,
 }
 
-impl Gate {
+impl AdmissionGate {
     /// Creates a gate with these bounds and no slots.
     pub fn new(rule: AdmissionRule) -> Self {
         Self {
@@ -95,7 +95,7 @@
     }
 
     /// Sets how many requests may run at a time: those that run now plus the pool's headroom
-    /// ([`crate::choice::Pool::room`]). To be called on a tick and after each load report.
+    /// ([`crate::choice::Pool::headroom`]). To be called on a tick and after each load report.
     pub fn set_limit(&mut self, limit: u32) {
         self.limit = limit;
     }
@@ -116,23 +116,23 @@
     }
 
     /// Admits, queues or refuses a new request.
-    pub fn offer(&mut self, now: Now, ticket: Ticket) -> Verdict {
+    pub fn offer(&mut self, now: Now, ticket: Ticket) -> AdmissionDecision {
         if self.waiting.is_empty() {
             self.last_empty_at = now;
         }
         if let Some(refusal) = self.refusal(now, &ticket) {
-            return Verdict::Refuse(refusal);
+            return AdmissionDecision::Refuse(refusal);
         }
         if self.waiting.is_empty() && self.running < self.limit {
             self.running += 1;
-            return Verdict::Go;
+            return AdmissionDecision::Run;
         }
         let start_by = ticket.deadline.saturating_sub(ticket.service);
-        Verdict::Wait(self.push(now, now, ticket, start_by))
+        AdmissionDecision::Wait(self.push(now, now, ticket, start_by))
     }
 
     /// Dispatches the next queued request, if a slot is free. To be called until it returns `None`,
-    /// after each [`Gate::finished`] and each [`Gate::set_limit`].
+    /// after each [`AdmissionGate::finished`] and each [`AdmissionGate::set_limit`].
     pub fn next(&mut self, now: Now) -> Option<Waiter> {
         if self.running >= self.limit {
             return None;
@@ -156,7 +156,7 @@
 
     /// Queues a request again that was dispatched but found every endpoint full. Its target start
     /// still counts from `waiter.arrived`, and it is dispatched first when little time is left.
-    pub fn put_back(&mut self, now: Now, waiter: &Waiter) -> WaiterId {
+    pub fn requeue(&mut self, now: Now, waiter: &Waiter) -> WaiterId {
         self.running = self.running.saturating_sub(1);
         self.push(now, waiter.arrived, waiter.ticket.clone(), waiter.start_by)
     }
@@ -239,9 +239,9 @@
     fn max_interactive_wait(&self, now: Now) -> Duration {
         let rule = &self.rule;
         if now.saturating_sub(self.last_empty_at) > rule.saturated_after {
-            return rule.saturated_wait.min(rule.longest_wait);
+            return rule.saturated_wait.min(rule.max_wait);
         }
-        rule.longest_wait
+        rule.max_wait
     }
 
     fn push(&mut self, now: Now, arrived: Now, ticket: Ticket, start_by: Now) -> WaiterId {
--- a/crates/anvil_policy/src/choice.rs
+++ b/crates/anvil_policy/src/choice.rs
@@ -68,7 +68,7 @@
     ///
     /// Runs that an endpoint has above its limit, because it holds their prefixes, are subtracted
     /// from the headroom of the others.
-    pub fn room(&self) -> u32 {
+    pub fn headroom(&self) -> u32 {
         let signed_headroom: i64 = self.endpoints.iter().map(|one| one.signed_headroom()).sum();
         let own = self.endpoints.iter().map(|one| one.guaranteed_headroom());
         let own = own.fold(0, u32::saturating_add);
@@ -85,14 +85,14 @@
     }
 
     /// Whether any endpoint accepts work at all.
-    pub fn serves(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         self.endpoints.iter().any(|endpoint| accepts_work(endpoint))
     }
 }
 
 /// Input of [`Chooser::choose`].
 #[derive(Debug, Clone, Default)]
-pub struct Ask<'a> {
+pub struct ChoiceRequest<'a> {
     /// Prompt tokens of the request; 0 for a plain call.
     pub prompt: Tokens,
     /// Endpoints that may hold a prefix of the prompt, with its length in tokens.
@@ -109,7 +109,7 @@
     /// Some endpoints accept work, but none has headroom now.
     Full,
     /// No endpoint accepts work.
-    Nowhere,
+    Unserved,
 }
 
 /// Parameters by which endpoints are compared.
@@ -147,7 +147,7 @@
     }
 
     /// Chooses an endpoint with headroom for one more run.
-    pub fn choose(&self, pool: &Pool, ask: &Ask<'_>, rng: &mut impl Rng) -> Choice {
+    pub fn choose(&self, pool: &Pool, ask: &ChoiceRequest<'_>, rng: &mut impl Rng) -> Choice {
         let mut best = Best::default();
         for (id, cached_tokens) in ask.cached {
             if let Some(endpoint) = pool.get(id) {
@@ -166,7 +166,7 @@
     fn sample<'a>(
         &self,
         pool: &'a Pool,
-        ask: &Ask<'_>,
+        ask: &ChoiceRequest<'_>,
         rng: &mut impl Rng,
     ) -> Vec<&'a Arc<EndpointState>> {
         let all = &pool.endpoints;
@@ -197,7 +197,7 @@
         pool: &'a Pool,
         best: &mut Best<'a>,
         endpoint: &'a Arc<EndpointState>,
-        ask: &Ask<'_>,
+        ask: &ChoiceRequest<'_>,
         cached_tokens: Tokens,
         rng: &mut impl Rng,
     ) {
@@ -227,7 +227,7 @@
 
     /// Expected time to the first token, in seconds.
     fn expected(&self, endpoint: &EndpointState, uncached: Tokens) -> f64 {
-        let fullness = f64::from(endpoint.pressure()) / f64::from(endpoint.limit().max(1));
+        let fullness = f64::from(endpoint.estimated_load()) / f64::from(endpoint.limit().max(1));
         let round_trip = 2.0
             * Link::between(&self.zone, &endpoint.zone)
                 .one_way
@@ -249,7 +249,7 @@
 /// lost zone the request would fail at one endpoint after the other until its attempts are used up.
 const FAILED_ZONE_PENALTY_S: f64 = 1.0;
 
-fn failed_in_zone(pool: &Pool, endpoint: &EndpointState, ask: &Ask<'_>) -> bool {
+fn failed_in_zone(pool: &Pool, endpoint: &EndpointState, ask: &ChoiceRequest<'_>) -> bool {
     let mut failed = ask.avoid.iter().filter_map(|id| pool.get(id));
     failed.any(|other| other.zone == endpoint.zone)
 }
@@ -266,10 +266,10 @@
 const MAX_SCANNED: usize = 256;
 
 /// Scans endpoints in order, from a random start.
-fn scan(pool: &Pool, ask: &Ask<'_>, rng: &mut impl Rng) -> Choice {
+fn scan(pool: &Pool, ask: &ChoiceRequest<'_>, rng: &mut impl Rng) -> Choice {
     let all = pool.endpoints.len();
     if all == 0 {
-        return Choice::Nowhere;
+        return Choice::Unserved;
     }
     let first = rng.random_range(0..all);
     let (before, after) = pool.endpoints.split_at(first);
@@ -289,7 +289,7 @@
     if any_serves {
         Choice::Full
     } else {
-        Choice::Nowhere
+        Choice::Unserved
     }
 }
 
--- a/crates/anvil_policy/src/copying.rs
+++ b/crates/anvil_policy/src/copying.rs
@@ -30,25 +30,29 @@
 
 /// Number of prompt tokens that one engine lacks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Lacking {
+pub struct MissingTokens {
     /// Counting as cached only what this router has sent there itself.
-    pub unsent: Tokens,
+    pub by_own_requests: Tokens,
     /// Counting also what the engine is assumed to hold as the home of the shared prefix, to which
     /// other routers send it.
-    pub believed: Tokens,
+    pub with_home: Tokens,
 }
 
 /// The engine from which the chosen one copies, with the number of tokens that it lacks itself.
 ///
 /// Prompts that this router has sent take precedence over what a home is assumed to hold: a new
 /// home holds nothing yet, and the engine that was the home before still holds everything.
-pub fn source<T: Copy>(chosen: Lacking, others: &[(T, Lacking)]) -> Option<(T, Tokens)> {
-    let best_source = |lacks: fn(&Lacking) -> Tokens| {
+pub fn source<T: Copy>(
+    chosen: MissingTokens,
+    others: &[(T, MissingTokens)],
+) -> Option<(T, Tokens)> {
+    let best_source = |lacks: fn(&MissingTokens) -> Tokens| {
         let (engine, fewest) = others.iter().min_by_key(|(_, other)| lacks(other))?;
         let worth = Copying::is_worthwhile(lacks(&chosen), lacks(fewest));
         worth.then(|| (*engine, lacks(fewest)))
     };
-    best_source(|lacking| lacking.unsent).or_else(|| best_source(|lacking| lacking.believed))
+    best_source(|lacking| lacking.by_own_requests)
+        .or_else(|| best_source(|lacking| lacking.with_home))
 }
 
 /// Speed at which the engines of one service copy from each other.
@@ -77,7 +81,7 @@
 
     /// Number of tokens whose prefill takes as long as getting `here` missing tokens ready, if all
     /// but `there` of them can be copied.
-    pub fn as_if_missing(&self, here: Tokens, there: Tokens, rule: &EngineRule) -> Tokens {
+    pub fn equivalent_missing(&self, here: Tokens, there: Tokens, rule: &EngineRule) -> Tokens {
         if !Self::is_worthwhile(here, there) {
             return here;
         }
--- a/crates/anvil_policy/src/crash.rs
+++ b/crates/anvil_policy/src/crash.rs
@@ -52,9 +52,9 @@
 
 /// What the caller has to do about a lost answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Lost {
+pub enum LostAnswerAction {
     /// Probe whether the endpoint still accepts connections.
-    Look,
+    Probe,
     /// Nothing; evidence may still come.
     Wait,
     /// Report the request: its endpoint is known to have crashed.
@@ -81,20 +81,20 @@
 impl CrashWatch {
     /// Records that the answer to a request was lost at an endpoint, and whether its run had
     /// produced output.
-    pub fn lost(
+    pub fn record_lost_answer(
         &mut self,
         now: Now,
         endpoint: &InstanceId,
         request: RequestDigest,
         run: CrashedRun,
-    ) -> Lost {
+    ) -> LostAnswerAction {
         self.prune(now);
         if self.answered_at.contains_key(&request) {
-            return Lost::Wait;
+            return LostAnswerAction::Wait;
         }
         let losses = self.losses(now, endpoint);
         if losses.has_crashed {
-            return Lost::Crashed;
+            return LostAnswerAction::Crashed;
         }
         losses.updated_at = now;
         let known = losses.requests.get(&request).copied();
@@ -103,15 +103,15 @@
             losses.requests.insert(request, run);
         }
         if losses.probed_at.is_some_and(|at| now < at + PROBE_INTERVAL) {
-            return Lost::Wait;
+            return LostAnswerAction::Wait;
         }
         losses.probed_at = Some(now);
-        Lost::Look
+        LostAnswerAction::Probe
     }
 
     /// Records that an endpoint has crashed. Returns the requests whose answers were lost there,
     /// each of them once.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         now: Now,
         endpoint: &InstanceId,
@@ -126,7 +126,7 @@
 
     /// Records that an endpoint answers: it is alive, even if an endpoint of the same name has
     /// crashed.
-    pub fn lives(&mut self, endpoint: &str) {
+    pub fn record_alive(&mut self, endpoint: &str) {
         if let Some(losses) = self.endpoints.get(endpoint)
             && losses.has_crashed
         {
@@ -135,13 +135,13 @@
     }
 
     /// Whether an endpoint has answered a request recently.
-    pub fn was_answered(&mut self, now: Now, request: RequestDigest) -> bool {
+    pub fn was_recently_answered(&mut self, now: Now, request: RequestDigest) -> bool {
         self.prune_answers(now);
         self.answered_at.contains_key(&request)
     }
 
     /// Records that an endpoint has answered a request.
-    pub fn answered(&mut self, now: Now, request: RequestDigest) {
+    pub fn record_answer(&mut self, now: Now, request: RequestDigest) {
         self.answered_at.insert(request, now);
         self.answer_order.push_back((now, request));
         self.prune_answers(now);
--- a/crates/anvil_policy/src/ejection.rs
+++ b/crates/anvil_policy/src/ejection.rs
@@ -38,7 +38,7 @@
     pub min_share: u32,
     /// Maximum part of the pool's total share that is taken away. When more than half looks bad,
     /// the cause is more likely this router or the requests.
-    pub most: f64,
+    pub max_ejected: f64,
     /// An endpoint without answers for this long is no longer considered slow or failing.
     pub forget_after: Duration,
 }
@@ -50,7 +50,7 @@
             slow_ratio: 0.6,
             error_ratio: 0.3,
             min_share: 20,
-            most: 0.5,
+            max_ejected: 0.5,
             forget_after: Duration::from_secs(10),
         }
     }
@@ -168,7 +168,7 @@
 fn cap_ejection(rule: &EjectionRule, all_stats: &mut [&mut AnswerStats]) {
     let whole = f64::from(FULL_SHARE);
     #[expect(clippy::cast_precision_loss, reason = "pools are small numbers")]
-    let mut remaining = all_stats.len() as f64 * whole * rule.most;
+    let mut remaining = all_stats.len() as f64 * whole * rule.max_ejected;
     let mut worst_first: Vec<usize> = (0..all_stats.len()).collect();
     worst_first.sort_by(|a, b| severity(all_stats[*b]).total_cmp(&severity(all_stats[*a])));
     for at in worst_first {
--- a/crates/anvil_policy/src/endpoint.rs
+++ b/crates/anvil_policy/src/endpoint.rs
@@ -6,7 +6,7 @@
 //! filled, and one that relies on its own count doesn't see the work of other routers.
 //!
 //! *Mechanism:* neither source is exact: the endpoint's last report lags, and this router's own
-//! count doesn't include other routers. [`EndpointState::pressure`] combines them. All fields that
+//! count doesn't include other routers. [`EndpointState::estimated_load`] combines them. All fields that
 //! change are atomics, so that a request reads them without a lock.
 
 use std::sync::atomic::{AtomicBool, AtomicI32, AtomicU32, Ordering};
@@ -124,7 +124,7 @@
 
     /// Estimated number of runs there, from all routers: the last report, corrected by what this
     /// router started and ended since, and at least the number of its own runs.
-    pub fn pressure(&self) -> u32 {
+    pub fn estimated_load(&self) -> u32 {
         let reported = self.reported.load(Ordering::Relaxed);
         let since = self.net_since_report.load(Ordering::Relaxed)
             + self.net_before_report.load(Ordering::Relaxed);
@@ -203,7 +203,7 @@
     pub fn signed_headroom(&self) -> i64 {
         let limit = i64::from(self.effective_limit());
         let max_excess = limit / i64::from(CACHED_PREFIX_DIVISOR);
-        (limit - i64::from(self.pressure())).max(-max_excess)
+        (limit - i64::from(self.estimated_load())).max(-max_excess)
     }
 
     /// Number of runs that this router may add whatever the report says.
@@ -214,7 +214,7 @@
     }
 
     fn headroom_within(&self, limit: u32) -> u32 {
-        limit.saturating_sub(self.pressure())
+        limit.saturating_sub(self.estimated_load())
     }
 
     /// The limit that applies now: zero if it accepts no work, and reduced in proportion to its
--- a/crates/anvil_policy/src/engine.rs
+++ b/crates/anvil_policy/src/engine.rs
@@ -33,7 +33,7 @@
     /// Time that a full batch adds, compared to an empty one.
     pub full_penalty: Duration,
     /// Network round trip to an engine in another availability zone.
-    pub other_zone: Duration,
+    pub other_zone_round_trip: Duration,
     /// Prompt parts that are remembered for one engine. The oldest are evicted.
     pub max_parts: usize,
     /// After this time an engine is no longer assumed to hold a part.
@@ -48,7 +48,7 @@
             prefill_tokens_per_ms: 31.0,
             queued_prompt_tokens: 2_500,
             full_penalty: Duration::from_millis(400),
-            other_zone: Duration::from_millis(2),
+            other_zone_round_trip: Duration::from_millis(2),
             max_parts: 512,
             assume_cached_for: Duration::from_mins(2),
         }
@@ -64,7 +64,7 @@
 
 /// What one router knows of the load and cache of one engine or plain endpoint.
 #[derive(Debug, Clone, Default)]
-pub struct EndpointLoad {
+pub struct EndpointView {
     /// Requests of this router in flight there.
     pub running: u32,
     /// Prompt tokens of this router's requests there that have not received their first token.
@@ -104,7 +104,7 @@
     }
 
     /// The last shared part, which identifies the shared prefix of the prompt.
-    pub fn subject(&self) -> Option<u64> {
+    pub fn shared_prefix(&self) -> Option<u64> {
         let shared = self.parts.len().checked_sub(2)?;
         Some(self.parts[shared].0)
     }
@@ -121,9 +121,9 @@
 /// Load reports older than this are ignored.
 const REPORT_TTL: Duration = Duration::from_secs(2);
 
-impl EndpointLoad {
+impl EndpointView {
     /// Records that a request is sent there.
-    pub fn start(
+    pub fn record_start(
         &mut self,
         now: Now,
         rule: &EngineRule,
@@ -141,17 +141,17 @@
     }
 
     /// Records that the first token has come, or that the request has ended before it.
-    pub fn read(&mut self, pending_prefill: Tokens) {
+    pub fn end_prefill(&mut self, pending_prefill: Tokens) {
         self.pending_prefill = self.pending_prefill.saturating_sub(pending_prefill);
     }
 
     /// Records that a request has ended.
-    pub fn end(&mut self) {
+    pub fn record_end(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
     /// Applies a load report of the endpoint.
-    pub fn heard(&mut self, now: Now, running: u32, waiting: u32, slots: u32) {
+    pub fn apply_report(&mut self, now: Now, running: u32, waiting: u32, slots: u32) {
         self.report = Some(Report {
             at: now,
             running,
@@ -163,7 +163,7 @@
 
     /// Records an answer; `is_failure` if it is a failure of the endpoint itself. Ends the
     /// cooldown.
-    pub fn answered(&mut self, is_failure: bool) {
+    pub fn record_answer(&mut self, is_failure: bool) {
         self.failures = 0;
         self.cooldown_until = Duration::ZERO;
         let newest = f64::from(u8::from(is_failure));
@@ -172,19 +172,19 @@
 
     /// Expected cost of its failures: the time of another attempt elsewhere, multiplied by the
     /// failure rate.
-    pub fn set_back(&self, next_attempt: Duration) -> Duration {
+    pub fn failure_cost(&self, next_attempt: Duration) -> Duration {
         next_attempt.mul_f64(self.failure_rate)
     }
 
     /// Records a lost connection or answer, and starts a cooldown.
-    pub fn failed(&mut self, now: Now) {
+    pub fn record_failure(&mut self, now: Now) {
         self.failures = self.failures.saturating_add(1);
         let factor = 2_u32.saturating_pow(self.failures.min(8) - 1);
         self.cooldown_until = now + FIRST_COOLDOWN.saturating_mul(factor).min(MAX_COOLDOWN);
     }
 
     /// Records that the endpoint had no free slot: it is on cooldown for at least this long.
-    pub fn was_full(&mut self, now: Now, pause: Duration) {
+    pub fn record_full(&mut self, now: Now, pause: Duration) {
         self.cooldown_until = self.cooldown_until.max(now + pause);
     }
 
@@ -194,12 +194,12 @@
     }
 
     /// Whether it is on cooldown.
-    pub fn is_shut(&self, now: Now) -> bool {
+    pub fn is_on_cooldown(&self, now: Now) -> bool {
         now < self.cooldown_until
     }
 
     /// Estimated number of requests there, from all routers.
-    pub fn busy(&self, now: Now) -> u32 {
+    pub fn estimated_requests(&self, now: Now) -> u32 {
         let Some(report) = self.fresh_report(now) else {
             return self.running;
         };
@@ -209,7 +209,7 @@
     }
 
     /// Summary of what is known of it, for a log line.
-    pub fn grounds(&self, now: Now) -> String {
+    pub fn describe(&self, now: Now) -> String {
         let own = self.running;
         let Some(report) = &self.report else {
             return format!("{own} own, no report");
@@ -232,7 +232,13 @@
     /// Tokens of a prompt that it still has to prefill. A part counts as cached only if all parts
     /// before it are cached. `home` tells whether the engine is the home of the prompt's shared
     /// prefix, and so is assumed to hold it.
-    pub fn missing(&self, now: Now, rule: &EngineRule, prompt: &Prompt<'_>, home: bool) -> Tokens {
+    pub fn missing_tokens(
+        &self,
+        now: Now,
+        rule: &EngineRule,
+        prompt: &Prompt<'_>,
+        home: bool,
+    ) -> Tokens {
         let shared = prompt.parts.len().saturating_sub(1);
         let mut missing = prompt.tokens();
         for (at, (part, tokens)) in prompt.parts.iter().enumerate() {
@@ -248,10 +254,17 @@
     }
 
     /// Expected time to the first token of a prompt with this number of missing tokens.
-    pub fn expected(&self, now: Now, rule: &EngineRule, missing: Tokens, slots: u32) -> Duration {
+    pub fn expected_first_token(
+        &self,
+        now: Now,
+        rule: &EngineRule,
+        missing: Tokens,
+        slots: u32,
+    ) -> Duration {
         let others = self.others_queued_tokens(now, rule);
         let prefill_time = rule.prefill_time(self.pending_prefill + others + missing);
-        let fullness = f64::from(self.busy(now)) / f64::from(self.slots(slots).max(1));
+        let fullness =
+            f64::from(self.estimated_requests(now)) / f64::from(self.slots(slots).max(1));
         prefill_time + rule.full_penalty.mul_f64(fullness * fullness)
     }
 
--- a/crates/anvil_policy/src/estimate.rs
+++ b/crates/anvil_policy/src/estimate.rs
@@ -20,7 +20,7 @@
 
 /// Measurements of a finished request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Finished {
+pub struct FinishedRequest {
     /// Prompt tokens.
     pub prompt: Tokens,
     /// Maximum number of output tokens that the request allowed.
@@ -59,7 +59,7 @@
 
 impl Estimate {
     /// Expected time that a request occupies a slot.
-    pub fn service(&self, prompt: Tokens, output_bound: Tokens) -> Duration {
+    pub fn service_time(&self, prompt: Tokens, output_bound: Tokens) -> Duration {
         let output = tokens_to_f64(output_bound) * self.output_ratio;
         let secs = self.base
             + tokens_to_f64(prompt) * self.per_prompt_token
@@ -68,13 +68,13 @@
     }
 
     /// Expected time that the prefill of a prompt takes by itself.
-    pub fn prefill(&self, prompt: Tokens) -> Duration {
+    pub fn prefill_time(&self, prompt: Tokens) -> Duration {
         let secs = tokens_to_f64(prompt) * self.per_prompt_token;
         Duration::try_from_secs_f64(secs).unwrap_or(Duration::MAX)
     }
 
     /// Updates the means from a finished request.
-    pub fn learn(&mut self, finished: &Finished) {
+    pub fn learn(&mut self, finished: &FinishedRequest) {
         let first = finished.first_token.as_secs_f64();
         let rest = finished.total.as_secs_f64() - first;
         // The time to the first token of a long prompt is mostly prefill, that of a short one
--- a/crates/anvil_policy/src/health.rs
+++ b/crates/anvil_policy/src/health.rs
@@ -35,7 +35,7 @@
 
 /// Result of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptResult {
     /// The endpoint answered.
     Answered(Latency),
     /// The endpoint failed or could not be reached. Not to be used when the caller disconnected or
@@ -74,7 +74,7 @@
     pub fn report(&mut self, now: Now, endpoint: &EndpointState, load: &LoadReport) {
         endpoint.report(load, self.rule.reports_lag);
         if let Some(tracked) = self.endpoints.get_mut(&endpoint.id) {
-            let estimated_load = endpoint.pressure();
+            let estimated_load = endpoint.estimated_load();
             tracked
                 .limit
                 .apply_report(&self.rule.limit, now, load, estimated_load);
@@ -83,13 +83,15 @@
     }
 
     /// Applies the result of an attempt. Errors take effect at once.
-    pub fn observe(&mut self, now: Now, endpoint: &EndpointState, ended: &Ended) {
+    pub fn observe(&mut self, now: Now, endpoint: &EndpointState, ended: &AttemptResult) {
         let Some(tracked) = self.endpoints.get_mut(&endpoint.id) else {
             return;
         };
         let ended = match ended {
-            Ended::Failed => Observation::Failed,
-            Ended::Answered(latency) => Observation::Answered(latency.first + latency.between),
+            AttemptResult::Failed => Observation::Failed,
+            AttemptResult::Answered(latency) => {
+                Observation::Answered(latency.first_token + latency.token_gap)
+            }
         };
         let rule = &self.rule.ejection;
         let failed_before = tracked.stats.is_failing(rule);
--- a/crates/anvil_policy/src/lib.rs
+++ b/crates/anvil_policy/src/lib.rs
@@ -17,20 +17,20 @@
 //!
 //! let endpoint = EndpointState::new("runner-1".into(), Zone::default(), 8);
 //! let pool = Pool::new(vec![Arc::new(endpoint)]);
-//! let mut gate = Gate::new(AdmissionRule::default()).with_limit(pool.room());
+//! let mut gate = AdmissionGate::new(AdmissionRule::default()).with_limit(pool.headroom());
 //!
 //! let ticket = Ticket {
 //!     organisation: "mombasa".into(),
 //!     weight: 1,
 //!     class: WorkClass::Interactive,
 //!     prompt: 120,
-//!     service: Estimate::default().service(120, 256),
+//!     service: Estimate::default().service_time(120, 256),
 //!     deadline: Duration::from_secs(20),
 //! };
-//! assert_eq!(gate.offer(Duration::ZERO, ticket), Verdict::Go);
+//! assert_eq!(gate.offer(Duration::ZERO, ticket), AdmissionDecision::Run);
 //!
 //! let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(7);
-//! let Choice::Endpoint(endpoint) = Chooser::default().choose(&pool, &Ask::default(), &mut rng)
+//! let Choice::Endpoint(endpoint) = Chooser::default().choose(&pool, &ChoiceRequest::default(), &mut rng)
 //! else {
 //!     panic!("an empty endpoint has headroom");
 //! };
--- a/crates/anvil_policy/src/limit.rs
+++ b/crates/anvil_policy/src/limit.rs
@@ -26,9 +26,9 @@
 pub struct Latency {
     /// Time to the first token, less the expected prefill time of the prompt. For a plain call: the
     /// whole time.
-    pub first: Duration,
+    pub first_token: Duration,
     /// Mean time between tokens; zero if there was at most one.
-    pub between: Duration,
+    pub token_gap: Duration,
 }
 
 /// Target latency and how the limit is adjusted.
@@ -36,9 +36,9 @@
 pub struct LimitRule {
     /// Maximum mean time between tokens. Below the promised 59 ms for 95 in 100, because steps that
     /// also prefill take longer than the mean.
-    pub between: Duration,
+    pub max_token_gap: Duration,
     /// A cut keeps at least this part of the running runs.
-    pub keep: f64,
+    pub min_kept: f64,
     /// Increase of the limit in runs a second, while the load is close to it.
     pub rise_per_s: f64,
     /// Time after a cut in which the limit is not changed: the effect shows only when runs have
@@ -48,18 +48,18 @@
     /// makes tokens late although the batch is small.
     pub report_weight: f64,
     /// Part of the slots that a new endpoint is given at first.
-    pub first: f64,
+    pub initial_part: f64,
 }
 
 impl Default for LimitRule {
     fn default() -> Self {
         Self {
-            between: Duration::from_millis(51),
-            keep: 0.8,
+            max_token_gap: Duration::from_millis(51),
+            min_kept: 0.8,
             rise_per_s: 1.0,
             cut_cooldown: Duration::from_secs(3),
             report_weight: 0.12,
-            first: 0.5,
+            initial_part: 0.5,
         }
     }
 }
@@ -77,7 +77,7 @@
     /// Starts at a part of the reported slots.
     pub fn new(rule: &LimitRule, now: Now, slots: u32) -> Self {
         Self {
-            value: (f64::from(slots) * rule.first).max(1.0),
+            value: (f64::from(slots) * rule.initial_part).max(1.0),
             mean_lateness: 0.0,
             cooldown_until: now,
             reported_at: now,
@@ -96,7 +96,7 @@
     }
 
     /// Applies a load report. `estimated_load` is the endpoint's load as estimated by this router
-    /// ([`EndpointState::pressure`](crate::endpoint::EndpointState::pressure)).
+    /// ([`EndpointState::estimated_load`](crate::endpoint::EndpointState::estimated_load)).
     pub fn apply_report(
         &mut self,
         rule: &LimitRule,
@@ -110,7 +110,7 @@
         if now >= self.cooldown_until {
             if self.mean_lateness > 1.0 {
                 let running = f64::from(load.running).min(self.value);
-                self.value = running * (1.0 / self.mean_lateness).max(rule.keep);
+                self.value = running * (1.0 / self.mean_lateness).max(rule.min_kept);
                 self.cooldown_until = now + rule.cut_cooldown;
             } else if estimated_load.saturating_add(2) >= self.value() {
                 // Without load close to the limit, an increase would only admit the next burst as a
@@ -133,5 +133,5 @@
         return 0.0;
     }
     let between = f64::from(load.running) / f64::from(load.tokens_per_second);
-    between / rule.between.as_secs_f64()
+    between / rule.max_token_gap.as_secs_f64()
 }
--- a/crates/anvil_policy/src/list_turn.rs
+++ b/crates/anvil_policy/src/list_turn.rs
@@ -58,11 +58,11 @@
 
 /// The next action of a router to refresh its list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step<'a> {
+pub enum RefreshStep<'a> {
     /// Read the list when the copy has this age.
     Read(Duration),
     /// Request the list from this sibling, and skip the sibling when the copy has this age.
-    Ask(&'a InstanceId, Duration),
+    RequestFrom(&'a InstanceId, Duration),
 }
 
 /// Rank of a router as the reader: the lowest one reads. All routers compute the same rank.
@@ -72,7 +72,7 @@
 
 /// The siblings in order of their rank, without those that are skipped because they didn't answer
 /// recently.
-pub fn in_order(
+pub fn reader_order(
     siblings: impl IntoIterator<Item = InstanceId>,
     is_skipped: impl Fn(&InstanceId) -> bool,
 ) -> Vec<InstanceId> {
@@ -90,20 +90,20 @@
     ages: &ListAges,
     age: Duration,
     jitter: f64,
-) -> Step<'a> {
+) -> RefreshStep<'a> {
     let Some(first) = order.first().filter(|first| *first != own) else {
         let (min_age, max_age) = if order.len() > 1 {
             ages.reader_refreshes
         } else {
             ages.alone_refreshes
         };
-        return Step::Read(min_age + max_age.saturating_sub(min_age).mul_f64(jitter));
+        return RefreshStep::Read(min_age + max_age.saturating_sub(min_age).mul_f64(jitter));
     };
     if age < ages.skip_reader {
-        return Step::Ask(first, ages.skip_reader);
+        return RefreshStep::RequestFrom(first, ages.skip_reader);
     }
     if age < ages.must_read {
-        return Step::Ask(first, ages.must_read);
+        return RefreshStep::RequestFrom(first, ages.must_read);
     }
-    Step::Read(ages.must_read)
+    RefreshStep::Read(ages.must_read)
 }
--- a/crates/anvil_policy/src/prefix.rs
+++ b/crates/anvil_policy/src/prefix.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PrefixRule {
     /// Prompt bytes in a block.
-    pub block: usize,
+    pub block_bytes: usize,
     /// Maximum number of blocks of one prompt that are hashed.
     pub max_blocks: usize,
     /// Maximum number of prefixes in the index; about 100 bytes each.
@@ -40,7 +40,7 @@
 impl Default for PrefixRule {
     fn default() -> Self {
         Self {
-            block: 1_024,
+            block_bytes: 1_024,
             max_blocks: 32,
             max_entries: 65_536,
             max_holders: 4,
@@ -54,7 +54,7 @@
     /// of different models.
     pub fn hashes(&self, model: &str, prompt: &[u8]) -> Vec<PrefixHash> {
         let mut hash = xxh3_64_with_seed(model.as_bytes(), 0);
-        let blocks = prompt.chunks_exact(self.block.max(1));
+        let blocks = prompt.chunks_exact(self.block_bytes.max(1));
         let next = |block: &[u8]| {
             hash = xxh3_64_with_seed(block, hash);
             hash
@@ -127,7 +127,7 @@
     }
 
     /// Records that a prompt with these hashes was sent to an endpoint.
-    pub fn sent(&mut self, now: Now, endpoint: &InstanceId, hashes: &[PrefixHash]) {
+    pub fn record_sent(&mut self, now: Now, endpoint: &InstanceId, hashes: &[PrefixHash]) {
         for hash in hashes {
             self.add_holder(now, endpoint, *hash);
         }
@@ -135,7 +135,7 @@
 
     /// Applies an event. Late and duplicate events are ignored. After a gap, older entries of the
     /// endpoint stay valid until they expire, although the lost event may have been a removal.
-    pub fn heard(&mut self, now: Now, endpoint: &InstanceId, event: &CacheEvent) {
+    pub fn apply_event(&mut self, now: Now, endpoint: &InstanceId, event: &CacheEvent) {
         let feed = self.feeds.entry(endpoint.clone()).or_default();
         let expected = feed.next_seq.unwrap_or(event.seq);
         if event.seq < expected {
--- a/crates/anvil_policy/src/rate_share.rs
+++ b/crates/anvil_policy/src/rate_share.rs
@@ -37,14 +37,14 @@
 
 /// Position of a router among those that share a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Turn {
+pub struct RouterRank {
     /// Its rank among them, from 0.
     pub rank: u32,
     /// Number of routers.
     pub routers: u32,
 }
 
-impl Turn {
+impl RouterRank {
     /// Its part of a total.
     fn share(self, all: f64) -> f64 {
         all / f64::from(self.routers.max(1))
@@ -93,15 +93,15 @@
     /// An answer without a limit removes the limit only if its request was sent when the limit was
     /// already known: the answer to an earlier request may have been given before the endpoint
     /// announced it.
-    pub fn heard(&mut self, now: Now, sent: Now, announced: Option<RateLimit>) -> bool {
+    pub fn apply_answer(&mut self, now: Now, sent: Now, announced: Option<RateLimit>) -> bool {
         if announced.is_none() && sent < self.known_since {
             return false;
         }
-        self.told(now, announced)
+        self.set_limit(now, announced)
     }
 
     /// Sets the limit reported to all routers, or removes it. Returns whether it changed.
-    pub fn told(&mut self, now: Now, limit: Option<RateLimit>) -> bool {
+    pub fn set_limit(&mut self, now: Now, limit: Option<RateLimit>) -> bool {
         if self.limit == limit {
             return false;
         }
@@ -116,7 +116,7 @@
     }
 
     /// Time until a request may be sent; zero if it may be sent now.
-    pub fn opens_in(&self, at: Clocks, turn: Turn) -> Duration {
+    pub fn time_until_send(&self, at: Clocks, turn: RouterRank) -> Duration {
         let Some(limit) = self.limit.map(per_second) else {
             return Duration::ZERO;
         };
@@ -129,8 +129,8 @@
     }
 
     /// Counts a request as sent, if it may be sent now; returns whether it may.
-    pub fn send(&mut self, at: Clocks, turn: Turn) -> bool {
-        if !self.opens_in(at, turn).is_zero() {
+    pub fn try_send(&mut self, at: Clocks, turn: RouterRank) -> bool {
+        if !self.time_until_send(at, turn).is_zero() {
             return false;
         }
         let Some(limit) = self.limit.map(per_second) else {
@@ -148,7 +148,7 @@
 
     /// Number of requests sent since a limit has been known, and a thousand times the number that
     /// was allowed.
-    pub fn used(&self, now: Now, turn: Turn) -> (u64, u64) {
+    pub fn usage(&self, now: Now, turn: RouterRank) -> (u64, u64) {
         let limit = self.limit.map_or(0, |limit| limit.max(MIN_LIMIT));
         let time = now.saturating_sub(self.known_since).as_millis();
         let permitted = u128::from(limit) * time / 1_000 / u128::from(turn.routers.max(1));
@@ -158,7 +158,7 @@
         )
     }
 
-    fn tokens_at(&self, now: Now, turn: Turn, share: f64) -> f64 {
+    fn tokens_at(&self, now: Now, turn: RouterRank, share: f64) -> f64 {
         let refilled = now.saturating_sub(self.filled_at).as_secs_f64() * share;
         let bucket_capacity = (BUCKET_REFILL_S * share + turn.share(SHARED_BUCKET_TOKENS)).max(1.0);
         (self.tokens + refilled).min(bucket_capacity)
@@ -176,7 +176,7 @@
 }
 
 impl Windows {
-    fn of(limit: f64, turn: Turn) -> Self {
+    fn of(limit: f64, turn: RouterRank) -> Self {
         let round = f64::from(turn.routers.max(1)) / limit;
         Self {
             length: ((limit.ceil() + EXTRA_OPEN_WINDOWS) / limit).min(round),
--- a/crates/anvil_policy/src/retry.rs
+++ b/crates/anvil_policy/src/retry.rs
@@ -22,14 +22,14 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetryRule {
     /// Number of retries allowed for each first attempt.
-    pub part: f64,
+    pub retry_ratio: f64,
     /// Maximum number of retries that are saved up: the runs that one router loses with an
     /// availability zone. These must be retried, and they are bounded by what was running.
-    pub reserve: f64,
+    pub max_saved: f64,
     /// Retries added to the budget each second, whatever the load.
-    pub each_second: f64,
+    pub refill_per_s: f64,
     /// Maximum number of attempts of one request, including the first.
-    pub most_tries: u32,
+    pub max_attempts: u32,
     /// Upper bound of the first backoff; doubles with each attempt.
     pub first_backoff: Duration,
     /// Maximum of that bound.
@@ -39,10 +39,10 @@
 impl Default for RetryRule {
     fn default() -> Self {
         Self {
-            part: 0.1,
-            reserve: 100.0,
-            each_second: 1.0,
-            most_tries: 3,
+            retry_ratio: 0.1,
+            max_saved: 100.0,
+            refill_per_s: 1.0,
+            max_attempts: 3,
             first_backoff: Duration::from_millis(50),
             max_backoff: Duration::from_secs(2),
         }
@@ -51,11 +51,11 @@
 
 /// Whether a failed attempt may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetrySafety {
     /// It certainly did not run, or it is idempotent.
     Safe,
     /// It may have run, and must not run twice.
-    Never,
+    Unsafe,
 }
 
 /// The retry budget of one pool in one router.
@@ -76,7 +76,7 @@
     /// Creates a budget with a full reserve.
     pub fn new(rule: RetryRule) -> Self {
         Self {
-            available: rule.reserve,
+            available: rule.max_saved,
             rule,
             refilled_at: Duration::ZERO,
         }
@@ -87,28 +87,31 @@
     /// same window.
     pub fn set_rule(&mut self, now: Now, rule: RetryRule) {
         self.refill(now);
-        self.available = self.available.min(rule.reserve);
+        self.available = self.available.min(rule.max_saved);
         self.rule = rule;
     }
 
     /// Counts a first attempt.
-    pub fn first_try(&mut self, now: Now) {
+    pub fn record_first_attempt(&mut self, now: Now) {
         self.refill(now);
-        self.available = (self.available + self.rule.part).min(self.rule.reserve);
+        self.available = (self.available + self.rule.retry_ratio).min(self.rule.max_saved);
     }
 
     /// Returns the backoff before the next attempt after `attempts` attempts, or `None` if there
     /// must be none. The backoff is drawn uniformly between zero and its bound, so that requests
     /// that failed together are spread out.
-    pub fn again(
+    pub fn next_backoff(
         &mut self,
         now: Now,
         attempts: u32,
-        repeat: Repeat,
+        repeat: RetrySafety,
         rng: &mut impl Rng,
     ) -> Option<Duration> {
         self.refill(now);
-        if repeat == Repeat::Never || attempts >= self.rule.most_tries || self.available < 1.0 {
+        if repeat == RetrySafety::Unsafe
+            || attempts >= self.rule.max_attempts
+            || self.available < 1.0
+        {
             return None;
         }
         self.available -= 1.0;
@@ -122,6 +125,6 @@
         let elapsed_s = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
         self.available =
-            (self.available + elapsed_s * self.rule.each_second).min(self.rule.reserve);
+            (self.available + elapsed_s * self.rule.refill_per_s).min(self.rule.max_saved);
     }
 }
--- a/crates/anvil_policy/tests/admission.rs
+++ b/crates/anvil_policy/tests/admission.rs
@@ -18,24 +18,24 @@
 }
 
 /// A gate with ten slots, all in use.
-fn full_gate() -> Gate {
-    let mut gate = Gate::new(AdmissionRule::default()).with_limit(10);
+fn full_gate() -> AdmissionGate {
+    let mut gate = AdmissionGate::new(AdmissionRule::default()).with_limit(10);
     for _ in 0..10 {
         let verdict = gate.offer(Duration::ZERO, ticket(Duration::ZERO, "first", 60));
-        assert_eq!(verdict, Verdict::Go);
+        assert_eq!(verdict, AdmissionDecision::Run);
     }
     gate
 }
 
 /// Fills the queue with work of one organisation; returns how many requests were queued and the
 /// first refusal.
-fn fill_queue(gate: &mut Gate, organisation: &str, timeout: u64) -> (usize, Refusal) {
+fn fill_queue(gate: &mut AdmissionGate, organisation: &str, timeout: u64) -> (usize, Refusal) {
     for admitted in 0..100_000 {
         let verdict = gate.offer(
             Duration::ZERO,
             ticket(Duration::ZERO, organisation, timeout),
         );
-        if let Verdict::Refuse(refusal) = verdict {
+        if let AdmissionDecision::Refuse(refusal) = verdict {
             return (admitted, refusal);
         }
     }
@@ -71,18 +71,21 @@
         assert!(gate.next(after).is_some());
     }
     let verdict = gate.offer(after, ticket(after, "mombasa", 11));
-    assert!(matches!(verdict, Verdict::Wait(_)), "{verdict:?}");
+    assert!(matches!(verdict, AdmissionDecision::Wait(_)), "{verdict:?}");
 }
 
 /// A request whose service takes longer than its deadline allows can't succeed after any wait; its
 /// refusal must not contain a retry time.
 #[test]
 fn refusal_has_no_retry_time_if_no_retry_can_succeed() {
-    let mut gate = Gate::new(AdmissionRule::default()).with_limit(10);
+    let mut gate = AdmissionGate::new(AdmissionRule::default()).with_limit(10);
     let mut long = ticket(Duration::ZERO, "mombasa", 5);
     long.service = Duration::from_secs(9);
     let refusal = Refusal::new(Reason::DeadlineTooClose);
-    assert_eq!(gate.offer(Duration::ZERO, long), Verdict::Refuse(refusal));
+    assert_eq!(
+        gate.offer(Duration::ZERO, long),
+        AdmissionDecision::Refuse(refusal)
+    );
 }
 
 /// One organisation fills the queue until it is refused. With a bound shared by all organisations,
@@ -92,7 +95,7 @@
     let mut gate = full_gate();
     let (alone, _) = fill_queue(&mut gate, "large", 3_600);
     let verdict = gate.offer(Duration::ZERO, ticket(Duration::ZERO, "small", 3_600));
-    assert!(matches!(verdict, Verdict::Wait(_)), "{verdict:?}");
+    assert!(matches!(verdict, AdmissionDecision::Wait(_)), "{verdict:?}");
     // Alone it takes half of thirty seconds, a second one a third of the rest and so on.
     let (second, _) = fill_queue(&mut gate, "other", 3_600);
     assert!(second > alone / 3, "{alone} then {second}");
@@ -121,7 +124,7 @@
 fn queued_request_is_refused_as_soon_as_it_can_not_finish() {
     let mut gate = full_gate();
     let offered = gate.offer(Duration::ZERO, ticket(Duration::ZERO, "mombasa", 4));
-    assert!(matches!(offered, Verdict::Wait(_)));
+    assert!(matches!(offered, AdmissionDecision::Wait(_)));
     // Its latest start is at three seconds: four to the deadline, less one of service.
     assert_eq!(gate.expired(Duration::from_millis(2_990)), None);
     let (_, refusal) = gate
@@ -143,5 +146,8 @@
         gate.next(later);
     }
     let verdict = gate.offer(later, ticket(later, "mombasa", 3_600));
-    assert!(matches!(verdict, Verdict::Refuse(_)), "{verdict:?}");
+    assert!(
+        matches!(verdict, AdmissionDecision::Refuse(_)),
+        "{verdict:?}"
+    );
 }
--- a/crates/anvil_policy/tests/copying.rs
+++ b/crates/anvil_policy/tests/copying.rs
@@ -1,6 +1,6 @@
 //! Copying of cached prompt tokens between engines, without a network.
 
-use anvil_policy::copying::{Copying, Lacking, source};
+use anvil_policy::copying::{Copying, MissingTokens, source};
 use anvil_policy::engine::EngineRule;
 
 /// An engine prefills 31 tokens a millisecond. Its link carries 46 MB in that time.
@@ -33,7 +33,7 @@
         Copying::between(18_432.0, LINK_MBPS, &rule).expect("copying is much faster than prefill");
     let (all, own) = (12_000, 6_600);
     assert!(Copying::is_worthwhile(all, own));
-    let left = copying.as_if_missing(all, own, &rule);
+    let left = copying.equivalent_missing(all, own, &rule);
     assert!((own..own + 200).contains(&left), "{left}");
 }
 
@@ -44,8 +44,8 @@
     let copying =
         Copying::between(18_432.0, LINK_MBPS, &rule).expect("copying is much faster than prefill");
     assert!(!Copying::is_worthwhile(1_000, 900));
-    assert_eq!(copying.as_if_missing(1_000, 900, &rule), 1_000);
-    assert_eq!(copying.as_if_missing(900, 1_000, &rule), 900);
+    assert_eq!(copying.equivalent_missing(1_000, 900, &rule), 1_000);
+    assert_eq!(copying.equivalent_missing(900, 1_000, &rule), 900);
 }
 
 /// The home of a shared prefix was replaced by a new engine, which holds nothing. The engine that
@@ -53,17 +53,17 @@
 /// although it is itself assumed to hold the prefix.
 #[test]
 fn new_home_copies_from_the_engine_used_before() {
-    let new_home = Lacking {
-        unsent: 12_000,
-        believed: 6_600,
+    let new_home = MissingTokens {
+        by_own_requests: 12_000,
+        with_home: 6_600,
     };
-    let used = Lacking {
-        unsent: 6_600,
-        believed: 6_600,
+    let used = MissingTokens {
+        by_own_requests: 6_600,
+        with_home: 6_600,
     };
-    let never = Lacking {
-        unsent: 12_000,
-        believed: 12_000,
+    let never = MissingTokens {
+        by_own_requests: 12_000,
+        with_home: 12_000,
     };
     let others = [("never", never), ("used", used)];
     assert_eq!(source(new_home, &others), Some(("used", 6_600)));
@@ -73,13 +73,13 @@
 /// instead copies from the home.
 #[test]
 fn home_is_the_source_if_nothing_was_sent_yet() {
-    let never = Lacking {
-        unsent: 12_000,
-        believed: 12_000,
+    let never = MissingTokens {
+        by_own_requests: 12_000,
+        with_home: 12_000,
     };
-    let home = Lacking {
-        unsent: 12_000,
-        believed: 6_600,
+    let home = MissingTokens {
+        by_own_requests: 12_000,
+        with_home: 6_600,
     };
     let others = [("other", never), ("home", home)];
     assert_eq!(source(never, &others), Some(("home", 6_600)));
--- a/crates/anvil_policy/tests/crash.rs
+++ b/crates/anvil_policy/tests/crash.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use anvil_policy::crash::{CrashWatch, Lost};
+use anvil_policy::crash::{CrashWatch, LostAnswerAction};
 use anvil_world::prelude::*;
 use anvil_world::suspect::CrashedRun;
 
@@ -18,10 +18,13 @@
 fn lost_answer_without_evidence_reports_no_request() {
     let mut watch = CrashWatch::default();
     let (a, b): (InstanceId, InstanceId) = ("a".into(), "b".into());
-    assert_eq!(watch.lost(at(0), &a, 1, RUN), Lost::Look);
-    assert_eq!(watch.crashed(at(100), &b), BTreeMap::new());
     assert_eq!(
-        watch.crashed(at(10_100), &a),
+        watch.record_lost_answer(at(0), &a, 1, RUN),
+        LostAnswerAction::Probe
+    );
+    assert_eq!(watch.record_crash(at(100), &b), BTreeMap::new());
+    assert_eq!(
+        watch.record_crash(at(10_100), &a),
         BTreeMap::new(),
         "evidence came too late"
     );
@@ -33,14 +36,23 @@
 fn all_requests_of_a_crashed_endpoint_are_reported_once() {
     let mut watch = CrashWatch::default();
     let a: InstanceId = "a".into();
-    assert_eq!(watch.lost(at(0), &a, 1, RUN), Lost::Look);
-    assert_eq!(watch.lost(at(1), &a, 2, RUN), Lost::Wait);
     assert_eq!(
-        watch.crashed(at(20), &a),
+        watch.record_lost_answer(at(0), &a, 1, RUN),
+        LostAnswerAction::Probe
+    );
+    assert_eq!(
+        watch.record_lost_answer(at(1), &a, 2, RUN),
+        LostAnswerAction::Wait
+    );
+    assert_eq!(
+        watch.record_crash(at(20), &a),
         BTreeMap::from([(1, RUN), (2, RUN)])
     );
-    assert_eq!(watch.crashed(at(21), &a), BTreeMap::new());
-    assert_eq!(watch.lost(at(30), &a, 3, RUN), Lost::Crashed);
+    assert_eq!(watch.record_crash(at(21), &a), BTreeMap::new());
+    assert_eq!(
+        watch.record_lost_answer(at(30), &a, 3, RUN),
+        LostAnswerAction::Crashed
+    );
 }
 
 /// Guards against one probe for each lost answer where an endpoint loses thousands.
@@ -48,8 +60,9 @@
 fn endpoint_is_probed_at_most_once_a_second() {
     let mut watch = CrashWatch::default();
     let a: InstanceId = "a".into();
-    let probes =
-        (0..10_000u64).filter(|ms| watch.lost(at(*ms), &a, (*ms).into(), RUN) == Lost::Look);
+    let probes = (0..10_000u64).filter(|ms| {
+        watch.record_lost_answer(at(*ms), &a, (*ms).into(), RUN) == LostAnswerAction::Probe
+    });
     assert_eq!(probes.count(), 10);
 }
 
@@ -58,16 +71,19 @@
 fn recently_answered_request_is_not_reported() {
     let mut watch = CrashWatch::default();
     let a: InstanceId = "a".into();
-    watch.answered(at(0), 1);
-    watch.lost(at(10), &a, 1, RUN);
-    watch.lost(at(10), &a, 2, RUN);
-    watch.answered(at(20), 2);
-    watch.lost(at(30), &a, 3, RUN);
-    assert_eq!(watch.crashed(at(40), &a), BTreeMap::from([(3, RUN)]));
-    assert_eq!(watch.lost(at(50), &a, 1, RUN), Lost::Wait);
+    watch.record_answer(at(0), 1);
+    watch.record_lost_answer(at(10), &a, 1, RUN);
+    watch.record_lost_answer(at(10), &a, 2, RUN);
+    watch.record_answer(at(20), 2);
+    watch.record_lost_answer(at(30), &a, 3, RUN);
+    assert_eq!(watch.record_crash(at(40), &a), BTreeMap::from([(3, RUN)]));
+    assert_eq!(
+        watch.record_lost_answer(at(50), &a, 1, RUN),
+        LostAnswerAction::Wait
+    );
     assert_eq!(
-        watch.lost(at(10_000), &a, 1, RUN),
-        Lost::Crashed,
+        watch.record_lost_answer(at(10_000), &a, 1, RUN),
+        LostAnswerAction::Crashed,
         "the answer has expired"
     );
 }
@@ -78,11 +94,11 @@
     let mut watch = CrashWatch::default();
     let a: InstanceId = "a".into();
     for request in 0..10_000 {
-        watch.answered(at(0), request);
+        watch.record_answer(at(0), request);
     }
-    watch.lost(at(1), &a, 9_999, RUN);
-    watch.lost(at(1), &a, 0, RUN);
-    assert_eq!(watch.crashed(at(2), &a), BTreeMap::from([(0, RUN)]));
+    watch.record_lost_answer(at(1), &a, 9_999, RUN);
+    watch.record_lost_answer(at(1), &a, 0, RUN);
+    assert_eq!(watch.record_crash(at(2), &a), BTreeMap::from([(0, RUN)]));
 }
 
 /// Guards against treating a run with output like one without, if two equal requests were lost.
@@ -90,11 +106,11 @@
 fn run_without_output_takes_precedence_among_equal_requests() {
     let mut watch = CrashWatch::default();
     let a: InstanceId = "a".into();
-    watch.lost(at(0), &a, 1, CrashedRun::AfterOutput);
-    watch.lost(at(0), &a, 2, CrashedRun::AfterOutput);
-    watch.lost(at(1), &a, 2, CrashedRun::BeforeOutput);
+    watch.record_lost_answer(at(0), &a, 1, CrashedRun::AfterOutput);
+    watch.record_lost_answer(at(0), &a, 2, CrashedRun::AfterOutput);
+    watch.record_lost_answer(at(1), &a, 2, CrashedRun::BeforeOutput);
     let crashed = [(1, CrashedRun::AfterOutput), (2, CrashedRun::BeforeOutput)];
-    assert_eq!(watch.crashed(at(2), &a), BTreeMap::from(crashed));
+    assert_eq!(watch.record_crash(at(2), &a), BTreeMap::from(crashed));
 }
 
 /// Guards against reporting lost connections as crashes after an endpoint was restarted under the
@@ -103,10 +119,16 @@
 fn restarted_endpoint_is_no_longer_crashed() {
     let mut watch = CrashWatch::default();
     let a: InstanceId = "a".into();
-    watch.lost(at(0), &a, 1, RUN);
-    watch.lives(&a);
-    assert_eq!(watch.crashed(at(1), &a), BTreeMap::from([(1, RUN)]));
-    assert_eq!(watch.lost(at(2), &a, 2, RUN), Lost::Crashed);
-    watch.lives(&a);
-    assert_eq!(watch.lost(at(3), &a, 3, RUN), Lost::Look);
+    watch.record_lost_answer(at(0), &a, 1, RUN);
+    watch.record_alive(&a);
+    assert_eq!(watch.record_crash(at(1), &a), BTreeMap::from([(1, RUN)]));
+    assert_eq!(
+        watch.record_lost_answer(at(2), &a, 2, RUN),
+        LostAnswerAction::Crashed
+    );
+    watch.record_alive(&a);
+    assert_eq!(
+        watch.record_lost_answer(at(3), &a, 3, RUN),
+        LostAnswerAction::Probe
+    );
 }
--- a/crates/anvil_policy/tests/endpoints.rs
+++ b/crates/anvil_policy/tests/endpoints.rs
@@ -24,15 +24,19 @@
     Duration::from_secs(secs)
 }
 
-fn answered(millis: u64) -> Ended {
-    Ended::Answered(Latency {
-        first: Duration::from_millis(millis),
-        between: Duration::ZERO,
+fn answered(millis: u64) -> AttemptResult {
+    AttemptResult::Answered(Latency {
+        first_token: Duration::from_millis(millis),
+        token_gap: Duration::ZERO,
     })
 }
 
 /// How often each endpoint is chosen. Runs end at once, as those of a failing endpoint do.
-fn count_choices(pool: &Pool, ask: &Ask<'_>, times: usize) -> BTreeMap<InstanceId, usize> {
+fn count_choices(
+    pool: &Pool,
+    ask: &ChoiceRequest<'_>,
+    times: usize,
+) -> BTreeMap<InstanceId, usize> {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let chooser = Chooser::default().with_zone(Zone::new("region", "zone-0"));
     let mut counts = BTreeMap::new();
@@ -70,11 +74,13 @@
         false,
     );
     // Nearly twice its share: it is chosen whenever it is sampled.
-    assert!(count_choices(&pool, &Ask::default(), 900)["4"] > 150);
+    assert!(count_choices(&pool, &ChoiceRequest::default(), 900)["4"] > 150);
     for _ in 0..3 {
-        health.observe(secs(1), failing, &Ended::Failed);
+        health.observe(secs(1), failing, &AttemptResult::Failed);
     }
-    let counts = count_choices(&pool, &Ask::default(), 900).get("4").copied();
+    let counts = count_choices(&pool, &ChoiceRequest::default(), 900)
+        .get("4")
+        .copied();
     assert!(counts.unwrap_or_default() < 30, "{counts:?}");
 }
 
@@ -116,7 +122,7 @@
     health.tick(secs(0), &pool);
     for endpoint in pool.endpoints() {
         for _ in 0..20 {
-            health.observe(secs(1), endpoint, &Ended::Failed);
+            health.observe(secs(1), endpoint, &AttemptResult::Failed);
         }
     }
     health.tick(secs(2), &pool);
@@ -133,7 +139,7 @@
     health.tick(secs(0), &pool);
     let endpoint = pool.get("4").expect("the endpoint is in the pool");
     for _ in 0..8 {
-        health.observe(secs(1), endpoint, &Ended::Failed);
+        health.observe(secs(1), endpoint, &AttemptResult::Failed);
     }
     assert_eq!(endpoint.share(), 20);
     let mut shares = Vec::new();
@@ -143,7 +149,7 @@
         let ended = if succeeds {
             answered(100)
         } else {
-            Ended::Failed
+            AttemptResult::Failed
         };
         health.observe(secs(second), endpoint, &ended);
         health.tick(secs(second), &pool);
@@ -199,7 +205,7 @@
         endpoint.start();
     }
     let cached = [("0".into(), 10_000)];
-    let ask = Ask {
+    let ask = ChoiceRequest {
         prompt: 10_000,
         cached: &cached,
         avoid: &[],
@@ -223,7 +229,7 @@
     }
     let chosen = |held| {
         let cached = [("0".into(), held)];
-        let ask = Ask {
+        let ask = ChoiceRequest {
             prompt: 8_000,
             cached: &cached,
             avoid: &[],
@@ -243,9 +249,9 @@
 fn retry_avoids_the_zone_that_failed() {
     let pool = pool(9);
     let avoid = ["0".into()];
-    let ask = Ask {
+    let ask = ChoiceRequest {
         avoid: &avoid,
-        ..Ask::default()
+        ..ChoiceRequest::default()
     };
     let counts = count_choices(&pool, &ask, 500);
     let same_zone = counts.iter().filter(|(id, _)| ["3", "6"].contains(&&***id));
--- a/crates/anvil_policy/tests/engine.rs
+++ b/crates/anvil_policy/tests/engine.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use anvil_policy::engine::{EndpointLoad, EngineRule, Prompt, home_rank};
+use anvil_policy::engine::{EndpointView, EngineRule, Prompt, home_rank};
 use anvil_world::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -22,14 +22,22 @@
 fn choose(
     now: Now,
     rule: &EngineRule,
-    loads: &[EndpointLoad],
+    loads: &[EndpointView],
     prompt: &Prompt<'_>,
 ) -> (usize, Tokens) {
-    let rank = |at: usize| prompt.subject().map(|s| home_rank(s, &format!("e{at}")));
+    let rank = |at: usize| {
+        prompt
+            .shared_prefix()
+            .map(|s| home_rank(s, &format!("e{at}")))
+    };
     let home = (0..loads.len()).max_by_key(|at| rank(*at));
     let candidates = loads.iter().enumerate().map(|(at, load)| {
-        let missing = load.missing(now, rule, prompt, Some(at) == home);
-        (load.expected(now, rule, missing, 128), at, missing)
+        let missing = load.missing_tokens(now, rule, prompt, Some(at) == home);
+        (
+            load.expected_first_token(now, rule, missing, 128),
+            at,
+            missing,
+        )
     });
     let (_, at, missing) = candidates.min().expect("at least one engine");
     (at, missing)
@@ -42,7 +50,7 @@
 fn prompts_reach_cached_prefixes_without_communication_between_routers() {
     let rule = EngineRule::default();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let mut routers = vec![vec![EndpointLoad::default(); ENGINES]; ROUTERS];
+    let mut routers = vec![vec![EndpointView::default(); ENGINES]; ROUTERS];
     let mut cached_prefixes = vec![BTreeSet::new(); ENGINES];
     let (mut cache_hits, mut random_hits) = (0_u32, 0_u32);
     let requests = 2_000;
@@ -55,10 +63,10 @@
         let router = rng.random_range(0..ROUTERS);
         let loads = &mut routers[router];
         let (engine, missing) = choose(now, &rule, loads, &prompt);
-        loads[engine].start(now, &rule, &prompt, missing);
+        loads[engine].record_start(now, &rule, &prompt, missing);
         // Answered before the next one arrives.
-        loads[engine].read(missing);
-        loads[engine].end();
+        loads[engine].end_prefill(missing);
+        loads[engine].record_end();
         cache_hits += u32::from(!cached_prefixes[engine].insert(shared_prefix));
         random_hits += u32::from(rng.random_range(0..ENGINES) == 0);
     }
@@ -74,13 +82,13 @@
 #[test]
 fn popular_prefix_leaves_its_home_when_prefill_elsewhere_is_faster() {
     let rule = EngineRule::default();
-    let mut loads = vec![EndpointLoad::default(); ENGINES];
+    let mut loads = vec![EndpointView::default(); ENGINES];
     let mut used = BTreeSet::new();
     for number in 0..40 {
         let parts = [(7, SHARED_TOKENS), (1_000 + number, OWN_TOKENS)];
         let prompt = Prompt { parts: &parts };
         let (engine, missing) = choose(at(number), &rule, &loads, &prompt);
-        loads[engine].start(at(number), &rule, &prompt, missing);
+        loads[engine].record_start(at(number), &rule, &prompt, missing);
         used.insert(engine);
     }
     assert!(used.len() > 1 && used.len() <= ENGINES, "{used:?}");
@@ -94,15 +102,15 @@
 /// full.
 #[test]
 fn failing_endpoint_is_on_cooldown_and_then_tried_again() {
-    let mut load = EndpointLoad::default();
-    load.failed(at(0));
-    assert!(load.is_shut(at(200)) && !load.is_shut(at(251)));
+    let mut load = EndpointView::default();
+    load.record_failure(at(0));
+    assert!(load.is_on_cooldown(at(200)) && !load.is_on_cooldown(at(251)));
     for _ in 0..20 {
-        load.failed(at(1_000));
+        load.record_failure(at(1_000));
     }
-    assert!(load.is_shut(at(2_900)) && !load.is_shut(at(3_001)));
-    load.answered(false);
-    assert!(!load.is_shut(at(2_000)));
+    assert!(load.is_on_cooldown(at(2_900)) && !load.is_on_cooldown(at(3_001)));
+    load.record_answer(false);
+    assert!(!load.is_on_cooldown(at(2_000)));
 }
 
 /// Reports lag, and every router receives the same ones. If requests sent since the report didn't
@@ -110,19 +118,22 @@
 #[test]
 fn requests_sent_since_a_report_count() {
     let rule = EngineRule::default();
-    let mut load = EndpointLoad::default();
-    load.heard(at(0), 10, 0, 128);
-    assert_eq!(load.busy(at(10)), 10);
+    let mut load = EndpointView::default();
+    load.apply_report(at(0), 10, 0, 128);
+    assert_eq!(load.estimated_requests(at(10)), 10);
     let parts = [(1, 500)];
     let prompt = Prompt { parts: &parts };
     for _ in 0..5 {
-        load.start(at(10), &rule, &prompt, 500);
+        load.record_start(at(10), &rule, &prompt, 500);
     }
-    assert_eq!(load.busy(at(20)), 15);
-    let empty = EndpointLoad::default();
-    assert!(load.expected(at(20), &rule, 500, 128) > empty.expected(at(20), &rule, 500, 128));
+    assert_eq!(load.estimated_requests(at(20)), 15);
+    let empty = EndpointView::default();
+    assert!(
+        load.expected_first_token(at(20), &rule, 500, 128)
+            > empty.expected_first_token(at(20), &rule, 500, 128)
+    );
     // An old report is ignored; the count of own requests remains.
-    assert_eq!(load.busy(at(5_000)), 5);
+    assert_eq!(load.estimated_requests(at(5_000)), 5);
 }
 
 /// Guards against memory that grows with the number of prompt parts sent to an engine.
@@ -132,19 +143,19 @@
         max_parts: 16,
         ..EngineRule::default()
     };
-    let mut load = EndpointLoad::default();
+    let mut load = EndpointView::default();
     for part in 0..10_000 {
         let parts = [(part, 10)];
-        load.start(at(part), &rule, &Prompt { parts: &parts }, 10);
+        load.record_start(at(part), &rule, &Prompt { parts: &parts }, 10);
     }
     let old = [(0, 10)];
     let new = [(9_999, 10)];
     assert_eq!(
-        load.missing(at(9_999), &rule, &Prompt { parts: &old }, false),
+        load.missing_tokens(at(9_999), &rule, &Prompt { parts: &old }, false),
         10
     );
     assert_eq!(
-        load.missing(at(9_999), &rule, &Prompt { parts: &new }, false),
+        load.missing_tokens(at(9_999), &rule, &Prompt { parts: &new }, false),
         0
     );
 }
@@ -156,12 +167,12 @@
 fn endpoint_that_fails_more_often_is_penalised() {
     let step = Duration::from_millis(40);
     let penalty_after = |is_failure: fn(u32) -> bool| {
-        let mut load = EndpointLoad::default();
+        let mut load = EndpointView::default();
         for number in 0..100 {
-            load.answered(is_failure(number));
+            load.record_answer(is_failure(number));
         }
-        assert!(!load.is_shut(at(0)));
-        load.set_back(step)
+        assert!(!load.is_on_cooldown(at(0)));
+        load.failure_cost(step)
     };
     let failing_often = penalty_after(|n| n % 5 < 2);
     let failing_rarely = penalty_after(|n| n % 7 == 0);
--- a/crates/anvil_policy/tests/list_turn.rs
+++ b/crates/anvil_policy/tests/list_turn.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use anvil_policy::list_turn::{ListAges, Step, in_order, next_step};
+use anvil_policy::list_turn::{ListAges, RefreshStep, next_step, reader_order};
 use anvil_world::prelude::*;
 
 const MAX_AGE: Duration = Duration::from_millis(2_600);
@@ -68,7 +68,7 @@
     }
 
     fn order(&self) -> Vec<InstanceId> {
-        in_order(self.routers.iter().map(|r| r.id.clone()), |_| false)
+        reader_order(self.routers.iter().map(|r| r.id.clone()), |_| false)
     }
 
     fn set_fault(&mut self, id: &InstanceId, fault: Fault) {
@@ -108,7 +108,7 @@
         let age = router.age(now);
         let ids = self.routers.iter().map(|r| r.id.clone());
         let is_skipped = |id: &InstanceId| router.skipped_until.get(id).is_some_and(|at| now < *at);
-        let order = in_order(ids, is_skipped);
+        let order = reader_order(ids, is_skipped);
         match next_step(
             &router.id,
             &order,
@@ -116,11 +116,11 @@
             age,
             router.jitter,
         ) {
-            Step::Read(at) if age >= at => {
+            RefreshStep::Read(at) if age >= at => {
                 self.routers[number].read_due = Some(now + READ_TIME);
             }
-            Step::Read(_) => {}
-            Step::Ask(sibling, until) => self.ask(number, &sibling.clone(), until),
+            RefreshStep::Read(_) => {}
+            RefreshStep::RequestFrom(sibling, until) => self.ask(number, &sibling.clone(), until),
         }
     }
 
