--- a/crates/anvil_policy/tests/rate_share.rs
+++ b/crates/anvil_policy/tests/rate_share.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use anvil_policy::rate_share::{Clocks, RateShare, Turn};
+use anvil_policy::rate_share::{Clocks, RateShare, RouterRank};
 use anvil_world::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -43,9 +43,9 @@
     let mut shares: Vec<_> = (0..routers)
         .map(|rank| {
             let mut share = RateShare::default();
-            share.told(Duration::ZERO, Some(limit));
+            share.set_limit(Duration::ZERO, Some(limit));
             let clock_offset = Duration::from_secs_f64(1.7e9 + skew_s * rng.random::<f64>());
-            (Turn { rank, routers }, share, clock_offset)
+            (RouterRank { rank, routers }, share, clock_offset)
         })
         .collect();
     let mut received = Vec::new();
@@ -54,7 +54,7 @@
         for (turn, share, clock_offset) in &mut shares {
             let time_of_day = *clock_offset + now;
             let at = Clocks { now, time_of_day };
-            if load.arrives(now, &mut rng) && share.send(at, *turn) {
+            if load.arrives(now, &mut rng) && share.try_send(at, *turn) {
                 received.push(now);
             }
         }
@@ -156,36 +156,36 @@
 /// Guards against an endpoint that gets no work after it has stopped announcing a limit.
 #[test]
 fn requests_are_not_limited_after_the_limit_is_removed() {
-    let turn = Turn {
+    let turn = RouterRank {
         rank: 0,
         routers: 16,
     };
     let mut share = RateShare::default();
-    assert!(share.told(Duration::ZERO, Some(1_000)));
-    assert!(share.send(at(0.1, 0.1), turn));
-    assert!(!share.send(at(0.2, 0.2), turn));
-    assert!(share.opens_in(at(0.2, 0.2), turn) > Duration::from_secs(12));
-    assert!(share.told(Duration::from_millis(300), None));
-    assert!((0..50).all(|_| share.send(at(0.4, 0.4), turn)));
+    assert!(share.set_limit(Duration::ZERO, Some(1_000)));
+    assert!(share.try_send(at(0.1, 0.1), turn));
+    assert!(!share.try_send(at(0.2, 0.2), turn));
+    assert!(share.time_until_send(at(0.2, 0.2), turn) > Duration::from_secs(12));
+    assert!(share.set_limit(Duration::from_millis(300), None));
+    assert!((0..50).all(|_| share.try_send(at(0.4, 0.4), turn)));
 }
 
 /// Guards against a router that sends again at once, because its time of day was set back or
 /// forward.
 #[test]
 fn setting_the_clock_allows_no_second_request() {
-    let turn = Turn {
+    let turn = RouterRank {
         rank: 1,
         routers: 16,
     };
     let mut share = RateShare::default();
-    share.told(Duration::ZERO, Some(1_000));
-    assert!(share.send(at(1.5, 1.5), turn));
-    assert!(!share.send(at(3.5, 1.6), turn));
+    share.set_limit(Duration::ZERO, Some(1_000));
+    assert!(share.try_send(at(1.5, 1.5), turn));
+    assert!(!share.try_send(at(3.5, 1.6), turn));
     assert!(
-        !share.send(at(4.0, 17.1), turn),
+        !share.try_send(at(4.0, 17.1), turn),
         "next window, but too soon after the last request"
     );
-    assert!(share.send(at(17.5, 17.5), turn));
+    assert!(share.try_send(at(17.5, 17.5), turn));
 }
 
 /// Guards against removing a limit because of a late answer from before the endpoint announced it.
@@ -193,15 +193,15 @@
 fn answer_to_an_earlier_request_does_not_remove_the_limit() {
     let mut share = RateShare::default();
     let ms = Duration::from_millis;
-    assert!(!share.heard(ms(100), ms(50), None));
-    assert!(share.heard(ms(200), ms(50), Some(2_000)));
-    assert!(!share.heard(ms(300), ms(150), None));
+    assert!(!share.apply_answer(ms(100), ms(50), None));
+    assert!(share.apply_answer(ms(200), ms(50), Some(2_000)));
+    assert!(!share.apply_answer(ms(300), ms(150), None));
     assert!(
-        share.heard(ms(300), ms(150), Some(1_000)),
+        share.apply_answer(ms(300), ms(150), Some(1_000)),
         "a lower limit applies"
     );
     assert_eq!(share.limit(), Some(1_000));
-    assert!(share.heard(ms(500), ms(250), None));
+    assert!(share.apply_answer(ms(500), ms(250), None));
     assert_eq!(share.limit(), None);
 }
 
@@ -209,15 +209,15 @@
 /// fallen.
 #[test]
 fn lowered_limit_applies_at_once() {
-    let turn = Turn {
+    let turn = RouterRank {
         rank: 0,
         routers: 4,
     };
     let mut share = RateShare::default();
-    share.told(Duration::ZERO, Some(400_000));
-    assert!(share.send(at(10.0, 10.0), turn));
-    share.told(Duration::from_secs(10), Some(4_000));
-    let sent = (0..400).filter(|n| share.send(at(10.0 + f64::from(*n) / 100.0, 10.0), turn));
+    share.set_limit(Duration::ZERO, Some(400_000));
+    assert!(share.try_send(at(10.0, 10.0), turn));
+    share.set_limit(Duration::from_secs(10), Some(4_000));
+    let sent = (0..400).filter(|n| share.try_send(at(10.0 + f64::from(*n) / 100.0, 10.0), turn));
     assert!(sent.count() <= 5);
 }
 
@@ -226,10 +226,10 @@
 fn extreme_limits_cause_no_panic_or_endless_wait() {
     for limit in [0, 1, RateLimit::MAX] {
         for routers in [0, 1, 99] {
-            let turn = Turn { rank: 98, routers };
+            let turn = RouterRank { rank: 98, routers };
             let mut share = RateShare::default();
-            share.told(Duration::ZERO, Some(limit));
-            let wait = share.opens_in(at(1.0, 1.7e9), turn);
+            share.set_limit(Duration::ZERO, Some(limit));
+            let wait = share.time_until_send(at(1.0, 1.7e9), turn);
             assert!(
                 wait < Duration::from_hours(1),
                 "{limit} {routers}: {wait:?}"
@@ -244,14 +244,14 @@
 fn part_of_an_ended_router_goes_to_the_others() {
     let mut shares: Vec<_> = (0..8).map(|_| RateShare::default()).collect();
     for share in &mut shares {
-        share.told(Duration::ZERO, Some(2_000));
+        share.set_limit(Duration::ZERO, Some(2_000));
     }
     let mut received = Vec::new();
     for step in 0..6_000u32 {
         let now = f64::from(step) / 100.0;
         let routers = if step < 2_000 { 8 } else { 3 };
         for (rank, share) in (0..routers).zip(&mut shares) {
-            if share.send(at(now, now), Turn { rank, routers }) {
+            if share.try_send(at(now, now), RouterRank { rank, routers }) {
                 received.push(Duration::from_secs_f64(now));
             }
         }
@@ -265,15 +265,15 @@
 /// limit was known.
 #[test]
 fn usage_counts_only_this_routers_part() {
-    let turn = Turn {
+    let turn = RouterRank {
         rank: 0,
         routers: 2,
     };
     let mut share = RateShare::default();
-    assert!(share.send(at(1.0, 1.0), turn));
-    share.told(Duration::from_secs(2), Some(4_000));
+    assert!(share.try_send(at(1.0, 1.0), turn));
+    share.set_limit(Duration::from_secs(2), Some(4_000));
     for second in [3.0, 4.0, 5.0] {
-        assert!(share.send(at(second, second), turn));
+        assert!(share.try_send(at(second, second), turn));
     }
-    assert_eq!(share.used(Duration::from_secs(12), turn), (3, 20_000));
+    assert_eq!(share.usage(Duration::from_secs(12), turn), (3, 20_000));
 }
--- a/crates/anvil_policy/tests/retry.rs
+++ b/crates/anvil_policy/tests/retry.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use anvil_policy::retry::{Repeat, RetryBudget, RetryRule};
+use anvil_policy::retry::{RetryBudget, RetryRule, RetrySafety};
 
 /// Retries that all routers together may make in ten seconds.
 const MAX_RETRIES: f64 = 60.0;
@@ -11,10 +11,10 @@
 fn rule_for(routers: u32) -> RetryRule {
     let max_retries = MAX_RETRIES / f64::from(routers);
     RetryRule {
-        part: 0.0,
-        reserve: 0.5 * max_retries,
-        each_second: 0.03 * max_retries,
-        most_tries: u32::MAX,
+        retry_ratio: 0.0,
+        max_saved: 0.5 * max_retries,
+        refill_per_s: 0.03 * max_retries,
+        max_attempts: u32::MAX,
         ..RetryRule::default()
     }
 }
@@ -25,7 +25,11 @@
     let mut count = 0;
     for ms in 0..10_000 {
         let now = Duration::from_secs(from) + Duration::from_millis(ms);
-        count += u32::from(budget.again(now, 1, Repeat::Safe, &mut rng).is_some());
+        count += u32::from(
+            budget
+                .next_backoff(now, 1, RetrySafety::Safe, &mut rng)
+                .is_some(),
+        );
     }
     count
 }
@@ -51,10 +55,10 @@
 fn larger_budget_does_not_restore_used_retries() {
     let mut budget = RetryBudget::new(rule_for(2));
     while budget
-        .again(Duration::ZERO, 1, Repeat::Safe, &mut rand::rng())
+        .next_backoff(Duration::ZERO, 1, RetrySafety::Safe, &mut rand::rng())
         .is_some()
     {}
     budget.set_rule(Duration::ZERO, rule_for(1));
-    let again = budget.again(Duration::ZERO, 1, Repeat::Safe, &mut rand::rng());
+    let again = budget.next_backoff(Duration::ZERO, 1, RetrySafety::Safe, &mut rand::rng());
     assert!(again.is_none());
 }
--- a/crates/anvil_policy/tests/sharing.rs
+++ b/crates/anvil_policy/tests/sharing.rs
@@ -23,8 +23,12 @@
     let mut retries = 0;
     for at in 0..60_000 {
         let now = Duration::from_millis(at);
-        budget.first_try(now);
-        retries += u32::from(budget.again(now, 1, Repeat::Safe, &mut rng).is_some());
+        budget.record_first_attempt(now);
+        retries += u32::from(
+            budget
+                .next_backoff(now, 1, RetrySafety::Safe, &mut rng)
+                .is_some(),
+        );
     }
     assert!((6_000..=6_200).contains(&retries), "{retries}");
 }
@@ -34,7 +38,7 @@
 fn non_idempotent_request_is_never_retried() {
     let mut budget = RetryBudget::default();
     assert_eq!(
-        budget.again(Duration::ZERO, 1, Repeat::Never, &mut rng()),
+        budget.next_backoff(Duration::ZERO, 1, RetrySafety::Unsafe, &mut rng()),
         None
     );
 }
@@ -46,7 +50,7 @@
     let mut budget = RetryBudget::default();
     let mut rng = rng();
     let backoffs: BTreeSet<_> = (0..100)
-        .filter_map(|_| budget.again(Duration::ZERO, 2, Repeat::Safe, &mut rng))
+        .filter_map(|_| budget.next_backoff(Duration::ZERO, 2, RetrySafety::Safe, &mut rng))
         .collect();
     assert!(backoffs.len() > 95);
     assert!(backoffs.last() <= Some(&Duration::from_millis(100)));
@@ -108,16 +112,16 @@
     let mut index = PrefixIndex::new(rule);
     let id: InstanceId = "runner".into();
     for hash in 0..10_000 {
-        index.sent(Duration::ZERO, &id, &[hash]);
+        index.record_sent(Duration::ZERO, &id, &[hash]);
     }
     assert_eq!(index.len(), 1_000);
     let event = |seq, change| CacheEvent { seq, change };
-    index.heard(Duration::ZERO, &id, &event(1, CacheChange::Added(7)));
-    index.heard(Duration::ZERO, &id, &event(9, CacheChange::Added(8)));
+    index.apply_event(Duration::ZERO, &id, &event(1, CacheChange::Added(7)));
+    index.apply_event(Duration::ZERO, &id, &event(9, CacheChange::Added(8)));
     // A late event, which must not undo a newer one.
-    index.heard(Duration::ZERO, &id, &event(2, CacheChange::Removed(8)));
+    index.apply_event(Duration::ZERO, &id, &event(2, CacheChange::Removed(8)));
     assert_eq!(index.holders(Duration::ZERO, &[7, 8]), [(id.clone(), 2)]);
-    index.heard(Duration::ZERO, &id, &event(10, CacheChange::Cleared));
+    index.apply_event(Duration::ZERO, &id, &event(10, CacheChange::Cleared));
     assert_eq!(index.holders(Duration::ZERO, &[7, 8]), []);
 }
 
--- a/crates/anvil_standins/src/load/policy/router.rs
+++ b/crates/anvil_standins/src/load/policy/router.rs
@@ -38,7 +38,7 @@
     pub rng: ChaCha8Rng,
     rule: Rule,
     pool: Pool,
-    gate: Gate,
+    gate: AdmissionGate,
     health: Health,
     prefix: PrefixIndex,
     estimate: Estimate,
@@ -61,7 +61,7 @@
         };
         let pool = Pool::new((0..scenario.endpoints).map(state).collect());
         let admission = AdmissionRule {
-            longest_wait: scenario.longest_wait,
+            max_wait: scenario.longest_wait,
             ..AdmissionRule::default()
         };
         let zone = scenario.zone(at);
@@ -69,7 +69,7 @@
             retries: RetryBudget::default(),
             rng: ChaCha8Rng::seed_from_u64(scenario.seed.wrapping_mul(1_000) + at as u64),
             rule: rule.clone(),
-            gate: Gate::new(admission).with_limit(pool.room()),
+            gate: AdmissionGate::new(admission).with_limit(pool.headroom()),
             health: Health::new(health_rule(scenario, rule)),
             prefix: PrefixIndex::default(),
             estimate: Estimate::default(),
@@ -96,7 +96,7 @@
 
     /// Decides on a newcomer.
     pub fn offer(&mut self, now: Now, at: usize, req: &Request) -> Entry {
-        self.retries.first_try(now);
+        self.retries.record_first_attempt(now);
         match self.rule.entry {
             EntryRule::NoLimit => Entry::Go,
             EntryRule::Fifo => self.offer_fifo(at),
@@ -105,7 +105,7 @@
     }
 
     fn offer_fifo(&mut self, at: usize) -> Entry {
-        if self.fifo.is_empty() && self.pool.room() > 0 {
+        if self.fifo.is_empty() && self.pool.headroom() > 0 {
             return Entry::Go;
         }
         if self.fifo.len() >= FIFO_LENGTH {
@@ -121,13 +121,13 @@
             weight: 1,
             class: req.class,
             prompt: req.prompt,
-            service: self.estimate.service(req.prompt, req.output_bound),
+            service: self.estimate.service_time(req.prompt, req.output_bound),
             deadline: req.deadline,
         };
         match self.gate.offer(now, ticket) {
-            Verdict::Go => Entry::Go,
-            Verdict::Refuse(refusal) => Entry::Refuse(refusal),
-            Verdict::Wait(id) => {
+            AdmissionDecision::Run => Entry::Go,
+            AdmissionDecision::Refuse(refusal) => Entry::Refuse(refusal),
+            AdmissionDecision::Wait(id) => {
                 self.waiters.insert(id, at);
                 Entry::Wait
             }
@@ -137,7 +137,7 @@
     /// The next waiting request that may go, with its place to go back to.
     pub fn next(&mut self, now: Now) -> Option<(usize, Option<Waiter>)> {
         if self.rule.entry == EntryRule::Fifo {
-            let free = self.pool.room() > 0;
+            let free = self.pool.headroom() > 0;
             return free
                 .then(|| self.fifo.pop_front())
                 .flatten()
@@ -155,12 +155,12 @@
             return;
         }
         let waiter = waiter.unwrap_or_else(|| self.as_waiter(now, req));
-        let id = self.gate.put_back(now, &waiter);
+        let id = self.gate.requeue(now, &waiter);
         self.waiters.insert(id, at);
     }
 
     fn as_waiter(&self, now: Now, req: &Request) -> Waiter {
-        let service = self.estimate.service(req.prompt, req.output_bound);
+        let service = self.estimate.service_time(req.prompt, req.output_bound);
         Waiter {
             id: 0,
             arrived: now,
@@ -195,7 +195,7 @@
         }?;
         self.endpoint(chosen).start();
         let id = self.endpoint(chosen).id.clone();
-        self.prefix.sent(now, &id, &[req.prefix]);
+        self.prefix.record_sent(now, &id, &[req.prefix]);
         Some(chosen)
     }
 
@@ -205,7 +205,7 @@
             let holders = self.prefix.holders(now, &[req.prefix]).into_iter();
             cached.extend(holders.map(|(id, _)| (id, req.prefix_tokens)));
         }
-        let ask = Ask {
+        let ask = ChoiceRequest {
             prompt: req.prompt,
             cached: &cached,
             avoid: &req.avoid,
@@ -213,9 +213,9 @@
         match self.chooser.choose(&self.pool, &ask, &mut self.rng) {
             Choice::Endpoint(endpoint) => endpoint_at(&endpoint.id),
             Choice::Full if self.rule.entry == EntryRule::NoLimit => {
-                self.by_least(EndpointState::pressure)
+                self.by_least(EndpointState::estimated_load)
             }
-            Choice::Full | Choice::Nowhere => None,
+            Choice::Full | Choice::Unserved => None,
         }
     }
 
@@ -237,15 +237,15 @@
     }
 
     /// A try has ended; `answered` is nothing when the endpoint failed.
-    pub fn ended(&mut self, now: Now, endpoint: usize, answered: Option<Finished>) {
+    pub fn ended(&mut self, now: Now, endpoint: usize, answered: Option<FinishedRequest>) {
         let state = Arc::clone(self.endpoint(endpoint));
         state.finish();
         let Some(finished) = answered else {
-            self.health.observe(now, &state, &Ended::Failed);
+            self.health.observe(now, &state, &AttemptResult::Failed);
             return;
         };
         let latency = latency_of(&self.estimate, &finished);
-        let ended = Ended::Answered(latency);
+        let ended = AttemptResult::Answered(latency);
         self.health.observe(now, &state, &ended);
         self.estimate.learn(&finished);
     }
@@ -257,7 +257,7 @@
 
     /// Looks at room; often.
     pub fn tick(&mut self) {
-        let limit = self.gate.running().saturating_add(self.pool.room());
+        let limit = self.gate.running().saturating_add(self.pool.headroom());
         self.gate.set_limit(limit);
     }
 
@@ -275,7 +275,7 @@
     /// Takes in a cache event.
     pub fn heard(&mut self, now: Now, endpoint: usize, event: &CacheEvent) {
         let id = self.endpoint(endpoint).id.clone();
-        self.prefix.heard(now, &id, event);
+        self.prefix.apply_event(now, &id, event);
     }
 }
 
@@ -287,25 +287,25 @@
     };
     match rule.without {
         Some(Part::Limit) => {
-            health.limit.keep = 1.0;
-            health.limit.first = 1.0;
-            health.limit.between = Duration::MAX;
+            health.limit.min_kept = 1.0;
+            health.limit.initial_part = 1.0;
+            health.limit.max_token_gap = Duration::MAX;
         }
-        Some(Part::Ejection) => health.ejection.most = 0.0,
-        Some(Part::LimitStart) => health.limit.first = 1.0,
+        Some(Part::Ejection) => health.ejection.max_ejected = 0.0,
+        Some(Part::LimitStart) => health.limit.initial_part = 1.0,
         Some(Part::Prefix) | None => {}
     }
     health
 }
 
 /// What a finished try says of its endpoint: its prompt's own prefill is not its fault.
-fn latency_of(estimate: &Estimate, finished: &Finished) -> Latency {
-    let prefill = estimate.prefill(finished.prompt);
+fn latency_of(estimate: &Estimate, finished: &FinishedRequest) -> Latency {
+    let prefill = estimate.prefill_time(finished.prompt);
     let rest = finished.total.saturating_sub(finished.first_token);
     let gaps = u32::try_from(finished.output.saturating_sub(1)).unwrap_or(u32::MAX);
     Latency {
-        first: finished.first_token.saturating_sub(prefill),
-        between: rest.checked_div(gaps).unwrap_or_default(),
+        first_token: finished.first_token.saturating_sub(prefill),
+        token_gap: rest.checked_div(gaps).unwrap_or_default(),
     }
 }
 
--- a/crates/anvil_standins/src/load/policy/world.rs
+++ b/crates/anvil_standins/src/load/policy/world.rs
@@ -228,7 +228,7 @@
         let Some(going) = req.going.take() else {
             return;
         };
-        let finished = Finished {
+        let finished = FinishedRequest {
             prompt: req.prompt,
             output_bound: req.output_bound,
             output: req.made - going.made_before,
@@ -256,7 +256,9 @@
         router.ended(now, going.endpoint, None);
         req.avoid.push(router.endpoint(going.endpoint).id.clone());
         let rng = &mut router.rng;
-        let pause = router.retries.again(now, req.tries, Repeat::Safe, rng);
+        let pause = router
+            .retries
+            .next_backoff(now, req.tries, RetrySafety::Safe, rng);
         if let Some(pause) = pause {
             self.at(now + pause, Event::Again(at));
             return;
--- a/crates/anvil_standins/src/load/scenario.rs
+++ b/crates/anvil_standins/src/load/scenario.rs
@@ -9,7 +9,7 @@
 
 use anvil_world::document::WorkClass;
 use anvil_world::prelude::*;
-use anvil_world::settings::{EndpointKind, read};
+use anvil_world::settings::{EndpointKind, parse_settings};
 use serde::{Deserialize, Serialize};
 use snafu::ResultExt;
 
@@ -285,7 +285,7 @@
     pub fn load(path: &Path) -> Result<Self, Error> {
         let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
         let name = path.display().to_string();
-        read(&name, &text).context(ScenarioSnafu { path })
+        parse_settings(&name, &text).context(ScenarioSnafu { path })
     }
 
     /// Each endpoint, in order, with its group and its zone.
--- a/crates/anvil_wire/src/error.rs
+++ b/crates/anvil_wire/src/error.rs
@@ -93,7 +93,7 @@
     ///
     /// Stronger than [`WireError::never_sent`]: an unreachable process may still be running, but one
     /// whose address refuses connections is not.
-    pub fn nobody_listens(&self) -> bool {
+    pub fn is_connection_refused(&self) -> bool {
         let Self::Connect { source, .. } = self else {
             return false;
         };
--- a/crates/anvil_wire/src/lib.rs
+++ b/crates/anvil_wire/src/lib.rs
@@ -31,4 +31,4 @@
 pub use channel::{Channel, Replies};
 pub use codec::{MAX_MESSAGE_BYTES, decode, encode};
 pub use error::WireError;
-pub use server::{Handlers, Replier, Server};
+pub use server::{Handlers, ReplySender, Server};
--- a/crates/anvil_wire/src/msg.rs
+++ b/crates/anvil_wire/src/msg.rs
@@ -6,12 +6,13 @@
 mod sidecar;
 
 pub use ledger::{
-    AuditFilter, BudgetView, Evidence, FollowEvent, Heartbeat, HeartbeatReply, InForce, Interest,
+    AuditFilter, BudgetView, ChargeEvidence, FollowEvent, FollowScope, Heartbeat, HeartbeatReply,
     KeyCharge, LedgerCall, LedgerReply, LedgerRequest, LedgerStatus, Query, QueryAnswer,
+    VersionRollout,
 };
-pub use listing::{ListAsk, ListCall, ListNews, ListReply, ListVersion, Listed};
-pub use router::{HolderLife, PlacedClaim, RouterCall, RouterReply, RouterRequest};
+pub use listing::{ListCall, ListDigest, ListReply, ListRequest, ListUpdate, ListedEndpoint};
+pub use router::{ClaimHolder, IdempotentClaim, RouterCall, RouterReply, RouterRequest};
 pub use sidecar::{
-    EndpointLoad, Frame, Head, OrderResult, Payment, ProbeAnswer, ReservationId, RunEnd,
-    SidecarCall, SidecarReply, SidecarRequest, Start, Work,
+    EndpointLoad, Frame, OrderResult, Payment, ProbeAnswer, ReservationId, ResponseHead, RunEnd,
+    SidecarCall, SidecarReply, SidecarRequest, StartRequest, Work,
 };
--- a/crates/anvil_wire/src/msg/ledger.rs
+++ b/crates/anvil_wire/src/msg/ledger.rs
@@ -35,7 +35,7 @@
         /// The follower.
         instance: InstanceId,
         /// The part of the state to send.
-        interest: Interest,
+        interest: FollowScope,
         /// The newest version the follower has, 0 for none.
         version: LogIndex,
     },
@@ -43,7 +43,7 @@
 
 /// Which part of the state a follower needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Interest {
+pub enum FollowScope {
     /// The whole settings tree, the members, the fenced routers, and the routers' reports on endpoints.
     Router,
     /// The fleet document, the follower's own presence and the fenced routers.
@@ -62,7 +62,7 @@
     pub version: LogIndex,
     /// From a sidecar: the charges under the grants of fenced routers. One entry for each fenced router,
     /// even without charges; withheld while a run of that router is in flight.
-    pub evidence: Vec<Evidence>,
+    pub evidence: Vec<ChargeEvidence>,
     /// Whether the sender is leaving and takes no new work.
     pub leaving: bool,
 }
@@ -72,7 +72,7 @@
 /// It is final: the sidecar has refused the fenced incarnations since before it collected the charges,
 /// and none of their runs is in flight.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Evidence {
+pub struct ChargeEvidence {
     /// The fenced router.
     pub router: InstanceId,
     /// The newest fenced incarnation; older ones are included.
@@ -122,7 +122,7 @@
         /// Routers whose grants are refused, with the newest fenced incarnation.
         fenced: BTreeMap<InstanceId, Incarnation>,
         /// Suspect requests.
-        suspects: BTreeMap<RequestDigest, Suspect>,
+        suspects: BTreeMap<RequestDigest, SuspectRequest>,
         /// Rate limits that endpoints announced.
         limits: BTreeMap<InstanceId, EndpointLimit>,
     },
@@ -137,7 +137,7 @@
         /// Newly fenced routers.
         fenced: Vec<(InstanceId, Incarnation)>,
         /// Suspect requests.
-        suspects: Vec<(RequestDigest, Option<Suspect>)>,
+        suspects: Vec<(RequestDigest, Option<SuspectRequest>)>,
         /// Rate limits that endpoints announced.
         limits: Vec<(InstanceId, Option<EndpointLimit>)>,
     },
@@ -202,7 +202,7 @@
     /// See [`Query::Audit`].
     Audit(Vec<AuditEntry>),
     /// See [`Query::InForce`].
-    InForce(InForce),
+    InForce(VersionRollout),
     /// See [`Query::Claim`].
     Claim(Option<anvil_world::command::ClaimRecord>),
     /// See [`Query::Fencing`].
@@ -239,7 +239,7 @@
 
 /// The rollout of a version: which instances have it in force.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct InForce {
+pub struct VersionRollout {
     /// Instances that have it in force.
     pub there: BTreeSet<InstanceId>,
     /// Live instances that still have an older version or sent no heartbeat yet, with the time since
--- a/crates/anvil_wire/src/msg/listing.rs
+++ b/crates/anvil_wire/src/msg/listing.rs
@@ -15,16 +15,16 @@
 
 impl Call for ListCall {
     const PATH: &'static str = "/list";
-    type Req = ListAsk;
+    type Req = ListRequest;
     type Resp = ListReply;
 }
 
 /// Digest of the content of an endpoint list; 0 for no list.
-pub type ListVersion = u64;
+pub type ListDigest = u64;
 
 /// One endpoint on the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedEndpoint {
     /// Id of the endpoint in its current incarnation.
     pub id: InstanceId,
     /// The service it belongs to.
@@ -41,9 +41,9 @@
 
 /// A router's request for a list newer than its own.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ListAsk {
+pub struct ListRequest {
     /// Digest of the sender's list.
-    pub have: ListVersion,
+    pub have: ListDigest,
     /// Maximum age of the list, counted back from this request: the reply is sent as soon as such a list
     /// is available. With zero the sender has found its list to be wrong and wants it read again.
     pub read_within: Duration,
@@ -59,12 +59,12 @@
     /// How long the reply was delayed, by the replying router's clock.
     pub held_for: Duration,
     /// The difference.
-    pub news: ListNews,
+    pub news: ListUpdate,
 }
 
 /// How the replying router's list differs from the list of the router that sent the request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ListNews {
+pub enum ListUpdate {
     /// No list has been read yet.
     Nothing,
     /// The lists are equal.
@@ -72,17 +72,17 @@
     /// The lists differ in these endpoints.
     Changes {
         /// Digest of the list after these changes.
-        version: ListVersion,
+        version: ListDigest,
         /// New and changed endpoints.
-        listed: Vec<Listed>,
+        listed: Vec<ListedEndpoint>,
         /// Endpoints that are no longer listed.
         gone: Vec<InstanceId>,
     },
     /// The other router's list is no longer known here; this is the complete list.
     Whole {
         /// Digest of the list.
-        version: ListVersion,
+        version: ListDigest,
         /// All endpoints.
-        listed: Vec<Listed>,
+        listed: Vec<ListedEndpoint>,
     },
 }
--- a/crates/anvil_wire/src/msg/router.rs
+++ b/crates/anvil_wire/src/msg/router.rs
@@ -21,7 +21,7 @@
 
 /// The claim of an idempotent request: which sidecar runs it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlacedClaim {
+pub struct IdempotentClaim {
     /// The request.
     pub key: RequestKey,
     /// Hash of its body.
@@ -36,7 +36,7 @@
 
 /// A router, in one incarnation, that holds claims.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HolderLife {
+pub struct ClaimHolder {
     /// The router.
     pub id: InstanceId,
     /// Its incarnation.
@@ -47,15 +47,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouterRequest {
     /// Stores this claim, unless the key has one already. Reply: `Claim` with the first one.
-    Put(PlacedClaim),
+    Put(IdempotentClaim),
     /// Stores this claim, unless the key has one already, and confirms it as one of the key's holders
     /// if possible. Reply: `Claim` with the first one; `Leaving` from a router that stores the claim
     /// but can't confirm it.
     PutAs {
         /// The claim.
-        claim: PlacedClaim,
+        claim: IdempotentClaim,
         /// The holders of this key, according to the sender's view of the membership.
-        holders: Vec<HolderLife>,
+        holders: Vec<ClaimHolder>,
     },
     /// Replaces a claim whose sidecar is lost or has reported that it will never run the request.
     /// Reply: `Claim`.
@@ -63,19 +63,19 @@
         /// The sidecar of the claim to replace; a claim with another sidecar is kept.
         old: InstanceId,
         /// The new claim.
-        new: PlacedClaim,
+        new: IdempotentClaim,
     },
     /// Reads the claim of a key. Reply: `Claim`.
     Get(RequestKey),
     /// Transfers the claims of a leaving router. Reply: `Kept`.
-    HandOver(Vec<PlacedClaim>),
+    HandOver(Vec<IdempotentClaim>),
 }
 
 /// A reply of a router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouterReply {
     /// The claim of the key, if any.
-    Claim(Option<PlacedClaim>),
+    Claim(Option<IdempotentClaim>),
     /// The transferred claims are stored.
     Kept,
     /// This router is leaving, so it can't confirm a new claim.
--- a/crates/anvil_wire/src/msg/sidecar.rs
+++ b/crates/anvil_wire/src/msg/sidecar.rs
@@ -26,7 +26,7 @@
 pub enum SidecarRequest {
     /// Runs a request once, or attaches to the run that its key already has. Replies: `Accepted`,
     /// optionally `Head`, then `Frame`s and `End`; or only `Refused`.
-    Start(Box<Start>),
+    Start(Box<StartRequest>),
     /// Attaches to a run without ever starting one. Replies as for `Start`, or `Probed(Unheard)`.
     Attach {
         /// The request.
@@ -72,7 +72,7 @@
 
 /// A request to be run, with its payment and limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Start {
+pub struct StartRequest {
     /// The request.
     pub key: RequestKey,
     /// The sidecar's incarnation that it is sent to; another one refuses it.
@@ -139,7 +139,7 @@
 
 impl Payment {
     /// The identity of the reservation.
-    pub fn payer(&self) -> ReservationId {
+    pub fn reservation(&self) -> ReservationId {
         ReservationId {
             router: self.router.clone(),
             incarnation: self.incarnation,
@@ -175,7 +175,7 @@
 
 /// Status and headers of a plain service's answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
+pub struct ResponseHead {
     /// HTTP status.
     pub status: u16,
     /// Headers forwarded to the caller.
@@ -290,7 +290,7 @@
         body: BodyHash,
     },
     /// Status and headers of the answer.
-    Head(Head),
+    Head(ResponseHead),
     /// A chunk of output.
     Frame(Frame),
     /// The end of the run.
--- a/crates/anvil_wire/src/server.rs
+++ b/crates/anvil_wire/src/server.rs
@@ -44,7 +44,7 @@
     pub fn with<C, F, Fut>(mut self, f: F) -> Self
     where
         C: Call,
-        F: Fn(C::Req, Replier<C::Resp>) -> Fut + Send + Sync + 'static,
+        F: Fn(C::Req, ReplySender<C::Resp>) -> Fut + Send + Sync + 'static,
         Fut: Future<Output = ()> + Send + 'static,
     {
         let f = Arc::new(f);
@@ -66,7 +66,7 @@
 async fn read_request<C: Call>(
     mut input: RecvStream,
     mut respond: SendResponse<Bytes>,
-) -> Result<(C::Req, Replier<C::Resp>), WireError> {
+) -> Result<(C::Req, ReplySender<C::Resp>), WireError> {
     let mut buf = BytesMut::new();
     let req = loop {
         if let Some(req) = decode(&mut buf)? {
@@ -80,7 +80,7 @@
     };
     let out = respond.send_response(Response::new(()), false);
     let out = out.context(BrokenSnafu)?;
-    let replier = Replier {
+    let replier = ReplySender {
         out,
         resp: PhantomData,
     };
@@ -88,12 +88,12 @@
 }
 
 /// Sends the replies of one call to the client. Dropping it ends the stream of replies.
-pub struct Replier<T> {
+pub struct ReplySender<T> {
     out: SendStream<Bytes>,
     resp: PhantomData<fn(T)>,
 }
 
-impl<T: Serialize + DeserializeOwned> Replier<T> {
+impl<T: Serialize + DeserializeOwned> ReplySender<T> {
     /// Sends one reply; waits while the flow-control window is exhausted.
     pub async fn send(&mut self, reply: &T) -> Result<(), WireError> {
         let mut rest = encode(reply)?;
@@ -113,13 +113,13 @@
     }
 
     /// Returns when the client has cancelled the call or its connection is lost.
-    pub async fn abandoned(&mut self) {
+    pub async fn cancelled(&mut self) {
         // A reset and a broken connection mean the same here: the client receives nothing any more.
         let _ = poll_fn(|cx| self.out.poll_reset(cx)).await;
     }
 }
 
-impl<T> Drop for Replier<T> {
+impl<T> Drop for ReplySender<T> {
     fn drop(&mut self) {
         // Fails only if the stream has ended already.
         let _ = self.out.send_data(Bytes::new(), true);
--- a/crates/anvil_wire/tests/exchange.rs
+++ b/crates/anvil_wire/tests/exchange.rs
@@ -52,7 +52,7 @@
     let unused = Server::bind(([127, 0, 0, 1], 0).into()).await?.addr()?;
     let channel = Channel::new(unused);
     let failed = channel.call::<Count>(&1, Duration::from_secs(1)).await;
-    assert!(failed.is_err_and(|e| e.never_sent() && e.nobody_listens()));
+    assert!(failed.is_err_and(|e| e.never_sent() && e.is_connection_refused()));
     Ok(())
 }
 
--- a/crates/anvil_world/src/command.rs
+++ b/crates/anvil_world/src/command.rs
@@ -15,14 +15,16 @@
 
 use serde::{Deserialize, Serialize};
 
-pub use answer::{Answer, Denial, Noun};
+pub use answer::{Answer, Denial, EntityKind};
 pub use change::{
-    AuditEntry, Change, ChangeReceipt, Edit, TopUp, WriteOff, change_id, change_made_at,
+    AuditEntry, Change, ChangeReceipt, Edit, TopUp, WriteOff, change_id, change_id_time,
 };
 pub use claim::{Claim, ClaimRecord, ClaimState, SettleClaim};
 pub use crash::{ClearSuspects, ReportCrash};
 pub use fencing::{FenceNumber, Order, OrderKind};
-pub use grants::{FenceRouter, GrantAsk, GrantBatch, GrantBatchAnswer, GrantRefusal, GrantReport};
+pub use grants::{
+    FenceRouter, GrantBatch, GrantBatchAnswer, GrantRefusal, GrantReport, GrantRequest,
+};
 pub use limit::ReportLimit;
 pub use membership::{Drain, Join, SetPresence};
 pub use replace::ReplaceRouting;
--- a/crates/anvil_world/src/command/answer.rs
+++ b/crates/anvil_world/src/command/answer.rs
@@ -97,7 +97,7 @@
     #[snafu(display("no such {what}: {name}"))]
     Unknown {
         /// The kind of the unknown name.
-        what: Noun,
+        what: EntityKind,
         /// The unknown name.
         name: String,
     },
@@ -108,7 +108,7 @@
 
 /// The kind of an unknown name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Noun {
+pub enum EntityKind {
     /// A budget.
     Budget,
     /// An instance.
@@ -121,7 +121,7 @@
     Path,
 }
 
-impl std::fmt::Display for Noun {
+impl std::fmt::Display for EntityKind {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Self::Budget => "budget",
--- a/crates/anvil_world/src/command/change.rs
+++ b/crates/anvil_world/src/command/change.rs
@@ -18,7 +18,7 @@
 }
 
 /// The time in a change id; `None` if the id has no valid time.
-pub fn change_made_at(id: &str) -> Option<SystemTime> {
+pub fn change_id_time(id: &str) -> Option<SystemTime> {
     let (millis, _) = id.split_once('-')?;
     let since = Duration::from_millis(millis.parse().ok()?);
     UNIX_EPOCH.checked_add(since)
--- a/crates/anvil_world/src/command/grants.rs
+++ b/crates/anvil_world/src/command/grants.rs
@@ -20,7 +20,7 @@
     /// Cumulative charges of open grants.
     pub reports: Vec<GrantReport>,
     /// Requests for new grants.
-    pub asks: Vec<GrantAsk>,
+    pub asks: Vec<GrantRequest>,
 }
 
 /// A router's cumulative report on one grant.
@@ -39,7 +39,7 @@
 
 /// A request for a new grant.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct GrantAsk {
+pub struct GrantRequest {
     /// The budget.
     pub budget: BudgetId,
     /// Tokens that cover the demand.
--- a/crates/anvil_world/src/contract/budget.rs
+++ b/crates/anvil_world/src/contract/budget.rs
@@ -36,7 +36,7 @@
     }
 
     /// Whether the invariant holds: no more is granted and charged than was paid in.
-    pub fn holds(&self) -> bool {
+    pub fn invariant_holds(&self) -> bool {
         self.billed
             .checked_add(self.outstanding())
             .is_some_and(|used| used <= self.credited)
@@ -82,7 +82,7 @@
 
     /// Records the cumulative amount returned from an open grant; one below the recorded amount
     /// changes nothing.
-    pub fn give_back(&mut self, id: GrantId, returned: Tokens) -> Result<(), ContractError> {
+    pub fn return_tokens(&mut self, id: GrantId, returned: Tokens) -> Result<(), ContractError> {
         let grant = self.open.get_mut(&id);
         let grant = grant.ok_or(ContractError::NoGrant { grant: id })?;
         let returned = returned.max(grant.returned);
@@ -105,7 +105,7 @@
     }
 
     /// Sets a grant's state to recalled or fenced. A fenced grant stays fenced.
-    pub fn mark(&mut self, id: GrantId, state: GrantState) -> Result<(), ContractError> {
+    pub fn set_state(&mut self, id: GrantId, state: GrantState) -> Result<(), ContractError> {
         let grant = self.open.get_mut(&id);
         let grant = grant.ok_or(ContractError::NoGrant { grant: id })?;
         if grant.state != GrantState::Fenced {
--- a/crates/anvil_world/src/contract/price.rs
+++ b/crates/anvil_world/src/contract/price.rs
@@ -39,7 +39,7 @@
 
 impl Price {
     /// The cost of a usage in budget tokens. Saturates at the maximum instead of wrapping.
-    pub fn of(&self, usage: Usage) -> Tokens {
+    pub fn cost(&self, usage: Usage) -> Tokens {
         let prompt = self.prompt.saturating_mul(usage.prompt);
         let output = self.output.saturating_mul(usage.output);
         let calls = self.call.saturating_mul(usage.calls);
--- a/crates/anvil_world/src/contract/split.rs
+++ b/crates/anvil_world/src/contract/split.rs
@@ -19,7 +19,7 @@
 
 impl Split {
     /// One budget pays everything.
-    pub fn whole(budget: BudgetId) -> Self {
+    pub fn single_payer(budget: BudgetId) -> Self {
         Self {
             weights: BTreeMap::from([(budget, 1)]),
         }
--- a/crates/anvil_world/src/document.rs
+++ b/crates/anvil_world/src/document.rs
@@ -19,7 +19,7 @@
 pub use team::{KEY_HASH_PREFIX, TeamDocument, WorkClass, key_hash};
 
 use crate::path::TreePath;
-use crate::settings::{SettingsError, read};
+use crate::settings::{SettingsError, parse_settings};
 
 /// A validated document; the variant follows from its path.
 #[derive(Debug, Clone, PartialEq)]
@@ -46,13 +46,13 @@
     pub fn check(path: &TreePath, text: &str) -> Result<Self, SettingsError> {
         let name = path.to_string();
         Ok(match path {
-            TreePath::Fleet => Self::Fleet(read(&name, text)?),
+            TreePath::Fleet => Self::Fleet(parse_settings(&name, text)?),
             TreePath::Routing => Self::Routing,
-            TreePath::Budget(_) => Self::Budget(read(&name, text)?),
-            TreePath::Model(_) => Self::Model(read(&name, text)?),
-            TreePath::Organisation(_) => Self::Organisation(read(&name, text)?),
-            TreePath::Service(_) => Self::Service(read(&name, text)?),
-            TreePath::Team(_) => Self::Team(read(&name, text)?),
+            TreePath::Budget(_) => Self::Budget(parse_settings(&name, text)?),
+            TreePath::Model(_) => Self::Model(parse_settings(&name, text)?),
+            TreePath::Organisation(_) => Self::Organisation(parse_settings(&name, text)?),
+            TreePath::Service(_) => Self::Service(parse_settings(&name, text)?),
+            TreePath::Team(_) => Self::Team(parse_settings(&name, text)?),
         })
     }
 }
--- a/crates/anvil_world/src/document/budget.rs
+++ b/crates/anvil_world/src/document/budget.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{OrganisationId, Tokens};
-use crate::settings::{Check, Problem};
+use crate::settings::{Problem, Validate};
 
 /// Declares a prepaid budget. Tokens are credited by top-ups only, never through this document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -16,8 +16,8 @@
     pub warn_below: Tokens,
 }
 
-impl Check for BudgetDocument {
+impl Validate for BudgetDocument {
     fn problems(&self) -> Vec<Problem> {
-        Problem::name("organisation", &self.organisation)
+        Problem::check_name("organisation", &self.organisation)
     }
 }
--- a/crates/anvil_world/src/document/fleet.rs
+++ b/crates/anvil_world/src/document/fleet.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::settings::{Check, Problem};
+use crate::settings::{Problem, Validate};
 
 /// Settings of the whole fleet. Every field has a default, so an empty document is valid.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -47,7 +47,7 @@
     }
 }
 
-impl Check for FleetDocument {
+impl Validate for FleetDocument {
     fn problems(&self) -> Vec<Problem> {
         let day = 86_400;
         let mut found = Vec::new();
@@ -59,9 +59,13 @@
             ("keep_claims", self.keep_claims),
             ("grant_horizon", self.grant_horizon),
         ] {
-            found.extend(Problem::range(key, value.as_secs(), 1..=day));
+            found.extend(Problem::check_range(key, value.as_secs(), 1..=day));
         }
-        found.extend(Problem::range("max_body", self.max_body, 1_024..=(1 << 30)));
+        found.extend(Problem::check_range(
+            "max_body",
+            self.max_body,
+            1_024..=(1 << 30),
+        ));
         found
     }
 }
--- a/crates/anvil_world/src/document/model.rs
+++ b/crates/anvil_world/src/document/model.rs
@@ -4,7 +4,7 @@
 
 use crate::contract::Price;
 use crate::ids::{ServiceId, Tokens};
-use crate::settings::{Check, Problem};
+use crate::settings::{Problem, Validate};
 
 /// A model that callers may request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -38,16 +38,20 @@
     1
 }
 
-impl Check for ModelDocument {
+impl Validate for ModelDocument {
     fn problems(&self) -> Vec<Problem> {
-        let mut found = Problem::name("service", &self.service);
-        found.extend(Problem::range("max_output", self.max_output, 1..=1_000_000));
-        found.extend(Problem::range(
+        let mut found = Problem::check_name("service", &self.service);
+        found.extend(Problem::check_range(
+            "max_output",
+            self.max_output,
+            1..=1_000_000,
+        ));
+        found.extend(Problem::check_range(
             "max_prompt",
             self.max_prompt,
             1..=10_000_000,
         ));
-        found.extend(Problem::range(
+        found.extend(Problem::check_range(
             "replicas",
             u64::from(self.replicas),
             1..=10_000,
--- a/crates/anvil_world/src/document/organisation.rs
+++ b/crates/anvil_world/src/document/organisation.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::settings::{Check, Problem};
+use crate::settings::{Problem, Validate};
 
 /// An organisation: the unit of fair sharing when requests queue.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -18,8 +18,8 @@
     }
 }
 
-impl Check for OrganisationDocument {
+impl Validate for OrganisationDocument {
     fn problems(&self) -> Vec<Problem> {
-        Problem::range("weight", u64::from(self.weight), 1..=1_000)
+        Problem::check_range("weight", u64::from(self.weight), 1..=1_000)
     }
 }
--- a/crates/anvil_world/src/document/service.rs
+++ b/crates/anvil_world/src/document/service.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::contract::Price;
-use crate::settings::{Check, Problem};
+use crate::settings::{Problem, Validate};
 
 /// The kind of a service's endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,7 +44,7 @@
     }
 }
 
-impl Check for ServiceDocument {
+impl Validate for ServiceDocument {
     fn problems(&self) -> Vec<Problem> {
         Vec::new()
     }
--- a/crates/anvil_world/src/document/team.rs
+++ b/crates/anvil_world/src/document/team.rs
@@ -8,7 +8,7 @@
 
 use crate::contract::Split;
 use crate::ids::{ModelId, OrganisationId, ServiceId};
-use crate::settings::{Check, Problem};
+use crate::settings::{Problem, Validate};
 
 /// Prefix of a stored bearer key digest, before the hexadecimal digits.
 pub const KEY_HASH_PREFIX: &str = "sha256:";
@@ -76,9 +76,9 @@
     })
 }
 
-impl Check for TeamDocument {
+impl Validate for TeamDocument {
     fn problems(&self) -> Vec<Problem> {
-        let mut found = Problem::name("organisation", &self.organisation);
+        let mut found = Problem::check_name("organisation", &self.organisation);
         for key in self.keys.iter().filter(|key| !is_key_hash(key)) {
             found.push(Problem::new(
                 "keys",
@@ -87,7 +87,7 @@
             ));
         }
         for budget in self.split.budgets() {
-            found.extend(Problem::name("split", budget));
+            found.extend(Problem::check_name("split", budget));
         }
         found
     }
--- a/crates/anvil_world/src/outcome.rs
+++ b/crates/anvil_world/src/outcome.rs
@@ -26,13 +26,13 @@
     /// It ran to its end and is charged once.
     Completed(Usage),
     /// It may have run; anvilreel never runs it again.
-    Unknown(Doubt),
+    Unknown(UnknownCause),
 }
 
 /// Why a request that may have run has no complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Doubt {
+pub enum UnknownCause {
     /// The endpoint was lost after the call was sent.
     EndpointLost,
     /// The sidecar that holds the run can't be reached.
--- a/crates/anvil_world/src/settings.rs
+++ b/crates/anvil_world/src/settings.rs
@@ -8,7 +8,7 @@
 mod router;
 mod sidecar;
 
-pub use check::{Check, Problem, SettingsError, read};
+pub use check::{Problem, SettingsError, Validate, parse_settings};
 pub use ledger::{LedgerSettings, Peer};
 pub use router::RouterSettings;
 pub use sidecar::{EndpointKind, EndpointSettings, SidecarSettings};
--- a/crates/anvil_world/src/settings/check.rs
+++ b/crates/anvil_world/src/settings/check.rs
@@ -54,7 +54,7 @@
     }
 
     /// Checks that `value` is a valid name; returns the problem if it is not.
-    pub fn name(key: &str, value: &str) -> Vec<Self> {
+    pub fn check_name(key: &str, value: &str) -> Vec<Self> {
         let allowed = "a name of a-z, 0-9, '-', '_' and '.', 64 bytes at most";
         match checked_name(value) {
             Ok(_) => Vec::new(),
@@ -63,7 +63,7 @@
     }
 
     /// Checks that `value` is in the allowed range; returns the problem if it is not.
-    pub fn range(key: &str, value: u64, allowed: RangeInclusive<u64>) -> Vec<Self> {
+    pub fn check_range(key: &str, value: u64, allowed: RangeInclusive<u64>) -> Vec<Self> {
         if allowed.contains(&value) {
             return Vec::new();
         }
@@ -73,13 +73,16 @@
 }
 
 /// Settings that can validate their values.
-pub trait Check {
+pub trait Validate {
     /// All values that are not allowed.
     fn problems(&self) -> Vec<Problem>;
 }
 
 /// Parses settings text and validates all its values. `file` is the name used in errors.
-pub fn read<T: DeserializeOwned + Check>(file: &str, text: &str) -> Result<T, SettingsError> {
+pub fn parse_settings<T: DeserializeOwned + Validate>(
+    file: &str,
+    text: &str,
+) -> Result<T, SettingsError> {
     let value: T = toml::from_str(text).map_err(|e| SettingsError::Text {
         file: file.into(),
         line: e.span().map_or(1, |span| line_of(text, span.start)),
--- a/crates/anvil_world/src/settings/ledger.rs
+++ b/crates/anvil_world/src/settings/ledger.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Check, Problem};
+use super::{Problem, Validate};
 use crate::ids::InstanceId;
 use crate::zone::Zone;
 
@@ -49,16 +49,16 @@
     pub statsd: Option<SocketAddr>,
 }
 
-impl Check for LedgerSettings {
+impl Validate for LedgerSettings {
     fn problems(&self) -> Vec<Problem> {
-        let mut found = Problem::name("id", &self.id);
-        found.extend(Problem::name("zone.id", &self.zone.id));
-        found.extend(Problem::name("zone.region", &self.zone.region));
+        let mut found = Problem::check_name("id", &self.id);
+        found.extend(Problem::check_name("zone.id", &self.zone.id));
+        found.extend(Problem::check_name("zone.region", &self.zone.region));
         for peer in &self.founders {
-            found.extend(Problem::name("founders", &peer.id));
+            found.extend(Problem::check_name("founders", &peer.id));
         }
         let count = u64::try_from(self.founders.len()).unwrap_or(u64::MAX);
-        found.extend(Problem::range("founders", count, 1..=7));
+        found.extend(Problem::check_range("founders", count, 1..=7));
         let is_founder = self.founders.iter().any(|peer| peer.id == self.id);
         if !is_founder && !self.join {
             found.push(Problem::new(
--- a/crates/anvil_world/src/settings/router.rs
+++ b/crates/anvil_world/src/settings/router.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Check, Problem};
+use super::{Problem, Validate};
 use crate::ids::InstanceId;
 use crate::zone::Zone;
 
@@ -33,11 +33,11 @@
     pub statsd: Option<SocketAddr>,
 }
 
-impl Check for RouterSettings {
+impl Validate for RouterSettings {
     fn problems(&self) -> Vec<Problem> {
-        let mut found = Problem::name("id", &self.id);
-        found.extend(Problem::name("zone.id", &self.zone.id));
-        found.extend(Problem::name("zone.region", &self.zone.region));
+        let mut found = Problem::check_name("id", &self.id);
+        found.extend(Problem::check_name("zone.id", &self.zone.id));
+        found.extend(Problem::check_name("zone.region", &self.zone.region));
         if self.ledgers.is_empty() {
             found.push(Problem::new("ledgers", "none", "1 to 7 addresses"));
         }
--- a/crates/anvil_world/src/settings/sidecar.rs
+++ b/crates/anvil_world/src/settings/sidecar.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Check, Problem};
+use super::{Problem, Validate};
 use crate::ids::{InstanceId, ModelId, ServiceId};
 use crate::zone::Zone;
 
@@ -79,18 +79,21 @@
     8 << 20
 }
 
-impl Check for SidecarSettings {
+impl Validate for SidecarSettings {
     fn problems(&self) -> Vec<Problem> {
-        let mut found = Problem::name("id", &self.id);
-        found.extend(Problem::name("zone.id", &self.zone.id));
-        found.extend(Problem::name("zone.region", &self.zone.region));
-        found.extend(Problem::name("endpoint.service", &self.endpoint.service));
+        let mut found = Problem::check_name("id", &self.id);
+        found.extend(Problem::check_name("zone.id", &self.zone.id));
+        found.extend(Problem::check_name("zone.region", &self.zone.region));
+        found.extend(Problem::check_name(
+            "endpoint.service",
+            &self.endpoint.service,
+        ));
         for model in &self.endpoint.models {
-            found.extend(Problem::name("endpoint.models", model));
+            found.extend(Problem::check_name("endpoint.models", model));
         }
         let slots = u64::from(self.endpoint.slots);
-        found.extend(Problem::range("endpoint.slots", slots, 1..=10_000));
-        found.extend(Problem::range(
+        found.extend(Problem::check_range("endpoint.slots", slots, 1..=10_000));
+        found.extend(Problem::check_range(
             "buffer_bytes",
             self.buffer_bytes,
             65_536..=(1 << 34),
--- a/crates/anvil_world/src/suspect.rs
+++ b/crates/anvil_world/src/suspect.rs
@@ -12,12 +12,12 @@
 
 /// Weight from which a request is quarantined: three crashes before its run had any output. One or two
 /// crashes may have had another cause, or come from another request waiting on the same endpoint.
-pub const QUARANTINED_FROM: u32 = 6;
+pub const QUARANTINE_MIN_WEIGHT: u32 = 6;
 /// How long a request is quarantined after its last crash.
-pub const QUARANTINED_FOR: Duration = Duration::from_hours(1);
+pub const QUARANTINE_TIME: Duration = Duration::from_hours(1);
 /// How long crashes are kept after the last one. Within this time a single further crash renews an
 /// expired quarantine.
-pub const REMEMBERED_FOR: Duration = Duration::from_hours(24);
+pub const CRASH_RETENTION: Duration = Duration::from_hours(24);
 /// Reports on one endpoint within this time are of the same crash. An endpoint that restarts under the
 /// same name takes longer to come back.
 const SAME_CRASH_WINDOW: Duration = Duration::from_secs(3);
@@ -54,14 +54,14 @@
 
 /// The crash record of one suspect request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Suspect {
+pub struct SuspectRequest {
     /// Its crashes, no more than are needed for the quarantine.
     pub crashes: Vec<Crash>,
     /// When the last one was reported, by the ledger's clock.
     pub since: SystemTime,
 }
 
-impl Suspect {
+impl SuspectRequest {
     /// A record without crashes.
     pub fn new(since: SystemTime) -> Self {
         Self {
@@ -71,7 +71,7 @@
     }
 
     /// Records a crash of `endpoint`. Returns whether this changed the record.
-    pub fn crashed(&mut self, endpoint: &InstanceId, run: CrashedRun, at: SystemTime) -> bool {
+    pub fn record_crash(&mut self, endpoint: &InstanceId, run: CrashedRun, at: SystemTime) -> bool {
         let is_same = |crash: &&mut Crash| {
             let elapsed = at.duration_since(crash.at).unwrap_or_default();
             crash.endpoint == *endpoint && elapsed < SAME_CRASH_WINDOW
@@ -82,7 +82,7 @@
             return is_changed;
         }
         self.since = self.since.max(at);
-        if self.weight() < QUARANTINED_FROM {
+        if self.weight() < QUARANTINE_MIN_WEIGHT {
             self.crashes.push(Crash {
                 endpoint: endpoint.clone(),
                 run,
@@ -98,16 +98,16 @@
     }
 
     /// Remaining quarantine time; zero when the request may be dispatched.
-    pub fn quarantined_for(&self, now: SystemTime) -> Duration {
-        if self.weight() < QUARANTINED_FROM {
+    pub fn quarantine_remaining(&self, now: SystemTime) -> Duration {
+        if self.weight() < QUARANTINE_MIN_WEIGHT {
             return Duration::ZERO;
         }
-        QUARANTINED_FOR.saturating_sub(self.age(now))
+        QUARANTINE_TIME.saturating_sub(self.age(now))
     }
 
     /// Whether the record has expired.
-    pub fn is_over(&self, now: SystemTime) -> bool {
-        self.age(now) >= REMEMBERED_FOR
+    pub fn is_expired(&self, now: SystemTime) -> bool {
+        self.age(now) >= CRASH_RETENTION
     }
 
     fn age(&self, now: SystemTime) -> Duration {
--- a/crates/anvil_world/tests/contracts.rs
+++ b/crates/anvil_world/tests/contracts.rs
@@ -71,7 +71,7 @@
         output: 2,
         calls: 0,
     };
-    assert_eq!(price.of(usage), Tokens::MAX);
+    assert_eq!(price.cost(usage), Tokens::MAX);
 }
 
 #[test]
@@ -95,5 +95,5 @@
         over,
         Err(ContractError::Exhausted { left: 40, .. })
     ));
-    assert!(budget.holds());
+    assert!(budget.invariant_holds());
 }
--- a/crates/anvil_world/tests/settings.rs
+++ b/crates/anvil_world/tests/settings.rs
@@ -2,7 +2,7 @@
 
 use anvil_world::document::{ServiceDocument, key_hash};
 use anvil_world::prelude::*;
-use anvil_world::settings::{LedgerSettings, RouterSettings, read};
+use anvil_world::settings::{LedgerSettings, RouterSettings, parse_settings};
 
 const ROUTER: &str = r#"
 id = "router-1"
@@ -13,13 +13,13 @@
 "#;
 
 fn router_error(text: &str) -> String {
-    let result = read::<RouterSettings>("router.toml", text);
+    let result = parse_settings::<RouterSettings>("router.toml", text);
     result.expect_err("invalid settings").to_string()
 }
 
 #[test]
 fn valid_settings_are_accepted() {
-    assert!(read::<RouterSettings>("router.toml", ROUTER).is_ok());
+    assert!(parse_settings::<RouterSettings>("router.toml", ROUTER).is_ok());
 }
 
 #[test]
@@ -57,14 +57,15 @@
 data = "ledger"
 founders = [{ id = "ledger-2", addr = "127.0.0.1:9101" }]
 "#;
-    let e = read::<LedgerSettings>("ledger.toml", text).expect_err("not among the founders");
+    let e =
+        parse_settings::<LedgerSettings>("ledger.toml", text).expect_err("not among the founders");
     assert!(e.to_string().contains("ledger.toml:6: founders"), "{e}");
 }
 
 #[test]
 fn only_get_and_listed_calls_may_be_repeated() {
     let text = "kind = \"plain\"\nrepeatable = [\"search\"]\n";
-    let service: ServiceDocument = read("services/orders", text).expect("valid document");
+    let service: ServiceDocument = parse_settings("services/orders", text).expect("valid document");
     assert!(service.may_repeat("GET", "orders/7"));
     assert!(service.may_repeat("POST", "search?q=card"));
     assert!(!service.may_repeat("POST", "orders"));
--- a/crates/anvilreel/examples/ledger_bench/follower.rs
+++ b/crates/anvilreel/examples/ledger_bench/follower.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use anvil_wire::Channel;
-use anvil_wire::msg::{Interest, LedgerCall, LedgerRequest};
+use anvil_wire::msg::{FollowScope, LedgerCall, LedgerRequest};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
@@ -54,7 +54,7 @@
     let (addr, count) = relay(direct.addr()).await?;
     let follow = LedgerRequest::Follow {
         instance: "router-1".into(),
-        interest: Interest::Router,
+        interest: FollowScope::Router,
         version: 0,
     };
     let mut replies = Channel::new(addr).open::<LedgerCall>(&follow).await?;
--- a/crates/anvilreel/src/claims.rs
+++ b/crates/anvilreel/src/claims.rs
@@ -9,6 +9,6 @@
 mod placement;
 mod store;
 
-pub use holder_history::Tenure;
+pub use holder_history::HolderHistory;
 pub use placement::{GENERATION_MARK, HOLDERS_PER_CLAIM, holder_incarnations, placement};
-pub use store::ClaimBook;
+pub use store::ClaimStore;
--- a/crates/anvilreel/src/claims/holder_history.rs
+++ b/crates/anvilreel/src/claims/holder_history.rs
@@ -13,7 +13,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use anvil_wire::msg::HolderLife;
+use anvil_wire::msg::ClaimHolder;
 use anvil_world::prelude::*;
 
 use super::placement::holder_incarnations;
@@ -24,7 +24,7 @@
 
 /// The routers of one region over the time for which a claim is kept.
 #[derive(Debug)]
-pub struct Tenure {
+pub struct HolderHistory {
     region: RegionId,
     window: Duration,
     started_at: Now,
@@ -33,7 +33,7 @@
     member_lists: VecDeque<(Now, Vec<Member>)>,
 }
 
-impl Tenure {
+impl HolderHistory {
     /// An empty history. `window` is the longest time for which a claim is kept.
     pub fn new(region: RegionId, window: Duration, now: Now) -> Self {
         Self {
@@ -50,7 +50,7 @@
     }
 
     /// Records the members from now on.
-    pub fn note<'a>(&mut self, now: Now, members: impl IntoIterator<Item = &'a Member>) {
+    pub fn record_members<'a>(&mut self, now: Now, members: impl IntoIterator<Item = &'a Member>) {
         let routers = members.into_iter();
         let routers = routers.filter(|member| member.instance.role == Role::Router);
         let routers: Vec<_> = routers.cloned().collect();
@@ -72,14 +72,14 @@
     }
 
     /// The current holders of a key.
-    pub fn holders(&self, key: &RequestKey) -> Vec<HolderLife> {
+    pub fn holders(&self, key: &RequestKey) -> Vec<ClaimHolder> {
         let newest = self.member_lists.back();
         newest.map_or_else(Vec::new, |(_, list)| self.holders_in(key, list))
     }
 
     /// Whether the key has had the same holders for as long as a claim is kept. If not, no holder
     /// can confirm that it is unclaimed, and the sidecars themselves have to be probed.
-    pub fn is_settled(&self, now: Now, key: &RequestKey) -> bool {
+    pub fn has_stable_holders(&self, now: Now, key: &RequestKey) -> bool {
         let current = self.holders(key);
         self.covers_window(now)
             && self
@@ -90,13 +90,13 @@
 
     /// Whether this router may confirm a key's claim to a router that asked these holders.
     /// `disconnected_for` is the time since the last message from the ledger.
-    pub fn vouches(
+    pub fn may_confirm_claim(
         &self,
         now: Now,
         disconnected_for: Duration,
         me: &InstanceId,
         key: &RequestKey,
-        asked: &[HolderLife],
+        asked: &[ClaimHolder],
     ) -> bool {
         let agreed = self.holders(key) == asked && asked.iter().any(|holder| holder.id == *me);
         let member_lists = self.member_lists.iter();
@@ -109,7 +109,7 @@
         now.saturating_sub(self.started_at) >= self.window
     }
 
-    fn holders_in(&self, key: &RequestKey, list: &[Member]) -> Vec<HolderLife> {
+    fn holders_in(&self, key: &RequestKey, list: &[Member]) -> Vec<ClaimHolder> {
         holder_incarnations(key, &self.region, list)
     }
 }
--- a/crates/anvilreel/src/claims/placement.rs
+++ b/crates/anvilreel/src/claims/placement.rs
@@ -1,6 +1,6 @@
 //! Which routers hold a key's claim.
 
-use anvil_wire::msg::HolderLife;
+use anvil_wire::msg::ClaimHolder;
 use anvil_world::prelude::*;
 use xxhash_rust::xxh3::Xxh3;
 
@@ -29,7 +29,7 @@
     key: &RequestKey,
     region: &str,
     members: impl IntoIterator<Item = &'a Member>,
-) -> Vec<HolderLife> {
+) -> Vec<ClaimHolder> {
     let mut scored: Vec<_> = members
         .into_iter()
         .filter(|member| holds_claims(member, region))
@@ -43,7 +43,7 @@
     let in_other_zone = others().find(|other| other.zone != first.zone);
     let second = in_other_zone.or_else(|| others().next());
     let holders = std::iter::once(first).chain(second);
-    let incarnation_of = |instance: &Instance| HolderLife {
+    let incarnation_of = |instance: &Instance| ClaimHolder {
         id: instance.id.clone(),
         incarnation: instance.incarnation,
     };
--- a/crates/anvilreel/src/claims/store.rs
+++ b/crates/anvilreel/src/claims/store.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use anvil_wire::msg::{HolderLife, PlacedClaim, RouterReply, RouterRequest};
+use anvil_wire::msg::{ClaimHolder, IdempotentClaim, RouterReply, RouterRequest};
 use anvil_world::prelude::*;
 
 /// Maximum number of stored claims. At the design size, 30,000 requests a second for five minutes,
@@ -11,19 +11,19 @@
 
 #[derive(Debug, Clone)]
 struct StoredClaim {
-    claim: PlacedClaim,
+    claim: IdempotentClaim,
     expires_at: Now,
 }
 
 /// Stored claims, by key and by the time when they expire.
 #[derive(Debug, Default)]
-pub struct ClaimBook {
+pub struct ClaimStore {
     by_key: BTreeMap<RequestKey, StoredClaim>,
     by_time: BTreeSet<(Now, RequestKey)>,
     leaving: bool,
 }
 
-impl ClaimBook {
+impl ClaimStore {
     /// Answers a request of another router or of this one.
     ///
     /// `may_confirm` decides whether this router may confirm a claim that is put, see
@@ -32,7 +32,7 @@
         &mut self,
         now: Now,
         req: RouterRequest,
-        may_confirm: impl FnOnce(&RequestKey, &[HolderLife]) -> bool,
+        may_confirm: impl FnOnce(&RequestKey, &[ClaimHolder]) -> bool,
     ) -> RouterReply {
         self.expire(now);
         match req {
@@ -54,10 +54,10 @@
 
     /// Planned stop: accepts no new claims. Returns all stored claims, each to be handed over to
     /// the router that holds its key from now on.
-    pub fn leave(&mut self, now: Now) -> Vec<PlacedClaim> {
+    pub fn drain(&mut self, now: Now) -> Vec<IdempotentClaim> {
         self.expire(now);
         self.leaving = true;
-        let with_time_left = |stored: &StoredClaim| PlacedClaim {
+        let with_time_left = |stored: &StoredClaim| IdempotentClaim {
             keep: stored.expires_at.saturating_sub(now),
             ..stored.claim.clone()
         };
@@ -74,12 +74,12 @@
         self.by_key.is_empty()
     }
 
-    fn get(&self, key: &RequestKey) -> Option<&PlacedClaim> {
+    fn get(&self, key: &RequestKey) -> Option<&IdempotentClaim> {
         self.by_key.get(key).map(|stored| &stored.claim)
     }
 
     /// Stores a claim, or returns the one already stored: the first claim of a key is kept.
-    fn put(&mut self, now: Now, claim: PlacedClaim) -> RouterReply {
+    fn put(&mut self, now: Now, claim: IdempotentClaim) -> RouterReply {
         if let Some(first) = self.get(&claim.key) {
             return RouterReply::Claim(Some(first.clone()));
         }
@@ -91,7 +91,7 @@
     }
 
     /// Replaces a claim whose sidecar is lost, unless another router has already replaced it.
-    fn replace(&mut self, now: Now, old: &InstanceId, new: PlacedClaim) -> RouterReply {
+    fn replace(&mut self, now: Now, old: &InstanceId, new: IdempotentClaim) -> RouterReply {
         let recorded = self
             .get(&new.key)
             .is_some_and(|claim| claim.sidecar != *old);
@@ -102,7 +102,7 @@
         self.put(now, new)
     }
 
-    fn accept_hand_over(&mut self, now: Now, claims: Vec<PlacedClaim>) -> RouterReply {
+    fn accept_hand_over(&mut self, now: Now, claims: Vec<IdempotentClaim>) -> RouterReply {
         if self.leaving {
             return RouterReply::Leaving;
         }
@@ -112,7 +112,7 @@
         RouterReply::Kept
     }
 
-    fn store_claim(&mut self, now: Now, claim: PlacedClaim) {
+    fn store_claim(&mut self, now: Now, claim: IdempotentClaim) {
         let expires_at = now + claim.keep;
         let key = claim.key.clone();
         self.by_time.insert((expires_at, key.clone()));
--- a/crates/anvilreel/src/events.rs
+++ b/crates/anvilreel/src/events.rs
@@ -70,7 +70,7 @@
     ROUTER_FENCED = 1011 Critical "router_fenced";
     /// A request ended without a whole answer although it may have run.
     ROUTER_OUTCOME_UNKNOWN = 1012 Error "router_outcome_unknown";
-    /// A charge was refused by the purse: an invariant is broken.
+    /// A charge was refused by the grant account: an invariant is violated.
     ROUTER_SETTLEMENT_REFUSED = 1013 Critical "router_settlement_refused";
     /// The end of a claimed request could not be told to the ledger.
     ROUTER_CLAIM_LEFT_OPEN = 1014 Warning "router_claim_left_open";
--- a/crates/anvilreel/src/held.rs
+++ b/crates/anvilreel/src/held.rs
@@ -18,7 +18,7 @@
     /// Routers whose grants are refused, with the newest fenced life.
     pub fenced: BTreeMap<InstanceId, Incarnation>,
     /// Requests under which endpoints crashed.
-    pub suspects: BTreeMap<RequestDigest, Suspect>,
+    pub suspects: BTreeMap<RequestDigest, SuspectRequest>,
     /// Limits that endpoints announced.
     pub limits: BTreeMap<InstanceId, EndpointLimit>,
 }
--- a/crates/anvilreel/src/ledger_client.rs
+++ b/crates/anvilreel/src/ledger_client.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use anvil_wire::msg::{
-    Heartbeat, HeartbeatReply, Interest, LedgerCall, LedgerReply, LedgerRequest,
+    FollowScope, Heartbeat, HeartbeatReply, LedgerCall, LedgerReply, LedgerRequest,
 };
 use anvil_wire::msg::{Query, QueryAnswer};
 use anvil_wire::{Channel, Replies, WireError};
@@ -179,7 +179,7 @@
         &self,
         replica: usize,
         instance: InstanceId,
-        interest: Interest,
+        interest: FollowScope,
         version: LogIndex,
     ) -> Result<Replies<LedgerReply>, WireError> {
         let ways = self.ways.load_full();
--- a/crates/anvilreel/src/ledger_service/follow.rs
+++ b/crates/anvilreel/src/ledger_service/follow.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use anvil_ledger::machine::Machine;
-use anvil_ledger::state::Touched;
-use anvil_wire::msg::{FollowEvent, Interest};
+use anvil_ledger::state::ChangedItem;
+use anvil_wire::msg::{FollowEvent, FollowScope};
 use anvil_world::prelude::*;
 
 /// Who follows, and what it holds.
@@ -13,7 +13,7 @@
     /// Its name.
     pub instance: InstanceId,
     /// What it needs.
-    pub interest: Interest,
+    pub interest: FollowScope,
     /// The newest version it holds, 0 for none.
     pub version: LogIndex,
 }
@@ -30,7 +30,7 @@
         if state.version() <= self.version {
             return None;
         }
-        let known = (self.version > 0).then(|| state.touched_since(self.version));
+        let known = (self.version > 0).then(|| state.changed_since(self.version));
         Some(match known.flatten() {
             Some(touched) => self.delta(machine, &touched),
             None => self.full(machine),
@@ -39,7 +39,7 @@
 
     fn full(&self, machine: &Machine) -> FollowEvent {
         let state = &machine.state;
-        let suspects = machine.suspects.told();
+        let suspects = machine.suspects.announced();
         let suspects = suspects.filter(|_| self.is_router());
         let limits = machine.limits.all().iter();
         let limits = limits.filter(|_| self.is_router());
@@ -61,7 +61,7 @@
         }
     }
 
-    fn delta(&self, machine: &Machine, touched: &BTreeSet<Touched>) -> FollowEvent {
+    fn delta(&self, machine: &Machine, touched: &BTreeSet<ChangedItem>) -> FollowEvent {
         let state = &machine.state;
         let mut suspects = Vec::new();
         let mut limits = Vec::new();
@@ -70,26 +70,26 @@
         let mut fenced = Vec::new();
         for touched in touched {
             match touched {
-                Touched::Document(path) if self.needs_document(path) => {
+                ChangedItem::Document(path) if self.needs_document(path) => {
                     tree.push((path.clone(), state.tree().get(path).cloned()));
                 }
-                Touched::Member(id) if self.needs_member(id) => {
+                ChangedItem::Member(id) if self.needs_member(id) => {
                     members.push((id.clone(), state.members().get(id).cloned()));
                 }
-                Touched::Fence(id) => {
+                ChangedItem::Fence(id) => {
                     let upto = state.fenced().get(id);
                     fenced.extend(upto.map(|upto| (id.clone(), *upto)));
                 }
-                Touched::Suspect(request) if self.is_router() => {
+                ChangedItem::Suspect(request) if self.is_router() => {
                     suspects.push((*request, machine.suspects.get(*request).cloned()));
                 }
-                Touched::Limit(id) if self.is_router() => {
+                ChangedItem::Limit(id) if self.is_router() => {
                     limits.push((id.clone(), machine.limits.all().get(id).copied()));
                 }
-                Touched::Document(_)
-                | Touched::Member(_)
-                | Touched::Suspect(_)
-                | Touched::Limit(_) => {}
+                ChangedItem::Document(_)
+                | ChangedItem::Member(_)
+                | ChangedItem::Suspect(_)
+                | ChangedItem::Limit(_) => {}
             }
         }
         FollowEvent::Delta {
@@ -103,19 +103,19 @@
     }
 
     fn is_router(&self) -> bool {
-        self.interest == Interest::Router
+        self.interest == FollowScope::Router
     }
 
     fn needs_document(&self, path: &TreePath) -> bool {
         match self.interest {
-            Interest::Router => true,
-            Interest::Sidecar => *path == TreePath::Fleet,
-            Interest::Members => false,
+            FollowScope::Router => true,
+            FollowScope::Sidecar => *path == TreePath::Fleet,
+            FollowScope::Members => false,
         }
     }
 
     fn needs_member(&self, id: &InstanceId) -> bool {
-        self.interest != Interest::Sidecar || *id == self.instance
+        self.interest != FollowScope::Sidecar || *id == self.instance
     }
 }
 
--- a/crates/anvilreel/src/ledger_service/handlers.rs
+++ b/crates/anvilreel/src/ledger_service/handlers.rs
@@ -5,7 +5,7 @@
 use anvil_ledger::core::{Envelope, ReplicaId};
 use anvil_ledger::storage::snapshot;
 use anvil_wire::msg::{FollowEvent, LedgerCall, LedgerReply, LedgerRequest};
-use anvil_wire::{Handlers, Replier};
+use anvil_wire::{Handlers, ReplySender};
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep, timeout};
 
@@ -79,7 +79,7 @@
         })
 }
 
-async fn answer(reach: &Reach, req: LedgerRequest, tx: Replier<LedgerReply>) {
+async fn answer(reach: &Reach, req: LedgerRequest, tx: ReplySender<LedgerReply>) {
     let reply = match req {
         LedgerRequest::Propose(command) => {
             let command = Box::new(command);
@@ -110,7 +110,7 @@
 }
 
 /// Sends a follower what it lacks, now and whenever that changes.
-async fn follow(reach: &Reach, mut follower: Follower, mut tx: Replier<LedgerReply>) {
+async fn follow(reach: &Reach, mut follower: Follower, mut tx: ReplySender<LedgerReply>) {
     let mut public = reach.public.clone();
     let mut spoke = Instant::now();
     loop {
@@ -157,7 +157,7 @@
     reach: &Reach,
     public: &mut watch::Receiver<Public>,
     follower: &Follower,
-    tx: &mut Replier<LedgerReply>,
+    tx: &mut ReplySender<LedgerReply>,
 ) -> bool {
     let newer = async {
         let seen = public.wait_for(|seen| seen.version > follower.version);
@@ -166,14 +166,14 @@
         sleep(if ended { CURRENT } else { GATHER }).await;
     };
     tokio::select! {
-        () = tx.abandoned() => false,
+        () = tx.cancelled() => false,
         () = reach.stopped() => false,
         // Either way there is something to say.
         _ = timeout(CURRENT, newer) => true,
     }
 }
 
-async fn answer_peer(reach: &Reach, req: PeerRequest, mut tx: Replier<PeerReply>) {
+async fn answer_peer(reach: &Reach, req: PeerRequest, mut tx: ReplySender<PeerReply>) {
     let reply = match req {
         PeerRequest::Hello => reach.ask(Input::Hello).await.map(PeerReply::Hello),
         PeerRequest::Join { id, site } => {
@@ -204,7 +204,7 @@
 }
 
 /// Sends a replica what the core has to tell it, in order, many at once where many wait.
-async fn speak(reach: &Reach, id: ReplicaId, mut tx: Replier<PeerReply>) {
+async fn speak(reach: &Reach, id: ReplicaId, mut tx: ReplySender<PeerReply>) {
     let (queue, mut rx) = mpsc::channel(OUTBOX);
     if reach.inbox.send(Input::Listen(id, queue)).await.is_err() {
         return;
@@ -213,7 +213,7 @@
     loop {
         let count = tokio::select! {
             count = rx.recv_many(&mut envelopes, ENVELOPES) => count,
-            () = tx.abandoned() => return,
+            () = tx.cancelled() => return,
             () = reach.stopped() => return,
         };
         if count == 0 {
@@ -230,7 +230,7 @@
 }
 
 /// Sends the newest snapshot.
-async fn hand_out(reach: &Reach, mut tx: Replier<PeerReply>) {
+async fn hand_out(reach: &Reach, mut tx: ReplySender<PeerReply>) {
     let disk = reach.disk.clone();
     let loaded = tokio::task::spawn_blocking(move || snapshot::load(&disk)).await;
     let Ok(Ok(Some(snapshot))) = loaded else {
--- a/crates/anvilreel/src/ledger_service/node.rs
+++ b/crates/anvilreel/src/ledger_service/node.rs
@@ -335,7 +335,7 @@
                     "heard" => heard, "voters" => voters
                 );
             }
-            Action::Yields { index, waited } => {
+            Action::SlowCommit { index, waited } => {
                 let waited = waited.as_millis();
                 event!(
                     self.setup.log, events::LEDGER_YIELDS,
--- a/crates/anvilreel/src/ledger_service/node/disk.rs
+++ b/crates/anvilreel/src/ledger_service/node/disk.rs
@@ -26,7 +26,7 @@
 
     fn give(&mut self, job: Job) {
         // When the thread has ended, its report of the failure is on the way.
-        let _ = self.setup.writer.give(job);
+        let _ = self.setup.writer.submit(job);
     }
 
     pub(super) fn disk_did(&mut self, report: Report) {
--- a/crates/anvilreel/src/ledger_service/node/fleet.rs
+++ b/crates/anvilreel/src/ledger_service/node/fleet.rs
@@ -106,7 +106,7 @@
 
     /// Says of each learner once that it answers nothing, and whether it has a link to this leader.
     fn tell_silent_learners(&mut self) {
-        let silent = self.replica.silent_learners(LEARNER_SILENT);
+        let silent = self.replica.unresponsive_learners(LEARNER_SILENT);
         let news = silent.filter(|(id, _)| !self.told_silent.contains(id));
         let mut told = Vec::new();
         for (id, site) in news {
@@ -123,7 +123,10 @@
         let Some(rule) = self.setup.tuning.take_out else {
             return;
         };
-        let lost = self.replica.lost_voter(rule.after, rule.least).cloned();
+        let lost = self
+            .replica
+            .unresponsive_voter(rule.after, rule.least)
+            .cloned();
         if let Some(instance) = lost {
             event!(
                 self.setup.log, events::LEDGER_REPLICA_LOST, "instance" => instance.to_string()
--- a/crates/anvilreel/src/ledger_service/node/public.rs
+++ b/crates/anvilreel/src/ledger_service/node/public.rs
@@ -42,7 +42,7 @@
         metrics.gauge(metrics::LOG_TERM, self.replica.term());
         metrics.gauge(metrics::LOG_LEADS, leads);
         metrics.gauge(metrics::SETTINGS_VERSION, self.machine.state.version());
-        let (heard, voters) = self.replica.voters_heard();
+        let (heard, voters) = self.replica.responsive_voters();
         let learners = self.replica.membership().learners.len();
         metrics.gauge(metrics::LOG_VOTERS, voters as u64);
         metrics.gauge(metrics::LOG_LEARNERS, learners as u64);
@@ -59,10 +59,10 @@
         let others = membership.replicas().filter(|(id, _)| *id != self.setup.id);
         let public = Public {
             version: self.machine.state.version(),
-            in_touch: self.replica.in_touch() && !self.stopped,
+            in_touch: self.replica.is_connected() && !self.stopped,
             peers: others.map(|(id, site)| (id, site.addr)).collect(),
             listed: self.listed_addr(),
-            seeks_ledger: self.replica.seeks_ledger(),
+            seeks_ledger: self.replica.needs_to_join(),
         };
         self.public.send_if_modified(|seen| {
             let changed = *seen != public;
--- a/crates/anvilreel/src/ledger_service/signs.rs
+++ b/crates/anvilreel/src/ledger_service/signs.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use anvil_ledger::machine::Machine;
-use anvil_wire::msg::{Heartbeat, InForce};
+use anvil_wire::msg::{Heartbeat, VersionRollout};
 use anvil_world::command::{Join, SetPresence};
 use anvil_world::prelude::*;
 
@@ -124,8 +124,8 @@
     }
 
     /// How far a version has spread.
-    pub fn in_force(&self, version: LogIndex, now: Duration, machine: &Machine) -> InForce {
-        let mut spread = InForce::default();
+    pub fn in_force(&self, version: LogIndex, now: Duration, machine: &Machine) -> VersionRollout {
+        let mut spread = VersionRollout::default();
         let members = machine.state.members().values();
         for member in members.filter(|m| m.presence != Presence::Gone) {
             let id = member.instance.id.clone();
--- a/crates/anvilreel/src/ledger_service/testimony.rs
+++ b/crates/anvilreel/src/ledger_service/testimony.rs
@@ -8,10 +8,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use anvil_ledger::machine::Machine;
-use anvil_wire::msg::{Evidence, Heartbeat};
+use anvil_wire::msg::{ChargeEvidence, Heartbeat};
 use anvil_world::prelude::*;
 
-use crate::money::Closing;
+use crate::money::GrantClosing;
 
 /// A life of a sidecar.
 type SidecarLife = (InstanceId, Incarnation);
@@ -39,7 +39,7 @@
 /// The evidence that has come since the election.
 #[derive(Debug, Clone, Default)]
 pub struct Testimony {
-    by_router: BTreeMap<Fenced, BTreeMap<SidecarLife, Evidence>>,
+    by_router: BTreeMap<Fenced, BTreeMap<SidecarLife, ChargeEvidence>>,
     named: BTreeSet<GrantId>,
 }
 
@@ -73,7 +73,7 @@
         let fenced: Vec<&Grant> = machine.state.fenced_grants().collect();
         self.forget(&fenced, machine);
         // One look at the evidence for each router, however many grants it had.
-        let mut closings: BTreeMap<&InstanceId, Closing> = BTreeMap::new();
+        let mut closings: BTreeMap<&InstanceId, GrantClosing> = BTreeMap::new();
         for grant in fenced {
             if self.is_held(grant, machine, &mut findings) {
                 continue;
@@ -93,7 +93,7 @@
 
     /// Whether a lost sidecar may have charged the grant.
     fn is_held(&mut self, grant: &Grant, machine: &Machine, findings: &mut Findings) -> bool {
-        let Some(lost) = machine.lives.may_have_charged(grant.id).next() else {
+        let Some(lost) = machine.lost_incarnations.may_have_charged(grant.id).next() else {
             return false;
         };
         if self.named.insert(grant.id) {
@@ -105,13 +105,13 @@
         true
     }
 
-    fn closing(&self, router: &InstanceId, machine: &Machine) -> Closing {
-        let mut closing = Closing::new(living_sidecars(machine));
+    fn closing(&self, router: &InstanceId, machine: &Machine) -> GrantClosing {
+        let mut closing = GrantClosing::new(living_sidecars(machine));
         let upto = machine.state.fenced().get(router).copied();
         let fenced = (router.clone(), upto.unwrap_or_default());
         let evidence = self.by_router.get(&fenced);
         for (life, evidence) in evidence.into_iter().flatten() {
-            closing.take(life, evidence);
+            closing.record_evidence(life, evidence);
         }
         closing
     }
@@ -129,7 +129,7 @@
     grants.any(|grant| grant.state == GrantState::Fenced && grant.incarnation <= *upto)
 }
 
-/// Lives that can still answer. Those that can't are in [`anvil_ledger::lives`].
+/// Lives that can still answer. Those that can't are in [`anvil_ledger::lost_incarnations`].
 fn living_sidecars(machine: &Machine) -> impl Iterator<Item = SidecarLife> {
     let members = machine.state.members().values();
     let sidecars = members.filter(|m| m.instance.role == Role::Sidecar);
--- a/crates/anvilreel/src/local.rs
+++ b/crates/anvilreel/src/local.rs
@@ -144,7 +144,7 @@
         // Counting endpoints would not do: after a crash the ledger still lists the last life's.
         let sees_all = || {
             let mut all = self.sidecars.iter();
-            all.all(|sidecar| self.router.sees(sidecar.addr()))
+            all.all(|sidecar| self.router.routes_to(sidecar.addr()))
         };
         while !(self.router.is_ready() && sees_all()) {
             if Instant::now() > deadline {
--- a/crates/anvilreel/src/money.rs
+++ b/crates/anvilreel/src/money.rs
@@ -20,8 +20,8 @@
 mod reservation;
 mod sizing;
 
-pub use account::{BudgetStatus, Purse};
-pub use closing::Closing;
+pub use account::{BudgetStatus, GrantAccount};
+pub use closing::GrantClosing;
 pub use error::MoneyError;
 pub use open_grant::OpenGrant;
 pub use reservation::{Reservation, Shortage};
--- a/crates/anvilreel/src/money/account.rs
+++ b/crates/anvilreel/src/money/account.rs
@@ -43,7 +43,7 @@
 /// lock once the budget is known. The methods for batches are for the only task that exchanges
 /// them with the ledger.
 #[derive(Debug)]
-pub struct Purse {
+pub struct GrantAccount {
     pub(super) router: InstanceId,
     pub(super) incarnation: Incarnation,
     pub(super) policy: GrantPolicy,
@@ -66,7 +66,7 @@
     changed: Notify,
 }
 
-impl Purse {
+impl GrantAccount {
     /// An account without grants.
     pub fn new(router: InstanceId, incarnation: Incarnation, policy: GrantPolicy) -> Self {
         Self {
@@ -101,7 +101,7 @@
     /// Reserves the upper bound of one request from a grant of every budget that pays, or from
     /// none.
     pub fn reserve(&self, now: Now, split: &Split, bound: Tokens) -> Result<Reservation, Shortage> {
-        if self.is_fenced() || self.broken().is_some() {
+        if self.is_fenced() || self.invariant_violation().is_some() {
             return Err(refused(Reason::Leaving, UNREACHABLE_RETRY_AFTER));
         }
         let mut parts = Vec::new();
@@ -173,7 +173,7 @@
     }
 
     /// The violated invariant because of which this account stopped making reservations, if any.
-    pub fn broken(&self) -> Option<Arc<MoneyError>> {
+    pub fn invariant_violation(&self) -> Option<Arc<MoneyError>> {
         self.violation.load_full()
     }
 
@@ -189,7 +189,7 @@
     }
 
     /// The state of a budget.
-    pub fn view(&self, budget: &str) -> BudgetStatus {
+    pub fn budget_status(&self, budget: &str) -> BudgetStatus {
         let budgets = self.budgets.load();
         let Some(budget_grants) = budgets.get(budget) else {
             return BudgetStatus::default();
@@ -238,9 +238,9 @@
         budget_grants
             .smallest_shortage
             .fetch_min(tokens, Ordering::AcqRel);
-        let until = now + self.policy.patience;
+        let until = now + self.policy.max_ledger_wait;
         let last_refusal = **budget_grants.last_refusal.load();
-        let recent_refusal = last_refusal.filter(|v| now < v.at + self.policy.verdict_holds);
+        let recent_refusal = last_refusal.filter(|v| now < v.at + self.policy.refusal_lifetime);
         let Some(last_refusal) = recent_refusal else {
             self.urgent.store(true, Ordering::Release);
             let otherwise = refusal(Reason::LedgerUnreachable, UNREACHABLE_RETRY_AFTER);
@@ -254,7 +254,7 @@
         // Routers that died with unspent tokens in their grants can't return them, although the
         // ledger recalls them again and again. Without this time limit each request would wait for
         // these tokens, be refused with Retry-After, and wait again.
-        let recalled = now >= last_refusal.unbroken_since + self.policy.recalled_within;
+        let recalled = now >= last_refusal.unbroken_since + self.policy.recall_timeout;
         let recoverable = if recalled {
             0
         } else {
@@ -264,7 +264,7 @@
         if obtainable < tokens {
             return Shortage::Refused(otherwise);
         }
-        let until = now + self.policy.recall_patience;
+        let until = now + self.policy.max_recall_wait;
         Shortage::WaitFor { until, otherwise }
     }
 
@@ -283,7 +283,7 @@
     /// callers sends no batches and receives no answers, and taking that for a partition would
     /// refuse the first request after every idle period.
     fn ledger_is_unresponsive(&self, now: Now) -> bool {
-        self.unanswered_for(now) > self.policy.patience
+        self.unanswered_for(now) > self.policy.max_ledger_wait
     }
 }
 
--- a/crates/anvilreel/src/money/batch_exchange.rs
+++ b/crates/anvilreel/src/money/batch_exchange.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use anvil_world::command::{
-    Denial, GrantAsk, GrantBatch, GrantBatchAnswer, GrantRefusal, GrantReport,
+    Denial, GrantBatch, GrantBatchAnswer, GrantRefusal, GrantReport, GrantRequest,
 };
 use anvil_world::prelude::*;
 
-use super::account::{NO_BATCH_PENDING, Purse, millis};
+use super::account::{GrantAccount, NO_BATCH_PENDING, millis};
 use super::budget_grants::{BudgetGrants, LedgerRefusal};
 use super::sizing::needed_for;
 use super::{MoneyError, OpenGrant};
@@ -29,12 +29,12 @@
     reported: std::collections::BTreeMap<GrantId, (Tokens, Tokens)>,
 }
 
-impl Purse {
+impl GrantAccount {
     /// The batch to be sent now, if one is due.
     ///
     /// An unanswered batch is returned again unchanged, with the same number: the ledger applies it
     /// once, so a lost answer opens no second grant.
-    pub fn batch(&self, now: Now) -> Option<GrantBatch> {
+    pub fn next_batch(&self, now: Now) -> Option<GrantBatch> {
         if self.is_fenced() {
             return None;
         }
@@ -43,9 +43,9 @@
         // regular batch to ask for a grant, its first token would take up to a second, where 25 ms
         // are usual.
         let every = if batches.pending.is_none() && self.is_urgent() {
-            self.policy.urgent_every
+            self.policy.urgent_batch_interval
         } else {
-            self.policy.batch_every
+            self.policy.batch_interval
         };
         if batches.sent_at.is_some_and(|at| now < at + every) {
             return None;
@@ -62,7 +62,7 @@
     }
 
     /// Applies the answer to a batch. Late and duplicate answers have no effect.
-    pub fn answered(&self, now: Now, answer: &GrantBatchAnswer) -> Result<(), MoneyError> {
+    pub fn apply_answer(&self, now: Now, answer: &GrantBatchAnswer) -> Result<(), MoneyError> {
         let mut batches = self.lock_batches();
         self.record_answer_at(now);
         let Some(batch) = batches.pending.take_if(|batch| batch.seq == answer.seq) else {
@@ -93,7 +93,7 @@
     }
 
     /// Handles the ledger's refusal of a whole batch. Returns whether this incarnation is over.
-    pub fn denied(&self, now: Now, denial: &Denial) -> bool {
+    pub fn apply_denial(&self, now: Now, denial: &Denial) -> bool {
         self.record_answer_at(now);
         match denial {
             // Otherwise a router that was declared lost while it was frozen would continue to
@@ -113,7 +113,7 @@
     }
 
     /// Planned stop: returns every grant as soon as no request uses it.
-    pub fn stop(&self) {
+    pub fn begin_drain(&self) {
         self.stopping.store(true, Ordering::Release);
     }
 
@@ -135,7 +135,8 @@
     /// shortage, so that an urgent ask does not carry the reports of all others.
     fn compose(&self, now: Now, batches: &mut BatchState) -> Option<GrantBatch> {
         let since = now.saturating_sub(batches.last_full_at);
-        let covers_all = since >= self.policy.batch_every || self.stopping.load(Ordering::Acquire);
+        let covers_all =
+            since >= self.policy.batch_interval || self.stopping.load(Ordering::Acquire);
         if covers_all {
             batches.last_full_at = now;
         }
@@ -147,7 +148,7 @@
                 // Measured over less than a second, a single request would look like a burst.
                 budget_grants
                     .demand
-                    .update_averages(since, self.policy.smooth_over);
+                    .update_averages(since, self.policy.smoothing_window);
             } else if !budget_grants.has_shortage() {
                 return;
             }
@@ -193,7 +194,7 @@
     fn keepalive_due(&self, now: Now) -> bool {
         let last_answer = self.last_answer.load(Ordering::Acquire);
         let since = now.saturating_sub(Duration::from_millis(last_answer));
-        since >= self.policy.patience / 2 && !self.budgets.load().is_empty()
+        since >= self.policy.max_ledger_wait / 2 && !self.budgets.load().is_empty()
     }
 
     /// The asks for a budget whose free tokens would not last, or which had a shortage; the one
@@ -202,7 +203,7 @@
     /// The largest and the smallest shortage are asked for separately. Otherwise, near the end of a
     /// budget, small requests that would fit wait behind one large request that needs more than is
     /// left.
-    fn grant_asks(&self, now: Now, budget_grants: &BudgetGrants) -> Vec<GrantAsk> {
+    fn grant_asks(&self, now: Now, budget_grants: &BudgetGrants) -> Vec<GrantRequest> {
         let largest_shortage = budget_grants.largest_shortage.swap(0, Ordering::AcqRel);
         let smallest_shortage = budget_grants
             .smallest_shortage
@@ -212,10 +213,10 @@
         }
         let rate = budget_grants.demand.rate();
         let largest = budget_grants.demand.largest().max(largest_shortage);
-        let idle = now > budget_grants.demand.last_request() + self.policy.idle;
+        let idle = now > budget_grants.demand.last_request() + self.policy.idle_timeout;
         let full_horizon = self.horizon();
         let expected = budget_grants.demand.expected_within(full_horizon);
-        let is_sparse = expected < self.policy.least_expected;
+        let is_sparse = expected < self.policy.min_expected_requests;
         let horizon = if is_sparse {
             Duration::ZERO
         } else {
@@ -226,12 +227,13 @@
         let enough = budget_grants.free() >= ahead || idle;
         // A budget that was just refused is asked for again only on demand.
         let last_refusal = **budget_grants.last_refusal.load();
-        let recently_refused = last_refusal.is_some_and(|v| now < v.at + self.policy.verdict_holds);
+        let recently_refused =
+            last_refusal.is_some_and(|v| now < v.at + self.policy.refusal_lifetime);
         if largest_shortage == 0 && (enough || recently_refused) {
             return Vec::new();
         }
         let horizon = needed_for(rate, horizon);
-        let ask_for = |least: Tokens, ahead: Tokens| GrantAsk {
+        let ask_for = |least: Tokens, ahead: Tokens| GrantRequest {
             budget: budget_grants.budget.clone(),
             wanted: ahead.saturating_add(least.saturating_mul(spare)).max(least),
             least,
@@ -259,10 +261,10 @@
         &self,
         now: Now,
         budget_grants: &BudgetGrants,
-        ask: Option<&GrantAsk>,
+        ask: Option<&GrantRequest>,
     ) -> BTreeSet<GrantId> {
         let stopping = self.stopping.load(Ordering::Acquire);
-        let idle = now > budget_grants.demand.last_request() + self.policy.idle;
+        let idle = now > budget_grants.demand.last_request() + self.policy.idle_timeout;
         let largest = budget_grants.demand.largest();
         let grants = budget_grants.grants.load();
         let newest = grants.last().map(|grant| grant.id);
@@ -294,7 +296,7 @@
             return;
         };
         let before = **budget_grants.last_refusal.load();
-        let unbroken = before.filter(|before| now < before.at + self.policy.row_within);
+        let unbroken = before.filter(|before| now < before.at + self.policy.max_refusal_gap);
         budget_grants
             .last_refusal
             .store(Arc::new(Some(LedgerRefusal {
--- a/crates/anvilreel/src/money/closing.rs
+++ b/crates/anvilreel/src/money/closing.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use anvil_wire::msg::{Evidence, KeyCharge};
+use anvil_wire::msg::{ChargeEvidence, KeyCharge};
 use anvil_world::prelude::*;
 
 /// One incarnation of a sidecar.
@@ -15,12 +15,12 @@
 /// one ended without an answer, the grants stay outstanding until an operator writes them off:
 /// tokens are returned late rather than spent twice.
 #[derive(Debug, Clone, Default)]
-pub struct Closing {
+pub struct GrantClosing {
     pending: BTreeSet<SidecarIncarnation>,
     charges: BTreeMap<GrantId, BTreeMap<RequestKey, (u32, Tokens)>>,
 }
 
-impl Closing {
+impl GrantClosing {
     /// Expects answers from these sidecar incarnations: all that existed at any time since the
     /// router's oldest open grant was opened.
     pub fn new(sidecars: impl IntoIterator<Item = SidecarIncarnation>) -> Self {
@@ -31,7 +31,7 @@
     }
 
     /// Records one sidecar's evidence; duplicate evidence has no effect.
-    pub fn take(&mut self, sidecar: &SidecarIncarnation, evidence: &Evidence) {
+    pub fn record_evidence(&mut self, sidecar: &SidecarIncarnation, evidence: &ChargeEvidence) {
         if !self.pending.remove(sidecar) {
             return;
         }
@@ -56,7 +56,10 @@
     }
 
     /// Charges to a grant by key, each key once.
-    pub fn keys(&self, grant: GrantId) -> impl Iterator<Item = (RequestKey, Tokens)> + '_ {
+    pub fn charges_by_key(
+        &self,
+        grant: GrantId,
+    ) -> impl Iterator<Item = (RequestKey, Tokens)> + '_ {
         let keys = self.charges.get(&grant).into_iter().flatten();
         keys.map(|(key, (_, tokens))| (key.clone(), *tokens))
     }
--- a/crates/anvilreel/src/money/sizing.rs
+++ b/crates/anvilreel/src/money/sizing.rs
@@ -16,29 +16,29 @@
     /// within one batch for a burst, and asks for several times what it will use. The surplus in
     /// its grant is refused to other routers, and lost if the router dies. Averaging suits a ledger
     /// that answers within a few milliseconds, which a burst can wait for.
-    pub smooth_over: Option<Duration>,
+    pub smoothing_window: Option<Duration>,
     /// Longest time that a request waits for the ledger's answer to an ask.
-    pub patience: Duration,
+    pub max_ledger_wait: Duration,
     /// Longest time that a request waits for unspent tokens of other routers' grants: recalling
     /// them takes up to three batches.
-    pub recall_patience: Duration,
+    pub max_recall_wait: Duration,
     /// How long recalled tokens are waited for. Those that have not been returned by then, in an
     /// unbroken series of refusals, belong to grants of routers that died, or are reserved by
     /// running requests.
-    pub recalled_within: Duration,
+    pub recall_timeout: Duration,
     /// Longest time between two refusals of one series: if many routers share an organisation's
     /// requests, each sees one only every few seconds.
-    pub row_within: Duration,
+    pub max_refusal_gap: Duration,
     /// A grant without demand for this time is returned.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Interval between batches, and before an unanswered one is sent again.
-    pub batch_every: Duration,
+    pub batch_interval: Duration,
     /// Minimum interval between batches while a request waits for tokens that have not been asked
     /// for yet. A tenth of a second keeps the wait for a budget's first grant far below the 0.41 s
     /// allowed for a first token, at no more than 10 batches a second and router.
-    pub urgent_every: Duration,
+    pub urgent_batch_interval: Duration,
     /// How long the ledger's refusal of an ask remains valid.
-    pub verdict_holds: Duration,
+    pub refusal_lifetime: Duration,
     /// Number of largest requests that a grant holds beyond the demand of its horizon, so that a
     /// request does not wait for the ledger. If the ledger answers within a few milliseconds and
     /// budgets are small, 0 is better: tokens held in reserve at one router are unavailable to all
@@ -51,7 +51,7 @@
     /// of them asks for is hardly ever used there, is refused to other routers, and is lost when
     /// the router dies: with 17 routers a tenth of a budget. If the ledger answers within a few
     /// milliseconds, the next such request can ask for itself.
-    pub least_expected: f64,
+    pub min_expected_requests: f64,
     /// Maximum number of reports in one batch: keeps a batch within 4 KB.
     pub max_reports: usize,
     /// Maximum number of asks in one batch.
@@ -62,17 +62,17 @@
     fn default() -> Self {
         Self {
             horizon: Duration::from_mins(1),
-            smooth_over: None,
-            patience: Duration::from_secs(3),
-            recall_patience: Duration::from_secs(6),
-            recalled_within: Duration::from_secs(6),
-            row_within: Duration::from_secs(6),
-            idle: Duration::from_mins(2),
-            batch_every: Duration::from_secs(1),
-            urgent_every: Duration::from_millis(100),
-            verdict_holds: Duration::from_secs(2),
+            smoothing_window: None,
+            max_ledger_wait: Duration::from_secs(3),
+            max_recall_wait: Duration::from_secs(6),
+            recall_timeout: Duration::from_secs(6),
+            max_refusal_gap: Duration::from_secs(6),
+            idle_timeout: Duration::from_mins(2),
+            batch_interval: Duration::from_secs(1),
+            urgent_batch_interval: Duration::from_millis(100),
+            refusal_lifetime: Duration::from_secs(2),
             spare_requests: 2,
-            least_expected: 0.0,
+            min_expected_requests: 0.0,
             max_reports: 160,
             max_asks: 40,
         }
--- a/crates/anvilreel/src/operator/report.rs
+++ b/crates/anvilreel/src/operator/report.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::time::{Duration, UNIX_EPOCH};
 
-use anvil_wire::msg::{BudgetView, InForce, LedgerStatus};
+use anvil_wire::msg::{BudgetView, LedgerStatus, VersionRollout};
 use anvil_world::command::{AuditEntry, ChangeReceipt, FenceNumber};
 use anvil_world::prelude::*;
 use serde::Serialize;
@@ -58,7 +58,7 @@
 
 impl Spread {
     /// What the ledger says of one version.
-    pub fn new(revision: Revision, in_force: InForce) -> Self {
+    pub fn new(revision: Revision, in_force: VersionRollout) -> Self {
         let missing = in_force.missing.into_iter();
         Self {
             revision,
--- a/crates/anvilreel/src/relay.rs
+++ b/crates/anvilreel/src/relay.rs
@@ -11,8 +11,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use anvil_wire::msg::{Interest, LedgerCall, LedgerReply, LedgerRequest};
-use anvil_wire::{Handlers, Replier, Server, WireError};
+use anvil_wire::msg::{FollowScope, LedgerCall, LedgerReply, LedgerRequest};
+use anvil_wire::{Handlers, ReplySender, Server, WireError};
 use anvil_world::prelude::*;
 use slog::Logger;
 use tokio::time::timeout;
@@ -104,7 +104,7 @@
         announce::run(&self.watcher.ledger, &self.life, &instance).await;
     }
 
-    async fn answer(&self, req: LedgerRequest, tx: Replier<LedgerReply>) {
+    async fn answer(&self, req: LedgerRequest, tx: ReplySender<LedgerReply>) {
         if let LedgerRequest::Follow {
             instance,
             interest,
@@ -134,9 +134,9 @@
     async fn pass_stream(
         &self,
         instance: InstanceId,
-        interest: Interest,
+        interest: FollowScope,
         version: LogIndex,
-        mut tx: Replier<LedgerReply>,
+        mut tx: ReplySender<LedgerReply>,
     ) {
         let replica = self.watcher.followed();
         let ledger = &self.watcher.ledger;
--- a/crates/anvilreel/src/request.rs
+++ b/crates/anvilreel/src/request.rs
@@ -27,4 +27,4 @@
 pub use error::ExchangeError;
 pub use event::{Action, ClaimAnswer, Dispatch, Event, Holder};
 pub use exchange::Exchange;
-pub use spec::{Spec, Target, generation_key};
+pub use spec::{RequestSpec, Target, generation_key};
--- a/crates/anvilreel/src/request/claiming.rs
+++ b/crates/anvilreel/src/request/claiming.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, SystemTime};
 
-use anvil_wire::msg::{PlacedClaim, ProbeAnswer, RunEnd, SidecarReply, SidecarRequest};
+use anvil_wire::msg::{IdempotentClaim, ProbeAnswer, RunEnd, SidecarReply, SidecarRequest};
 use anvil_world::command::Claim;
 use anvil_world::prelude::*;
 
@@ -30,7 +30,7 @@
     /// Claims the key for the current target.
     pub(super) fn claim(&mut self) {
         let mut claiming = Claiming::default();
-        if !self.spec.once {
+        if !self.spec.at_most_once {
             for holder in self.spec.holders.clone() {
                 claiming.awaited.insert(Holder::Router(holder.clone()));
                 let claim = self.placed_claim();
@@ -52,14 +52,14 @@
             return;
         }
         match answer {
-            ClaimAnswer::Stands {
+            ClaimAnswer::Recorded {
                 target,
                 body,
                 id,
                 fresh,
                 settled,
             } => {
-                if body != self.spec.body {
+                if body != self.spec.body_hash {
                     return self.refuse(Refusal::new(Reason::KeyReused(body)));
                 }
                 if holder == Holder::Ledger {
@@ -68,8 +68,8 @@
                 }
                 claiming.recorded.insert(holder, (target, body));
             }
-            ClaimAnswer::Lost if holder == Holder::Ledger => return self.without_ledger(),
-            ClaimAnswer::Lost => {}
+            ClaimAnswer::Unavailable if holder == Holder::Ledger => return self.without_ledger(),
+            ClaimAnswer::Unavailable => {}
         }
         if claiming.awaited.is_empty() {
             self.resolve_answers();
@@ -108,7 +108,7 @@
         if self.candidates_probed {
             return self.claim_in_ledger(None);
         }
-        if self.spec.suspects.is_empty() {
+        if self.spec.probe_candidates.is_empty() {
             let refusal = Refusal::new(Reason::LedgerUnreachable);
             return self.refuse(refusal.with_retry_after(CLAIM_RETRY_AFTER));
         }
@@ -127,7 +127,7 @@
     }
 
     fn ledger_answered(&mut self, target: Target, fresh: bool, settled: Option<&Outcome>) {
-        if !self.spec.once {
+        if !self.spec.at_most_once {
             return self.adopt_claim(target);
         }
         self.owns_claim = fresh;
@@ -153,7 +153,7 @@
         if self.delivered > 0 && self.attempt > 0 {
             // The caller has the first part of another run's answer, and this run can't supply the
             // rest of it.
-            return self.finish(Outcome::Unknown(Doubt::SidecarLost), None);
+            return self.finish(Outcome::Unknown(UnknownCause::SidecarLost), None);
         }
         self.attach();
     }
@@ -173,14 +173,14 @@
             return self.attach();
         }
         if self.attempt > 0 {
-            return self.finish(Outcome::Unknown(Doubt::SidecarLost), None);
+            return self.finish(Outcome::Unknown(UnknownCause::SidecarLost), None);
         }
         self.refuse(refusal);
     }
 
     /// Asks the candidate sidecars, one after another, whether they know the key.
     pub(super) fn probe_candidates(&mut self) {
-        let remaining = self.spec.suspects.clone();
+        let remaining = self.spec.probe_candidates.clone();
         self.step = Step::Probing { remaining };
         self.probe_next();
     }
@@ -217,18 +217,18 @@
             Some(SidecarReply::Probed(_)) => self.probe_next(),
             // A sidecar that can't be asked may have run the key; running it again could charge it
             // twice.
-            _ => self.finish(Outcome::Unknown(Doubt::SidecarLost), None),
+            _ => self.finish(Outcome::Unknown(UnknownCause::SidecarLost), None),
         }
     }
 
-    fn placed_claim(&self) -> PlacedClaim {
+    fn placed_claim(&self) -> IdempotentClaim {
         let target = self.target_to_claim(None);
-        PlacedClaim {
+        IdempotentClaim {
             key: generation_key(&self.spec.key, self.generation),
-            body: self.spec.body,
+            body: self.spec.body_hash,
             sidecar: target.sidecar,
-            incarnation: target.life,
-            keep: self.spec.keep + self.spec.deadline.saturating_sub(self.now),
+            incarnation: target.incarnation,
+            keep: self.spec.retention + self.spec.deadline.saturating_sub(self.now),
         }
     }
 
@@ -237,9 +237,9 @@
         let claim = Claim {
             id: self.spec.claim_id.clone(),
             key: generation_key(&self.spec.key, self.generation),
-            body: self.spec.body,
+            body: self.spec.body_hash,
             sidecar: target.sidecar,
-            incarnation: target.life,
+            incarnation: target.incarnation,
             at: SystemTime::UNIX_EPOCH,
         };
         self.actions.push(Action::PutLedgerClaim(claim));
@@ -252,5 +252,5 @@
 }
 
 fn lost_its_endpoint(end: &RunEnd) -> bool {
-    end.outcome == Outcome::Unknown(Doubt::EndpointLost)
+    end.outcome == Outcome::Unknown(UnknownCause::EndpointLost)
 }
--- a/crates/anvilreel/src/request/event.rs
+++ b/crates/anvilreel/src/request/event.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use anvil_wire::msg::{Head, PlacedClaim, RunEnd, SidecarReply, SidecarRequest};
+use anvil_wire::msg::{IdempotentClaim, ResponseHead, RunEnd, SidecarReply, SidecarRequest};
 use anvil_world::command::{Claim, SettleClaim};
 use anvil_world::prelude::*;
 use bytes::Bytes;
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimAnswer {
     /// The claim recorded for the key, which may be another exchange's.
-    Stands {
+    Recorded {
         /// The target that runs the key.
         target: Target,
         /// Hash of the claimed request's body.
@@ -39,7 +39,7 @@
         settled: Option<Outcome>,
     },
     /// The holder can't be reached, or accepts no new claims.
-    Lost,
+    Unavailable,
 }
 
 /// Input of an exchange.
@@ -61,9 +61,9 @@
     /// Answer to [`Action::Reserve`]: the tokens are reserved.
     Reserved(Reservation),
     /// Answer to [`Action::Reserve`]: too few tokens are available.
-    Short(Shortage),
+    ReservationFailed(Shortage),
     /// The grant account has changed since a shortage.
-    MoneyChanged,
+    GrantsChanged,
     /// A sidecar's reply to a call.
     Reply {
         /// The call that it answers.
@@ -72,18 +72,18 @@
         reply: SidecarReply,
     },
     /// A call failed or its stream broke before its last reply.
-    Broken {
+    CallBroken {
         /// The call.
         dispatch: Dispatch,
         /// Whether it is certain that the sidecar never received the call.
         never_sent: bool,
     },
     /// According to the members' list, this incarnation of a sidecar is over.
-    Gone(Target),
+    TargetGone(Target),
     /// The caller has disconnected.
     CallerGone,
     /// A time requested by the exchange has been reached.
-    Wake,
+    TimerFired,
 }
 
 /// Output of an exchange: something the I/O layer must do.
@@ -99,7 +99,7 @@
         /// The router, which may be this one.
         holder: InstanceId,
         /// The claim.
-        claim: PlacedClaim,
+        claim: IdempotentClaim,
     },
     /// Put a claim into the ledger, and answer with [`Event::Claimed`]. The ledger's leader fills
     /// in the time.
@@ -128,16 +128,16 @@
         req: Box<SidecarRequest>,
     },
     /// Drop a call: its replies are no longer wanted.
-    Drop {
+    DropCall {
         /// The call's number.
         dispatch: Dispatch,
     },
     /// Pass status and headers on to the caller.
-    DeliverHead(Head),
+    DeliverHead(ResponseHead),
     /// Pass output on to the caller.
     Deliver(Bytes),
     /// Feed the timer event at this time.
-    WakeAt(Now),
+    SetTimer(Now),
     /// The request is over; send the outcome to the caller.
     Finish {
         /// The outcome.
--- a/crates/anvilreel/src/request/exchange.rs
+++ b/crates/anvilreel/src/request/exchange.rs
@@ -9,8 +9,8 @@
 use bytes::BytesMut;
 
 use super::claiming::Claiming;
-use super::{Action, Dispatch, Event, Spec, Target};
-use crate::money::{Purse, Reservation};
+use super::{Action, Dispatch, Event, RequestSpec, Target};
+use crate::money::{GrantAccount, Reservation};
 
 /// How long after the deadline the exchange waits for the sidecar's own end of the run.
 const END_GRACE: Duration = Duration::from_secs(2);
@@ -71,7 +71,7 @@
 /// The state machine of one caller's request.
 #[derive(Debug)]
 pub struct Exchange {
-    pub(super) spec: Spec,
+    pub(super) spec: RequestSpec,
     pub(super) step: Step,
     pub(super) dispatch: Dispatch,
     pub(super) target: Option<Target>,
@@ -112,7 +112,7 @@
 
 impl Exchange {
     /// An exchange that has not begun.
-    pub fn new(spec: Spec) -> Self {
+    pub fn new(spec: RequestSpec) -> Self {
         Self {
             claim_id: spec.claim_id.clone(),
             spec,
@@ -144,7 +144,7 @@
     }
 
     /// The request's specification.
-    pub fn spec(&self) -> &Spec {
+    pub fn spec(&self) -> &RequestSpec {
         &self.spec
     }
 
@@ -160,7 +160,7 @@
 
     /// Handles one event and returns the actions to perform, in order. `grant_account` is only used
     /// to describe the payment to the sidecar.
-    pub fn handle(&mut self, now: Now, grant_account: &Purse, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, now: Now, grant_account: &GrantAccount, event: Event) -> Vec<Action> {
         self.now = now;
         if self.is_finished() {
             return handle_after_end(event);
@@ -175,23 +175,23 @@
             Event::NotChosen(refusal) => self.not_chosen(refusal),
             Event::Claimed { holder, answer } => self.claim_answered(holder, answer),
             Event::Reserved(reservation) => self.reserved(now, grant_account, reservation),
-            Event::Short(shortage) => self.reservation_failed(now, shortage),
-            Event::MoneyChanged => self.grants_changed(),
+            Event::ReservationFailed(shortage) => self.reservation_failed(now, shortage),
+            Event::GrantsChanged => self.grants_changed(),
             Event::Reply { dispatch, reply } => self.reply(now, dispatch, reply),
-            Event::Broken {
+            Event::CallBroken {
                 dispatch,
                 never_sent,
             } => self.call_broken(now, dispatch, never_sent),
-            Event::Gone(target) => self.target_gone(&target),
+            Event::TargetGone(target) => self.target_gone(&target),
             Event::CallerGone => self.caller_disconnected(),
-            Event::Wake => self.timer_fired(now),
+            Event::TimerFired => self.timer_fired(now),
         }
         std::mem::take(&mut self.actions)
     }
 
     fn begin(&mut self) {
         let deadline = self.spec.deadline;
-        self.actions.push(Action::WakeAt(deadline));
+        self.actions.push(Action::SetTimer(deadline));
         self.choose();
     }
 
@@ -207,7 +207,7 @@
         }
         self.target = Some(target);
         self.start_state = StartState::NotSent;
-        if self.spec.named || self.spec.once {
+        if self.spec.has_caller_key || self.spec.at_most_once {
             return self.claim();
         }
         self.owns_claim = true;
@@ -239,10 +239,10 @@
             return self.refuse(Refusal::new(Reason::DeadlineTooClose));
         }
         if now >= self.spec.deadline + END_GRACE {
-            return self.finish(Outcome::Unknown(Doubt::Stopped), None);
+            return self.finish(Outcome::Unknown(UnknownCause::Stopped), None);
         }
         self.actions
-            .push(Action::WakeAt(self.spec.deadline + END_GRACE));
+            .push(Action::SetTimer(self.spec.deadline + END_GRACE));
     }
 
     /// Calls a sidecar; from now on only this call's replies are handled.
@@ -260,7 +260,7 @@
     pub(super) fn refuse(&mut self, refusal: Refusal) {
         // Once an endpoint has begun the answer, "not run" would be false.
         if self.attempt > 0 || self.delivered > 0 {
-            return self.finish(Outcome::Unknown(Doubt::EndpointLost), None);
+            return self.finish(Outcome::Unknown(UnknownCause::EndpointLost), None);
         }
         self.finish(Outcome::NotRun(refusal), None);
     }
@@ -275,7 +275,7 @@
         // Anyone who has read an answer to its end knows the outcome; otherwise only the claim's
         // owner does.
         let may_settle = self.owns_claim || matches!(outcome, Outcome::Completed(_));
-        if self.spec.once && may_settle {
+        if self.spec.at_most_once && may_settle {
             let settle = SettleClaim {
                 id: self.claim_id.clone(),
                 key: self.spec.key.clone(),
@@ -284,7 +284,7 @@
             self.actions.push(Action::SettleClaim(settle));
         }
         let dispatch = self.dispatch;
-        self.actions.push(Action::Drop { dispatch });
+        self.actions.push(Action::DropCall { dispatch });
         self.actions.push(Action::Finish { outcome, end });
         self.step = Step::Finished;
         if awaits_charge {
--- a/crates/anvilreel/src/request/failover.rs
+++ b/crates/anvilreel/src/request/failover.rs
@@ -37,11 +37,11 @@
         // The first start of a key that no other router knows was never sent, so another endpoint
         // can be tried at once.
         let never_started = never_sent && self.starts_sent == 1 && dispatch == self.last_start_call;
-        if never_started && !self.spec.named && !self.spec.once {
+        if never_started && !self.spec.has_caller_key && !self.spec.at_most_once {
             self.start_state = StartState::NotSent;
             return self.try_other_endpoint(Refusal::new(Reason::EndpointRefused));
         }
-        if never_started && self.spec.once {
+        if never_started && self.spec.at_most_once {
             self.start_state = StartState::NotSent;
             return self.refuse(retryable(Reason::EndpointRefused));
         }
@@ -51,7 +51,7 @@
     /// Drops the current call and attaches again after a pause, or continues at another endpoint.
     pub(super) fn back_off(&mut self, now: Now) {
         let dispatch = self.dispatch;
-        self.actions.push(Action::Drop { dispatch });
+        self.actions.push(Action::DropCall { dispatch });
         self.dispatch += 1;
         self.consecutive_breaks += 1;
         if self.consecutive_breaks >= MAX_CONSECUTIVE_BREAKS
@@ -64,7 +64,7 @@
         let pause = MIN_BACKOFF * 2_u32.pow(self.consecutive_breaks.min(8) - 1);
         let until = now + pause.min(MAX_BACKOFF);
         self.step = Step::BackingOff { until };
-        self.actions.push(Action::WakeAt(until));
+        self.actions.push(Action::SetTimer(until));
     }
 
     /// Handles a sidecar's refusal to run the key; this attempt has not been charged.
@@ -79,19 +79,19 @@
         // request's first start, "not run" is true.
         if refusal.reason == Reason::RouterFenced {
             if self.starts_sent > 1 {
-                return self.finish(Outcome::Unknown(Doubt::SidecarLost), None);
+                return self.finish(Outcome::Unknown(UnknownCause::SidecarLost), None);
             }
             return self.refuse(refusal);
         }
         // A refusal covers this start only. An earlier one may have been accepted by an incarnation
         // that is over, and then "not run" would be false.
         let doubtful = self.starts_sent > 1;
-        if !self.spec.once && (self.spec.named || doubtful) {
+        if !self.spec.at_most_once && (self.spec.has_caller_key || doubtful) {
             // The claim still directs other exchanges to this sidecar. None of them may start the
             // key here after this exchange has moved to another endpoint.
             return self.forbid(refusal);
         }
-        if self.spec.once {
+        if self.spec.at_most_once {
             return self.refuse(refusal);
         }
         self.try_other_endpoint(refusal);
@@ -103,15 +103,15 @@
         };
         self.step = Step::Forbidding { cause };
         let key = self.spec.key.clone();
-        let life = target.life;
-        let claim = self.spec.once.then(|| self.claim_id.clone());
+        let life = target.incarnation;
+        let claim = self.spec.at_most_once.then(|| self.claim_id.clone());
         self.call(target, SidecarRequest::Forbid { key, life, claim });
     }
 
     /// Handles the sidecar's confirmation that it will never start this key.
     pub(super) fn start_forbidden(&mut self, cause: Refusal) {
         self.start_state = StartState::NotSent;
-        if self.spec.once {
+        if self.spec.at_most_once {
             // No other exchange can have received this claim as fresh and still start the key here.
             self.owns_claim = true;
             return self.refuse(retryable(cause.reason));
@@ -124,10 +124,10 @@
         // Two copies of an order can arrive at the same time, so that the second finds the claim
         // before the first one's call has arrived. Forbidding the key at once would refuse both, so
         // the owner's call is given time to arrive.
-        if self.spec.once && self.consecutive_breaks < MAX_CONSECUTIVE_BREAKS {
+        if self.spec.at_most_once && self.consecutive_breaks < MAX_CONSECUTIVE_BREAKS {
             return self.back_off(self.now);
         }
-        if self.spec.once {
+        if self.spec.at_most_once {
             return self.wait_for_claim_owner();
         }
         self.reserve_or_start();
@@ -144,7 +144,7 @@
         }
         let until = now + CLAIM_OWNER_POLL_INTERVAL;
         self.step = Step::BackingOff { until };
-        self.actions.push(Action::WakeAt(until));
+        self.actions.push(Action::SetTimer(until));
     }
 
     /// Tries another endpoint for work that has not begun.
@@ -161,7 +161,7 @@
     pub(super) fn resume_elsewhere(&mut self) {
         self.attempt += 1;
         if self.excluded.len() + 1 >= MAX_ENDPOINTS {
-            return self.finish(Outcome::Unknown(Doubt::EndpointLost), None);
+            return self.finish(Outcome::Unknown(UnknownCause::EndpointLost), None);
         }
         self.leave_target();
         self.choose();
@@ -172,7 +172,7 @@
         // taken for a break of the next call, the request would back off for a target that it has
         // left, and would never be answered. So the old call is dropped and its events are ignored.
         let dispatch = self.dispatch;
-        self.actions.push(Action::Drop { dispatch });
+        self.actions.push(Action::DropCall { dispatch });
         self.dispatch += 1;
         if let Some(target) = self.target.take() {
             self.excluded.insert(target.sidecar);
@@ -186,7 +186,7 @@
     /// Whether another endpoint can supply the rest of the answer.
     pub(super) fn may_continue(&self) -> bool {
         let continues = matches!(self.spec.work, Work::Chat { .. }) || self.delivered == 0;
-        !self.spec.once && continues
+        !self.spec.at_most_once && continues
     }
 
     /// Handles the members' list reporting that a sidecar's incarnation is over.
@@ -203,15 +203,15 @@
     /// Handles the end of the incarnation that was to run the key.
     pub(super) fn incarnation_ended(&mut self) {
         if matches!(self.step, Step::Cancelling) {
-            return self.finish(Outcome::Unknown(Doubt::Stopped), None);
+            return self.finish(Outcome::Unknown(UnknownCause::Stopped), None);
         }
         if self.completed_in_ledger {
             // An order was placed and its sidecar restarted. A caller that asks again must not get
             // the answer that the order may have run, since the ledger knows that it did.
-            return self.finish(Outcome::Unknown(Doubt::AnswerLost), None);
+            return self.finish(Outcome::Unknown(UnknownCause::AnswerLost), None);
         }
         if !self.may_continue() {
-            return self.finish(Outcome::Unknown(Doubt::SidecarLost), None);
+            return self.finish(Outcome::Unknown(UnknownCause::SidecarLost), None);
         }
         self.resume_elsewhere();
     }
@@ -229,7 +229,7 @@
     /// produced is charged.
     pub(super) fn caller_disconnected(&mut self) {
         self.caller.disconnected = true;
-        if self.spec.named || self.spec.once {
+        if self.spec.has_caller_key || self.spec.at_most_once {
             return;
         }
         if self.nothing_ran() {
@@ -239,10 +239,10 @@
             return;
         };
         let dispatch = self.dispatch;
-        self.actions.push(Action::Drop { dispatch });
+        self.actions.push(Action::DropCall { dispatch });
         self.step = Step::Cancelling;
         let key = self.spec.key.clone();
-        let life = target.life;
+        let life = target.incarnation;
         self.call(target, SidecarRequest::Cancel { key, life });
     }
 }
--- a/crates/anvilreel/src/request/late_charge.rs
+++ b/crates/anvilreel/src/request/late_charge.rs
@@ -31,10 +31,10 @@
             self.target = self.abandoned_target.take();
         }
         let left = self.spec.deadline.saturating_sub(self.now);
-        let until = self.now + left + self.spec.keep;
+        let until = self.now + left + self.spec.retention;
         self.step = Step::AwaitingCharge { until };
         self.actions
-            .push(Action::WakeAt(self.now + CHARGE_QUERY_INTERVAL));
+            .push(Action::SetTimer(self.now + CHARGE_QUERY_INTERVAL));
     }
 
     /// Handles the only events that matter while the charge is awaited.
@@ -44,14 +44,16 @@
                 dispatch,
                 reply: SidecarReply::Probed(answer),
             } if dispatch == self.dispatch => self.charge_answered(answer),
-            Event::Gone(target) if self.target.as_ref() == Some(&target) => self.verify_claim(),
+            Event::TargetGone(target) if self.target.as_ref() == Some(&target) => {
+                self.verify_claim();
+            }
             Event::Claimed {
                 holder: Holder::Ledger,
                 answer,
             } => self.claim_verified(answer),
-            Event::Wake if now >= until => self.settle_late(None),
-            Event::Wake if self.target.is_none() => self.verify_claim(),
-            Event::Wake => self.query_charge(now),
+            Event::TimerFired if now >= until => self.settle_late(None),
+            Event::TimerFired if self.target.is_none() => self.verify_claim(),
+            Event::TimerFired => self.query_charge(now),
             Event::Reserved(reservation) => self.actions.push(Action::Release(reservation)),
             _ => {}
         }
@@ -64,17 +66,17 @@
     /// key twice, once for nothing. So the ledger is asked whether this request's claim is still
     /// the recorded one.
     fn verify_claim(&mut self) {
-        if !self.spec.once {
+        if !self.spec.at_most_once {
             return self.settle_late(None);
         }
         let target = self.target.take();
         self.actions
-            .push(Action::WakeAt(self.now + CHARGE_QUERY_INTERVAL));
+            .push(Action::SetTimer(self.now + CHARGE_QUERY_INTERVAL));
         self.put_ledger_claim(target.as_ref());
     }
 
     fn claim_verified(&mut self, answer: ClaimAnswer) {
-        let ClaimAnswer::Stands { id, .. } = answer else {
+        let ClaimAnswer::Recorded { id, .. } = answer else {
             return;
         };
         if id != self.spec.claim_id {
@@ -89,12 +91,12 @@
         };
         let key = self.spec.key.clone();
         self.actions
-            .push(Action::WakeAt(now + CHARGE_QUERY_INTERVAL));
-        let life = target.life;
-        let req = if self.spec.once {
+            .push(Action::SetTimer(now + CHARGE_QUERY_INTERVAL));
+        let life = target.incarnation;
+        let req = if self.spec.at_most_once {
             let claim = Some(self.spec.claim_id.clone());
             SidecarRequest::Forbid { key, life, claim }
-        } else if self.spec.named {
+        } else if self.spec.has_caller_key {
             SidecarRequest::Probe { key }
         } else {
             SidecarRequest::Cancel { key, life }
@@ -116,7 +118,7 @@
     }
 
     fn settle_late(&mut self, end: Option<&RunEnd>) {
-        let cost = Outcome::Unknown(Doubt::SidecarLost);
+        let cost = Outcome::Unknown(UnknownCause::SidecarLost);
         self.settle(&cost, end);
         self.step = Step::Finished;
     }
--- a/crates/anvilreel/src/request/reading.rs
+++ b/crates/anvilreel/src/request/reading.rs
@@ -45,7 +45,7 @@
     /// claim. A caller that reuses its key with another body would otherwise receive the answer to
     /// a different request.
     fn accepted(&mut self, attached: bool, body: BodyHash) {
-        if body != self.spec.body {
+        if body != self.spec.body_hash {
             return self.refuse(Refusal::new(Reason::KeyReused(body)));
         }
         if self.start_state == StartState::Sent && !attached {
@@ -53,7 +53,7 @@
         }
     }
 
-    fn deliver_head(&mut self, head: anvil_wire::msg::Head) {
+    fn deliver_head(&mut self, head: anvil_wire::msg::ResponseHead) {
         if !self.caller.has_head && !self.caller.disconnected {
             self.actions.push(Action::DeliverHead(head));
         }
@@ -104,7 +104,9 @@
             return self.back_off(now);
         }
         match &end.outcome {
-            Outcome::Unknown(Doubt::EndpointLost) if self.may_continue() => self.resume_elsewhere(),
+            Outcome::Unknown(UnknownCause::EndpointLost) if self.may_continue() => {
+                self.resume_elsewhere();
+            }
             outcome => self.finish(outcome.clone(), Some(end)),
         }
     }
--- a/crates/anvilreel/src/request/reserving.rs
+++ b/crates/anvilreel/src/request/reserving.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use anvil_wire::msg::{Payment, RunEnd, SidecarRequest, Start, Work};
+use anvil_wire::msg::{Payment, RunEnd, SidecarRequest, StartRequest, Work};
 use anvil_world::prelude::*;
 
 use super::exchange::{Exchange, StartState, Step};
 use super::{Action, ExchangeError, Target};
-use crate::money::{Purse, Reservation, Shortage};
+use crate::money::{GrantAccount, Reservation, Shortage};
 
 /// Longest pause between two reservation attempts, in case a notification was missed.
 const RESERVE_RETRY_INTERVAL: Duration = Duration::from_millis(250);
@@ -22,7 +22,12 @@
         self.actions.push(Action::Reserve);
     }
 
-    pub(super) fn reserved(&mut self, now: Now, grant_account: &Purse, reservation: Reservation) {
+    pub(super) fn reserved(
+        &mut self,
+        now: Now,
+        grant_account: &GrantAccount,
+        reservation: Reservation,
+    ) {
         if !matches!(self.step, Step::Reserving { .. }) {
             return self.actions.push(Action::Release(reservation));
         }
@@ -44,7 +49,7 @@
             return self.refuse(otherwise);
         }
         self.actions
-            .push(Action::WakeAt(end.min(now + RESERVE_RETRY_INTERVAL)));
+            .push(Action::SetTimer(end.min(now + RESERVE_RETRY_INTERVAL)));
     }
 
     pub(super) fn grants_changed(&mut self) {
@@ -63,18 +68,18 @@
         let (Some(target), Some(payment)) = (self.target.clone(), self.payment.clone()) else {
             return;
         };
-        let start = Start {
+        let start = StartRequest {
             key: self.spec.key.clone(),
-            life: target.life,
+            life: target.incarnation,
             claim: self.spec.claim_id.clone(),
             attempt: self.attempt,
-            body: self.spec.body,
+            body: self.spec.body_hash,
             payment,
             work: self.remaining_work(),
-            once: self.spec.once,
+            once: self.spec.at_most_once,
             class: self.spec.class,
             time_left: self.spec.deadline.saturating_sub(now),
-            keep: self.spec.keep,
+            keep: self.spec.retention,
             offset: self.delivered,
             prefix: self.prefix.clone().freeze(),
             prefix_tokens: self.delivered_tokens,
@@ -102,7 +107,7 @@
 
     /// Tokens charged to this exchange's reservation.
     fn own_charge(&self, end: &RunEnd) -> Tokens {
-        let payer = self.payment.as_ref().map(Payment::payer);
+        let payer = self.payment.as_ref().map(Payment::reservation);
         if payer.as_ref() == Some(&end.paid_by) {
             end.charged.values().sum()
         } else {
@@ -123,7 +128,7 @@
         let cost = match (end, outcome) {
             (Some(end), _) => self.own_charge(end),
             (None, Outcome::Unknown(_))
-                if self.spec.once && self.start_state != StartState::NotSent =>
+                if self.spec.at_most_once && self.start_state != StartState::NotSent =>
             {
                 reservation.bound()
             }
@@ -151,7 +156,10 @@
     }
 
     /// A target: one incarnation of a sidecar.
-    pub fn new(sidecar: InstanceId, life: Incarnation) -> Self {
-        Self { sidecar, life }
+    pub fn new(sidecar: InstanceId, incarnation: Incarnation) -> Self {
+        Self {
+            sidecar,
+            incarnation,
+        }
     }
 }
--- a/crates/anvilreel/src/request/spec.rs
+++ b/crates/anvilreel/src/request/spec.rs
@@ -10,17 +10,17 @@
 
 /// A caller's validated request.
 #[derive(Debug, Clone)]
-pub struct Spec {
+pub struct RequestSpec {
     /// The request's key.
     pub key: RequestKey,
     /// Id of this exchange's claim in the ledger; unique in the fleet.
     pub claim_id: ClaimId,
     /// Whether the caller chose the key, so that it can retry with the same key through any router.
-    pub named: bool,
+    pub has_caller_key: bool,
     /// Hash of the caller's body.
-    pub body: BodyHash,
+    pub body_hash: BodyHash,
     /// Whether it may run at most once, ever.
-    pub once: bool,
+    pub at_most_once: bool,
     /// The budgets that pay, and their shares.
     pub split: Split,
     /// Tokens per unit of usage.
@@ -34,12 +34,12 @@
     /// When the request is given up.
     pub deadline: Now,
     /// How long the answer is kept for a caller that retries.
-    pub keep: Duration,
+    pub retention: Duration,
     /// The routers that hold this key's claim, see [`crate::claims::placement`].
     pub holders: Vec<InstanceId>,
     /// Sidecars to probe if no holder can confirm that the key is unclaimed: all that could run it,
     /// or none if the key has had the same holders for as long as a claim is kept.
-    pub suspects: Vec<Target>,
+    pub probe_candidates: Vec<Target>,
 }
 
 /// One incarnation of a sidecar.
@@ -48,7 +48,7 @@
     /// The sidecar.
     pub sidecar: InstanceId,
     /// Its incarnation.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
 }
 
 /// The key under which a later generation of a claim is stored.
--- a/crates/anvilreel/src/router.rs
+++ b/crates/anvilreel/src/router.rs
@@ -41,13 +41,13 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use crate::claims::{ClaimBook, Tenure};
+use crate::claims::{ClaimStore, HolderHistory};
 use crate::event;
 use crate::events;
 use crate::ledger_client::LedgerClient;
 use crate::life::Life;
 use crate::metrics::{Metrics, REQUESTS_OPEN};
-use crate::money::{GrantPolicy, Purse};
+use crate::money::{GrantAccount, GrantPolicy};
 use crate::peers::Peers;
 use endpoint_pools::EndpointPools;
 use follow::{Follower, ViewState};
@@ -93,10 +93,10 @@
     peers: Arc<Peers>,
     view_state: Arc<ViewState>,
     pools: EndpointPools,
-    grant_account: Purse,
+    grant_account: GrantAccount,
     batch_wanted: Notify,
-    claims: Mutex<ClaimBook>,
-    holder_history: Mutex<Tenure>,
+    claims: Mutex<ClaimStore>,
+    holder_history: Mutex<HolderHistory>,
     generated_ids: AtomicU64,
     open_requests: AtomicUsize,
 }
@@ -160,25 +160,25 @@
 
     /// Whether the router currently sends work to the sidecar at this address, in the incarnation
     /// that the members' list names.
-    pub fn sees(&self, sidecar: SocketAddr) -> bool {
+    pub fn routes_to(&self, sidecar: SocketAddr) -> bool {
         let view = self.core.view_state.view.load();
         let mut all = view.endpoints.values().flatten();
         all.any(|instance| instance.addr == sidecar)
     }
 
     /// Number of endpoints known to this router.
-    pub fn endpoints(&self) -> usize {
+    pub fn endpoint_count(&self) -> usize {
         let view = self.core.view_state.view.load();
         view.endpoints.values().map(Vec::len).sum()
     }
 
     /// The newest version of the settings tree, members and fences applied by this router.
-    pub fn version(&self) -> LogIndex {
+    pub fn view_version(&self) -> LogIndex {
         self.core.view_state.view.load().version
     }
 
     /// Number of routers known to this one, itself included.
-    pub fn peers(&self) -> usize {
+    pub fn router_count(&self) -> usize {
         self.core.view_state.view.load().routers.len()
     }
 
@@ -208,7 +208,7 @@
     ///
     /// After a long partition the incarnation is fenced and every sidecar refuses it. Unless the
     /// process starts a new incarnation, this router would refuse callers for ever.
-    pub async fn over(&self) {
+    pub async fn incarnation_over(&self) {
         self.core.life.ended().await;
     }
 
@@ -302,11 +302,11 @@
         let peers = Arc::new(Peers::default());
         let fleet = FleetDocument::default();
         let window = fleet.keep_answers + fleet.request_timeout;
-        let holder_history = Tenure::new(instance.zone.region.clone(), window, life.now());
+        let holder_history = HolderHistory::new(instance.zone.region.clone(), window, life.now());
         let policy = GrantPolicy::default();
         Self {
             pools: EndpointPools::new(instance.clone(), life.clone(), peers.clone()),
-            grant_account: Purse::new(instance.id.clone(), life.incarnation, policy),
+            grant_account: GrantAccount::new(instance.id.clone(), life.incarnation, policy),
             view_state: Arc::new(ViewState::new(life.clone())),
             ledger: Arc::new(LedgerClient::new(&settings.ledgers).with_learning()),
             instance,
@@ -333,12 +333,12 @@
         .into()
     }
 
-    fn lock_claims(&self) -> MutexGuard<'_, ClaimBook> {
+    fn lock_claims(&self) -> MutexGuard<'_, ClaimStore> {
         // Each update leaves the store consistent, so a poisoned lock can be used.
         self.claims.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock_holder_history(&self) -> MutexGuard<'_, Tenure> {
+    fn lock_holder_history(&self) -> MutexGuard<'_, HolderHistory> {
         // Each update leaves the lists consistent, so a poisoned lock can be used.
         self.holder_history
             .lock()
@@ -359,7 +359,7 @@
         }
         let mut holder_history = self.lock_holder_history();
         holder_history.set_window(view.fleet.keep_answers + view.fleet.request_timeout);
-        holder_history.note(self.life.now(), view.routers.values());
+        holder_history.record_members(self.life.now(), view.routers.values());
         drop(holder_history);
         self.grant_account.set_horizon(view.fleet.grant_horizon);
         self.pools.update(view);
--- a/crates/anvilreel/src/router/batch_loop.rs
+++ b/crates/anvilreel/src/router/batch_loop.rs
@@ -32,7 +32,7 @@
 
 /// Returns every grant to the ledger, within this time.
 pub async fn return_grants(core: &Core, within: Duration) {
-    core.grant_account.stop();
+    core.grant_account.begin_drain();
     let deadline = Instant::now() + within;
     while !core.grant_account.is_empty() && Instant::now() < deadline {
         core.batch_wanted.notify_one();
@@ -41,18 +41,18 @@
 }
 
 async fn exchange_batch(core: &Core) {
-    let Some(batch) = core.grant_account.batch(core.life.now()) else {
+    let Some(batch) = core.grant_account.next_batch(core.life.now()) else {
         return;
     };
     let command = Command::GrantBatch(batch);
     match core.ledger.propose(command, BATCH_TIMEOUT).await {
         Ok(Answer::Grants(answer)) => {
-            if let Err(e) = core.grant_account.answered(core.life.now(), &answer) {
+            if let Err(e) = core.grant_account.apply_answer(core.life.now(), &answer) {
                 event!(core.log, events::ROUTER_SETTLEMENT_REFUSED, "error" => e.to_string());
             }
         }
         Ok(Answer::Denied(denial)) => {
-            if core.grant_account.denied(core.life.now(), &denial) {
+            if core.grant_account.apply_denial(core.life.now(), &denial) {
                 event!(core.log, events::ROUTER_FENCED);
             }
         }
--- a/crates/anvilreel/src/router/call.rs
+++ b/crates/anvilreel/src/router/call.rs
@@ -53,7 +53,9 @@
             match &mut self.state {
                 State::Opening(opening) => match opening.await {
                     Ok(replies) => self.state = State::Reading(Box::new(replies)),
-                    Err(e) if self.is_probe && e.nobody_listens() => return self.sidecar_gone(),
+                    Err(e) if self.is_probe && e.is_connection_refused() => {
+                        return self.sidecar_gone();
+                    }
                     Err(e) => return self.broken(e.never_sent()),
                 },
                 State::Reading(replies) => match replies.next().await {
@@ -92,7 +94,7 @@
 
     fn broken(&mut self, never_sent: bool) -> Event {
         self.state = State::Complete;
-        Event::Broken {
+        Event::CallBroken {
             dispatch: self.dispatch,
             never_sent,
         }
--- a/crates/anvilreel/src/router/chat_call.rs
+++ b/crates/anvilreel/src/router/chat_call.rs
@@ -81,7 +81,7 @@
     let max_output = chat
         .max_output
         .map_or(model_limit, |wanted| wanted.min(model_limit));
-    let bound = model.price.of(usage_upper_bound(&body, max_output));
+    let bound = model.price.cost(usage_upper_bound(&body, max_output));
     Job {
         key,
         has_caller_key,
@@ -108,7 +108,7 @@
         Some(AnswerPart::Refused(refusal)) => return errors::refusal_response(&refusal),
         Some(AnswerPart::Doubt(doubt)) => return errors::unknown_response(doubt, false),
         Some(answer_part) => encode_part(&mut encoder, answer_part),
-        None => return errors::unknown_response(Doubt::EndpointLost, false),
+        None => return errors::unknown_response(UnknownCause::EndpointLost, false),
     };
     let events = unfold(
         (encoder, answer_parts, first),
@@ -166,5 +166,5 @@
             AnswerPart::Doubt(doubt) => return errors::unknown_response(doubt, false),
         }
     }
-    errors::unknown_response(Doubt::EndpointLost, false)
+    errors::unknown_response(UnknownCause::EndpointLost, false)
 }
--- a/crates/anvilreel/src/router/claim_holders.rs
+++ b/crates/anvilreel/src/router/claim_holders.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use anvil_wire::msg::{PlacedClaim, RouterCall, RouterReply, RouterRequest};
+use anvil_wire::msg::{IdempotentClaim, RouterCall, RouterReply, RouterRequest};
 use anvil_world::command::{Claim, ClaimRecord, ClaimState, SettleClaim};
 use anvil_world::prelude::*;
 use futures::future::join_all;
@@ -33,24 +33,34 @@
     let now = core.life.now();
     let disconnected_for = core.view_state.disconnected_for();
     core.lock_claims().handle(now, req, |key, asked| {
-        core.lock_holder_history()
-            .vouches(now, disconnected_for, &core.instance.id, key, asked)
+        core.lock_holder_history().may_confirm_claim(
+            now,
+            disconnected_for,
+            &core.instance.id,
+            key,
+            asked,
+        )
     })
 }
 
 /// Puts a claim at a router.
-pub async fn put_claim(core: &Core, holder: InstanceId, claim: PlacedClaim, id: ClaimId) -> Event {
+pub async fn put_claim(
+    core: &Core,
+    holder: InstanceId,
+    claim: IdempotentClaim,
+    id: ClaimId,
+) -> Event {
     let answer = request_claim(core, &holder, claim, id).await;
     Event::Claimed {
         holder: Holder::Router(holder),
-        answer: answer.unwrap_or(ClaimAnswer::Lost),
+        answer: answer.unwrap_or(ClaimAnswer::Unavailable),
     }
 }
 
 async fn request_claim(
     core: &Core,
     holder: &InstanceId,
-    claim: PlacedClaim,
+    claim: IdempotentClaim,
     id: ClaimId,
 ) -> Option<ClaimAnswer> {
     let holders = core.lock_holder_history().holders(&claim.key);
@@ -66,7 +76,7 @@
     let RouterReply::Claim(Some(claim)) = reply else {
         return None;
     };
-    Some(ClaimAnswer::Stands {
+    Some(ClaimAnswer::Recorded {
         target: Target::new(claim.sidecar, claim.incarnation),
         body: claim.body,
         id,
@@ -85,13 +95,13 @@
         holder: Holder::Ledger,
         answer: match answer {
             Ok(Answer::Claimed(record)) => ledger_claim_answer(record),
-            Ok(_) | Err(_) => ClaimAnswer::Lost,
+            Ok(_) | Err(_) => ClaimAnswer::Unavailable,
         },
     }
 }
 
 fn ledger_claim_answer(record: ClaimRecord) -> ClaimAnswer {
-    ClaimAnswer::Stands {
+    ClaimAnswer::Recorded {
         target: Target::new(record.claim.sidecar, record.claim.incarnation),
         body: record.claim.body,
         id: record.claim.id,
@@ -119,13 +129,13 @@
 
 /// Hands all stored claims over to the routers that hold them from now on.
 pub async fn hand_over(core: &Core) {
-    let claims = core.lock_claims().leave(core.life.now());
+    let claims = core.lock_claims().drain(core.life.now());
     let view = core.view_state.view.load_full();
     let others = view.routers.values();
     let others: Vec<_> = others
         .filter(|member| member.instance.id != core.instance.id)
         .collect();
-    let mut by_router: BTreeMap<InstanceId, Vec<PlacedClaim>> = BTreeMap::new();
+    let mut by_router: BTreeMap<InstanceId, Vec<IdempotentClaim>> = BTreeMap::new();
     for claim in claims {
         for holder in placement(
             &claim.key,
--- a/crates/anvilreel/src/router/errors.rs
+++ b/crates/anvilreel/src/router/errors.rs
@@ -57,13 +57,13 @@
 ///
 /// Repeatable work can be requested again under the same key: its answer is then read from the
 /// sidecar that runs it, or it runs if it has not, and it is charged once in either case.
-pub fn unknown_body(doubt: Doubt, once: bool) -> (StatusCode, ErrorBody) {
+pub fn unknown_body(doubt: UnknownCause, once: bool) -> (StatusCode, ErrorBody) {
     let message = match doubt {
-        Doubt::EndpointLost => "the endpoint was lost after the request had left for it",
-        Doubt::SidecarLost => "the process that holds the run can't be reached",
-        Doubt::AnswerDropped => "the answer is no longer kept",
-        Doubt::Stopped => "it was stopped before its end",
-        Doubt::AnswerLost => return answer_lost(),
+        UnknownCause::EndpointLost => "the endpoint was lost after the request had left for it",
+        UnknownCause::SidecarLost => "the process that holds the run can't be reached",
+        UnknownCause::AnswerDropped => "the answer is no longer kept",
+        UnknownCause::Stopped => "it was stopped before its end",
+        UnknownCause::AnswerLost => return answer_lost(),
     };
     let body = ErrorBody {
         r#type: "outcome_unknown",
@@ -98,7 +98,7 @@
 }
 
 /// An unknown outcome as an HTTP response.
-pub fn unknown_response(doubt: Doubt, once: bool) -> Response {
+pub fn unknown_response(doubt: UnknownCause, once: bool) -> Response {
     let (status, body) = unknown_body(doubt, once);
     error_response(status, &body)
 }
--- a/crates/anvilreel/src/router/follow.rs
+++ b/crates/anvilreel/src/router/follow.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use anvil_wire::msg::{Heartbeat, Interest, LedgerReply};
+use anvil_wire::msg::{FollowScope, Heartbeat, LedgerReply};
 use anvil_world::prelude::*;
 use arc_swap::ArcSwap;
 use slog::Logger;
@@ -122,7 +122,7 @@
         let id = self.instance.id.clone();
         let opening = self
             .ledger
-            .follow(replica, id, Interest::Router, held.version);
+            .follow(replica, id, FollowScope::Router, held.version);
         let Ok(Ok(mut replies)) = timeout(FOLLOW_TIMEOUT, opening).await else {
             return false;
         };
--- a/crates/anvilreel/src/router/job.rs
+++ b/crates/anvilreel/src/router/job.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use anvil_policy::prefix::{PrefixHash, PrefixRule};
-use anvil_wire::msg::{Head, Work};
+use anvil_wire::msg::{ResponseHead, Work};
 use anvil_world::document::WorkClass;
 use anvil_world::prelude::*;
 use bytes::Bytes;
@@ -11,7 +11,7 @@
 
 use super::view::{Team, View};
 use crate::claims::placement;
-use crate::request::{Spec, Target};
+use crate::request::{RequestSpec, Target};
 
 /// A validated request.
 #[derive(Debug, Clone)]
@@ -69,7 +69,7 @@
 #[derive(Debug)]
 pub enum AnswerPart {
     /// Status and headers of a plain service's answer.
-    Head(Head),
+    Head(ResponseHead),
     /// Output.
     Bytes(Bytes),
     /// The answer is complete and its charge is recorded in two processes.
@@ -82,7 +82,7 @@
     /// The request did not run.
     Refused(Refusal),
     /// The request may have run.
-    Doubt(Doubt),
+    Doubt(UnknownCause),
 }
 
 impl Job {
@@ -150,7 +150,7 @@
 
 impl Job {
     /// The input of the request's state machine.
-    pub(super) fn spec(&self, core: &super::Core) -> Spec {
+    pub(super) fn spec(&self, core: &super::Core) -> RequestSpec {
         let view = core.view_state.view.load();
         let region = &core.instance.zone.region;
         let holders = if self.has_caller_key && !self.at_most_once {
@@ -158,24 +158,24 @@
         } else {
             Vec::new()
         };
-        Spec {
+        RequestSpec {
             key: self.key.clone(),
             claim_id: self.claim_id.clone(),
-            named: self.has_caller_key,
-            body: self.body_hash,
-            once: self.at_most_once,
+            has_caller_key: self.has_caller_key,
+            body_hash: self.body_hash,
+            at_most_once: self.at_most_once,
             split: self.split.clone(),
             price: self.price,
             bound: self.bound,
             work: self.work.clone(),
             class: self.class,
             deadline: core.life.now() + self.time_left(),
-            keep: if self.has_caller_key {
+            retention: if self.has_caller_key {
                 self.retention
             } else {
                 GENERATED_KEY_RETENTION
             },
-            suspects: self.probe_candidates(core, &view, &holders),
+            probe_candidates: self.probe_candidates(core, &view, &holders),
             holders,
         }
     }
@@ -194,7 +194,7 @@
         if holders.is_empty()
             || core
                 .lock_holder_history()
-                .is_settled(core.life.now(), &self.key)
+                .has_stable_holders(core.life.now(), &self.key)
         {
             return Vec::new();
         }
--- a/crates/anvilreel/src/router/plain_call.rs
+++ b/crates/anvilreel/src/router/plain_call.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use anvil_wire::msg::{Head, Work};
+use anvil_wire::msg::{ResponseHead, Work};
 use anvil_world::document::{ServiceDocument, ServiceKind};
 use anvil_world::prelude::*;
 use bytes::Bytes;
@@ -118,7 +118,7 @@
             body_hash: self.hash(&service),
             at_most_once: !document.may_repeat(&self.method, &self.tail),
             price: document.price,
-            bound: document.price.of(usage),
+            bound: document.price.cost(usage),
             service,
             work: Work::Plain {
                 method: self.method,
@@ -162,7 +162,7 @@
         Some(AnswerPart::Doubt(doubt)) => return errors::unknown_response(doubt, once),
         // A run without a head violates an invariant of the sidecar, so its outcome is not known.
         Some(AnswerPart::Bytes(_) | AnswerPart::End { .. }) | None => {
-            return errors::unknown_response(Doubt::EndpointLost, once);
+            return errors::unknown_response(UnknownCause::EndpointLost, once);
         }
     };
     let body = unfold(Some(answer_parts), |answer_parts| async {
@@ -178,7 +178,7 @@
     response
 }
 
-fn response_with_head(head: &Head) -> Response {
+fn response_with_head(head: &ResponseHead) -> Response {
     let mut response = Response::new(Body::empty());
     let status = StatusCode::from_u16(head.status);
     *response.status_mut() = status.unwrap_or(StatusCode::BAD_GATEWAY);
--- a/crates/anvilreel/src/router/pool_queue.rs
+++ b/crates/anvilreel/src/router/pool_queue.rs
@@ -22,7 +22,7 @@
 type AdmissionResult = Result<(), Refusal>;
 
 struct QueueState {
-    gate: Gate,
+    gate: AdmissionGate,
     waiters: BTreeMap<WaiterId, oneshot::Sender<AdmissionResult>>,
     estimate: Estimate,
     health: Health,
@@ -59,10 +59,10 @@
 
 impl EndpointPermit {
     /// Records the measurements of a request that ran to its end.
-    pub fn record_finished(&self, finished: &Finished) {
+    pub fn record_finished(&self, finished: &FinishedRequest) {
         let mut queue = self.pool_queue.queue();
         queue.estimate.learn(finished);
-        let ended = Ended::Answered(measured_latency(finished, &queue.estimate));
+        let ended = AttemptResult::Answered(measured_latency(finished, &queue.estimate));
         queue
             .health
             .observe(self.life.now(), &self.endpoint, &ended);
@@ -72,7 +72,9 @@
     pub fn record_failure(&self) {
         let now = self.life.now();
         let mut queue = self.pool_queue.queue();
-        queue.health.observe(now, &self.endpoint, &Ended::Failed);
+        queue
+            .health
+            .observe(now, &self.endpoint, &AttemptResult::Failed);
     }
 }
 
@@ -80,7 +82,7 @@
     /// A queue without endpoints.
     pub fn new(chooser: Chooser, seed: u64) -> Self {
         let queue = QueueState {
-            gate: Gate::new(AdmissionRule::default()),
+            gate: AdmissionGate::new(AdmissionRule::default()),
             waiters: BTreeMap::new(),
             estimate: Estimate::default(),
             health: Health::new(HealthRule::default()),
@@ -144,15 +146,15 @@
         avoid: &[InstanceId],
     ) -> Result<EndpointPermit, Refusal> {
         let ticket = self.ticket(life.now(), job, weight);
-        if !self.pool.load().serves() {
+        if !self.pool.load().accepts_work() {
             return Err(no_endpoint(job));
         }
         let mut verdict = self.queue().gate.offer(life.now(), ticket.clone());
         loop {
             match verdict {
-                Verdict::Go => {}
-                Verdict::Refuse(refusal) => return Err(refusal),
-                Verdict::Wait(id) => self.wait(id).await?,
+                AdmissionDecision::Run => {}
+                AdmissionDecision::Refuse(refusal) => return Err(refusal),
+                AdmissionDecision::Wait(id) => self.wait(id).await?,
             }
             let choice = self.choose(life.now(), job, avoid);
             match choice {
@@ -165,7 +167,7 @@
                         life,
                     });
                 }
-                Choice::Nowhere => {
+                Choice::Unserved => {
                     self.queue().gate.finished();
                     return Err(no_endpoint(job));
                 }
@@ -181,7 +183,7 @@
             weight,
             class: job.class,
             prompt,
-            service: self.queue().estimate.service(prompt, output),
+            service: self.queue().estimate.service_time(prompt, output),
             deadline: now + job.time_left(),
         }
     }
@@ -191,26 +193,26 @@
         let pool = self.pool.load();
         let mut queue = self.queue();
         let cached = cached_tokens(queue.prefixes.holders(now, &hashes));
-        let ask = Ask {
+        let ask = ChoiceRequest {
             prompt: job.expected().0,
             cached: &cached,
             avoid,
         };
         let choice = self.chooser.choose(&pool, &ask, &mut queue.rng);
         if let Choice::Endpoint(endpoint) = &choice {
-            queue.prefixes.sent(now, &endpoint.id, &hashes);
+            queue.prefixes.record_sent(now, &endpoint.id, &hashes);
         }
         choice
     }
 
-    fn requeue(&self, now: Now, ticket: &Ticket, job: &Job) -> Verdict {
+    fn requeue(&self, now: Now, ticket: &Ticket, job: &Job) -> AdmissionDecision {
         let waiter = Waiter {
             id: 0,
             ticket: ticket.clone(),
             arrived: now,
             start_by: now + job.queue_timeout.min(job.time_left()),
         };
-        Verdict::Wait(self.queue().gate.put_back(now, &waiter))
+        AdmissionDecision::Wait(self.queue().gate.requeue(now, &waiter))
     }
 
     async fn wait(self: &Arc<Self>, id: WaiterId) -> AdmissionResult {
@@ -229,7 +231,7 @@
     }
 
     fn admit_waiting(&self, queue: &mut QueueState, now: Now) {
-        let room = self.pool.load().room();
+        let room = self.pool.load().headroom();
         let running = queue.gate.running();
         queue.gate.set_limit(running.saturating_add(room));
         while let Some(waiter) = queue.gate.next(now) {
@@ -279,21 +281,21 @@
 
 /// Latencies of a finished request. The estimated prefill time is subtracted, so that a long prompt
 /// does not count against the endpoint.
-fn measured_latency(finished: &Finished, estimate: &Estimate) -> Latency {
+fn measured_latency(finished: &FinishedRequest, estimate: &Estimate) -> Latency {
     let prompt = u32::try_from(finished.prompt).unwrap_or(u32::MAX);
     let prefill = f64::from(prompt) * estimate.per_prompt_token;
     let prefill = Duration::try_from_secs_f64(prefill).unwrap_or_default();
     let rest = finished.total.saturating_sub(finished.first_token);
     let gaps = u32::try_from(finished.output.saturating_sub(1)).unwrap_or(u32::MAX);
     Latency {
-        first: finished.first_token.saturating_sub(prefill),
-        between: rest / gaps.max(1),
+        first_token: finished.first_token.saturating_sub(prefill),
+        token_gap: rest / gaps.max(1),
     }
 }
 
 /// Converts the length of cached prefixes from blocks into tokens.
 fn cached_tokens(held: Vec<(InstanceId, usize)>) -> Vec<(InstanceId, Tokens)> {
-    let block = PrefixRule::default().block as u64 / AVG_TOKEN_BYTES;
+    let block = PrefixRule::default().block_bytes as u64 / AVG_TOKEN_BYTES;
     let tokens = |(id, blocks): (InstanceId, usize)| (id, blocks as u64 * block);
     held.into_iter().map(tokens).collect()
 }
--- a/crates/anvilreel/src/router/request_task.rs
+++ b/crates/anvilreel/src/router/request_task.rs
@@ -5,7 +5,7 @@
 use std::pin::Pin;
 use std::sync::Arc;
 
-use anvil_policy::estimate::Finished;
+use anvil_policy::estimate::FinishedRequest;
 use anvil_wire::msg::{RunEnd, SidecarReply, SidecarRequest};
 use anvil_world::prelude::*;
 use futures::future::BoxFuture;
@@ -113,11 +113,11 @@
                 }
                 () = next_grant_change(&mut self.grants_changed) => {
                     self.grants_changed = None;
-                    Some(Event::MoneyChanged)
+                    Some(Event::GrantsChanged)
                 }
                 () = next_timer(self.core, &self.timers) => {
                     self.timers.pop_first();
-                    Some(Event::Wake)
+                    Some(Event::TimerFired)
                 }
                 // The sender lives as long as the router.
                 _ = changes.changed() => self.target_gone(),
@@ -133,13 +133,13 @@
         let Some(target) = self
             .target
             .as_ref()
-            .filter(|_| matches!(event, Event::Broken { .. }))
+            .filter(|_| matches!(event, Event::CallBroken { .. }))
         else {
             return event;
         };
         let view = self.core.view_state.view.load();
         if view.unresponsive.contains(&target.sidecar) {
-            return Event::Gone(target.clone());
+            return Event::TargetGone(target.clone());
         }
         event
     }
@@ -158,10 +158,12 @@
     /// Reports an endpoint that failed this request to the health tracking, and logs it.
     fn record_endpoint_failure(&self, event: &Event) {
         let failed = match event {
-            Event::Broken { .. } | Event::Gone(_) => true,
+            Event::CallBroken { .. } | Event::TargetGone(_) => true,
             Event::Reply { reply, .. } => match reply {
                 SidecarReply::Refused(refusal) => refusal.reason == Reason::EndpointRefused,
-                SidecarReply::End(end) => end.outcome == Outcome::Unknown(Doubt::EndpointLost),
+                SidecarReply::End(end) => {
+                    end.outcome == Outcome::Unknown(UnknownCause::EndpointLost)
+                }
                 _ => false,
             },
             _ => false,
@@ -180,8 +182,8 @@
         let target = self.target.as_ref()?;
         let view = self.core.view_state.view.load();
         let now = view.sidecars.get(&target.sidecar);
-        let over = now.is_none_or(|now| now.incarnation != target.life);
-        over.then(|| Event::Gone(target.clone()))
+        let over = now.is_none_or(|now| now.incarnation != target.incarnation);
+        over.then(|| Event::TargetGone(target.clone()))
     }
 
     async fn perform(&mut self, action: Action, events: &mut VecDeque<Event>) {
@@ -214,7 +216,7 @@
                 target,
                 req,
             } => events.extend(self.call(dispatch, target, req)),
-            Action::Drop { dispatch } => {
+            Action::DropCall { dispatch } => {
                 self.calls.retain(|call| call.dispatch != dispatch);
             }
             Action::DeliverHead(head) => self.deliver(AnswerPart::Head(head)).await,
@@ -222,7 +224,7 @@
                 self.first_output.get_or_insert_with(Instant::now);
                 self.deliver(AnswerPart::Bytes(bytes)).await;
             }
-            Action::WakeAt(at) => drop(self.timers.insert(at)),
+            Action::SetTimer(at) => drop(self.timers.insert(at)),
             Action::Finish { outcome, end } => self.finish(outcome, end).await,
             Action::Violation(e) => {
                 let error = e.to_string();
@@ -278,7 +280,7 @@
             Err(shortage) => {
                 self.grants_changed = Some(changed);
                 core.batch_wanted.notify_one();
-                Event::Short(shortage)
+                Event::ReservationFailed(shortage)
             }
         }
     }
@@ -287,14 +289,14 @@
         self.called_targets.insert(target.clone());
         let view = self.core.view_state.view.load();
         let known = view.sidecars.get(&target.sidecar);
-        let Some(known) = known.filter(|known| known.incarnation == target.life) else {
+        let Some(known) = known.filter(|known| known.incarnation == target.incarnation) else {
             // Nothing is sent: the target's incarnation is over, or its address is unknown.
             return Some(match *req {
-                SidecarRequest::Probe { .. } => Event::Broken {
+                SidecarRequest::Probe { .. } => Event::CallBroken {
                     dispatch,
                     never_sent: true,
                 },
-                _ => Event::Gone(target),
+                _ => Event::TargetGone(target),
             });
         };
         let channel = self.core.peers.to(known.addr);
@@ -348,8 +350,8 @@
 
     /// Logs an unknown outcome, so that an operator can ask the service what became of the request.
     /// A stopped run needs no log line: what it produced is known.
-    fn log_unknown_outcome(&self, doubt: Doubt) {
-        if doubt == Doubt::Stopped {
+    fn log_unknown_outcome(&self, doubt: UnknownCause) {
+        if doubt == UnknownCause::Stopped {
             return;
         }
         let (key, why) = (self.job.key.id.to_string(), format!("{doubt:?}"));
@@ -363,7 +365,7 @@
         };
         let (prompt, output_bound) = self.job.expected();
         let first = self.first_output.unwrap_or_else(Instant::now);
-        permit.record_finished(&Finished {
+        permit.record_finished(&FinishedRequest {
             prompt,
             output_bound,
             output: usage.output,
--- a/crates/anvilreel/src/runs/charges.rs
+++ b/crates/anvilreel/src/runs/charges.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use anvil_wire::msg::{Evidence, KeyCharge, Payment};
+use anvil_wire::msg::{ChargeEvidence, KeyCharge, Payment};
 use anvil_world::prelude::*;
 
 type ByKey = BTreeMap<RequestKey, (u32, Tokens)>;
@@ -47,7 +47,7 @@
     }
 
     /// All that was charged under a router's lives up to this one.
-    pub fn evidence(&self, router: &InstanceId, incarnation: Incarnation) -> Evidence {
+    pub fn evidence(&self, router: &InstanceId, incarnation: Incarnation) -> ChargeEvidence {
         let lives = self.routers.get(router);
         let grants = lives
             .into_iter()
@@ -60,7 +60,7 @@
                 charged: *charged,
             })
         });
-        Evidence {
+        ChargeEvidence {
             router: router.clone(),
             incarnation,
             charges: charges.collect(),
--- a/crates/anvilreel/src/runs/engine.rs
+++ b/crates/anvilreel/src/runs/engine.rs
@@ -92,7 +92,7 @@
             let command = EngineCommand::Resume { from };
             return self.actions.push(Action::Engine { run: id, command });
         }
-        let doubt = Outcome::Unknown(Doubt::EndpointLost);
+        let doubt = Outcome::Unknown(UnknownCause::EndpointLost);
         if run.start.once {
             run.usage = usage;
             return self.end(now, id, doubt, CUT);
@@ -106,7 +106,7 @@
     pub(super) fn stop(&mut self, now: Now, id: RunId) {
         if self.table.get(&id).is_some_and(Run::is_live) {
             self.tell_stop(id);
-            self.end(now, id, Outcome::Unknown(Doubt::Stopped), CUT);
+            self.end(now, id, Outcome::Unknown(UnknownCause::Stopped), CUT);
         }
     }
 
@@ -152,7 +152,7 @@
         let Some(run) = self.table.get_mut(&id) else {
             return;
         };
-        let mut end = run.unfinished(Outcome::Unknown(Doubt::EndpointLost));
+        let mut end = run.unfinished(Outcome::Unknown(UnknownCause::EndpointLost));
         end.charged = BTreeMap::new();
         self.kept -= run.drop_output();
         let until = now + run.start.keep;
@@ -189,7 +189,7 @@
             usage: self.usage,
             outcome,
             finish: CUT.into(),
-            paid_by: self.start.payment.payer(),
+            paid_by: self.start.payment.reservation(),
             charged: self.charges(),
         }
     }
--- a/crates/anvilreel/src/runs/event.rs
+++ b/crates/anvilreel/src/runs/event.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use anvil_wire::msg::{Head, SidecarReply, SidecarRequest, Start};
+use anvil_wire::msg::{ResponseHead, SidecarReply, SidecarRequest, StartRequest};
 use anvil_world::prelude::*;
 use bytes::Bytes;
 
@@ -22,7 +22,7 @@
         /// Where replies go.
         reader: ReaderId,
         /// What is wanted.
-        start: Box<Start>,
+        start: Box<StartRequest>,
     },
     /// A router wants to read a run that the key has.
     Attach {
@@ -122,7 +122,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum EngineEvent {
     /// Status and headers of a plain service's answer.
-    Head(Head),
+    Head(ResponseHead),
     /// The next bytes of output.
     Output {
         /// The bytes.
@@ -178,7 +178,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum EngineCommand {
     /// Begin. For a chat with a prefix: continue after it; events then hold only what follows.
-    Begin(Arc<Start>),
+    Begin(Arc<StartRequest>),
     /// Give the stream again from this byte of the run's own output.
     Resume {
         /// Bytes that are held already, without the prefix.
--- a/crates/anvilreel/src/runs/gate.rs
+++ b/crates/anvilreel/src/runs/gate.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use anvil_wire::msg::{Payment, ProbeAnswer, SidecarReply, Start};
+use anvil_wire::msg::{Payment, ProbeAnswer, SidecarReply, StartRequest};
 use anvil_world::prelude::*;
 
 use super::run::Run;
@@ -14,7 +14,7 @@
 const RETRY: Duration = Duration::from_secs(1);
 
 impl Runs {
-    pub(super) fn start(&mut self, now: Now, reader: ReaderId, start: Start) {
+    pub(super) fn start(&mut self, now: Now, reader: ReaderId, start: StartRequest) {
         if let Some(run) = self.run_of(&start.key) {
             if run.start.body != start.body {
                 let reason = Reason::KeyReused(run.start.body);
@@ -29,7 +29,7 @@
     }
 
     /// Whether a new run may begin; a refusal means that nothing runs and nothing is charged.
-    fn admit(&mut self, start: &Start) -> Result<(), Refusal> {
+    fn admit(&mut self, start: &StartRequest) -> Result<(), Refusal> {
         let gone = Refusal::new(Reason::EndpointRefused).with_retry_after(RETRY);
         if start.life != self.cfg.life || self.is_forbidden(start) {
             return Err(gone);
@@ -55,7 +55,7 @@
         Ok(())
     }
 
-    fn begin(&mut self, now: Now, reader: ReaderId, start: &Arc<Start>) {
+    fn begin(&mut self, now: Now, reader: ReaderId, start: &Arc<StartRequest>) {
         let run = self.next;
         self.next += 1;
         if self.by_key.insert(start.key.clone(), run).is_some() {
@@ -94,7 +94,7 @@
         self.answer(reader, answer);
     }
 
-    fn is_forbidden(&self, start: &Start) -> bool {
+    fn is_forbidden(&self, start: &StartRequest) -> bool {
         let every = (start.key.clone(), None);
         let this = (start.key.clone(), Some(start.claim.clone()));
         self.forbidden.contains_key(&every) || self.forbidden.contains_key(&this)
--- a/crates/anvilreel/src/runs/readers.rs
+++ b/crates/anvilreel/src/runs/readers.rs
@@ -116,7 +116,7 @@
             let e = RunsError::Gap { run, offset };
             self.actions.push(Action::Violation(e));
         }
-        let end = found.unfinished(Outcome::Unknown(Doubt::AnswerDropped));
+        let end = found.unfinished(Outcome::Unknown(UnknownCause::AnswerDropped));
         self.last_reply(id, SidecarReply::End(Box::new(end)));
     }
 
--- a/crates/anvilreel/src/runs/run.rs
+++ b/crates/anvilreel/src/runs/run.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use anvil_wire::msg::{Head, RunEnd, Start, Work};
+use anvil_wire::msg::{ResponseHead, RunEnd, StartRequest, Work};
 use anvil_world::prelude::*;
 use bytes::Bytes;
 
@@ -14,8 +14,8 @@
 #[derive(Debug)]
 pub(super) struct Run {
     pub(super) id: RunId,
-    pub(super) start: Arc<Start>,
-    pub(super) head: Option<Head>,
+    pub(super) start: Arc<StartRequest>,
+    pub(super) head: Option<ResponseHead>,
     pub(super) output: Output,
     /// Use by this and earlier engines, as far as measured.
     pub(super) usage: Usage,
@@ -40,7 +40,7 @@
 }
 
 impl Run {
-    pub(super) fn new(now: Now, id: RunId, start: Arc<Start>) -> Self {
+    pub(super) fn new(now: Now, id: RunId, start: Arc<StartRequest>) -> Self {
         let mut output = Output::default();
         output.push(start.prefix.clone(), start.prefix_tokens);
         Self {
@@ -81,7 +81,7 @@
         if self.start.work == Work::default() {
             return;
         }
-        let mut start = Start::clone(&self.start);
+        let mut start = StartRequest::clone(&self.start);
         start.work = Work::default();
         start.prefix = Bytes::new();
         self.start = Arc::new(start);
@@ -94,7 +94,7 @@
 
     /// What a use costs, in tokens, uncapped.
     pub(super) fn cost(&self, usage: Usage) -> Tokens {
-        self.start.payment.price.of(usage)
+        self.start.payment.price.cost(usage)
     }
 
     /// The charge for the present use by grant; never above the bound.
--- a/crates/anvilreel/src/runs/table.rs
+++ b/crates/anvilreel/src/runs/table.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use anvil_wire::msg::{Evidence, ProbeAnswer, SidecarReply};
+use anvil_wire::msg::{ChargeEvidence, ProbeAnswer, SidecarReply};
 use anvil_world::prelude::*;
 
 use super::charges::Charges;
@@ -126,7 +126,7 @@
     ///
     /// Why it is final: the fence was in force here before, so that no start of these lives is
     /// accepted any more, and what was accepted has ended.
-    pub fn evidence(&self) -> Vec<Evidence> {
+    pub fn evidence(&self) -> Vec<ChargeEvidence> {
         let fenced = self.unsent.iter().filter_map(|router| {
             let incarnation = *self.fenced.get(router)?;
             let settled = !self.goes_on(router, incarnation);
--- a/crates/anvilreel/src/sidecar/answer.rs
+++ b/crates/anvilreel/src/sidecar/answer.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anvil_wire::msg::{SidecarReply, SidecarRequest};
-use anvil_wire::{Replier, WireError};
+use anvil_wire::{ReplySender, WireError};
 use tokio::time::sleep;
 
 use super::hub::Replies;
@@ -16,7 +16,7 @@
 const WATCH_EVERY: Duration = Duration::from_millis(100);
 
 /// Answers one request; a lost connection ends the answer and never the run.
-pub async fn answer(core: Arc<Core>, req: SidecarRequest, mut tx: Replier<SidecarReply>) {
+pub async fn answer(core: Arc<Core>, req: SidecarRequest, mut tx: ReplySender<SidecarReply>) {
     // In each case: whoever asked is gone; a run goes on and its end is kept.
     let _ = match req {
         SidecarRequest::Order { fence, kind } => {
@@ -43,12 +43,12 @@
     core: &Core,
     reader: ReaderId,
     mut replies: Replies,
-    tx: &mut Replier<SidecarReply>,
+    tx: &mut ReplySender<SidecarReply>,
 ) -> Result<(), WireError> {
     loop {
         let reply = tokio::select! {
             reply = replies.recv() => reply,
-            () = tx.abandoned() => return Ok(()),
+            () = tx.cancelled() => return Ok(()),
         };
         let Some(reply) = reply else {
             return Ok(());
@@ -64,7 +64,7 @@
     }
 }
 
-async fn watch(core: &Core, tx: &mut Replier<SidecarReply>) -> Result<(), WireError> {
+async fn watch(core: &Core, tx: &mut ReplySender<SidecarReply>) -> Result<(), WireError> {
     let mut loads = core.loads.subscribe();
     loop {
         let load = loads.borrow_and_update().clone();
@@ -72,7 +72,7 @@
         sleep(WATCH_EVERY).await;
         tokio::select! {
             changed = loads.changed() => if changed.is_err() { return Ok(()) },
-            () = tx.abandoned() => return Ok(()),
+            () = tx.cancelled() => return Ok(()),
         }
     }
 }
--- a/crates/anvilreel/src/sidecar/drive.rs
+++ b/crates/anvilreel/src/sidecar/drive.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use anvil_wire::msg::{Head, Start, Work};
+use anvil_wire::msg::{ResponseHead, StartRequest, Work};
 use anvil_world::document::WorkClass;
 use anvil_world::prelude::*;
 use bytes::Bytes;
@@ -39,7 +39,7 @@
     /// Which run.
     pub run: RunId,
     /// What was asked.
-    pub start: Arc<Start>,
+    pub start: Arc<StartRequest>,
     /// What the state machine wants of the endpoint.
     pub commands: UnboundedReceiver<EngineCommand>,
 }
@@ -127,7 +127,7 @@
         let value = Bytes::copy_from_slice(value.as_bytes());
         (name.as_str().into(), value)
     });
-    say(EngineEvent::Head(Head {
+    say(EngineEvent::Head(ResponseHead {
         status: parts.status.as_u16(),
         headers: headers.collect(),
     }));
@@ -142,7 +142,7 @@
 
 /// A chat at the engine.
 struct Chat<'a> {
-    start: &'a Start,
+    start: &'a StartRequest,
     body: &'a Bytes,
     run_id: String,
     /// Bytes of the whole answer, prefix included.
@@ -161,7 +161,7 @@
 }
 
 impl<'a> Chat<'a> {
-    fn new(start: &'a Start, body: &'a Bytes) -> Self {
+    fn new(start: &'a StartRequest, body: &'a Bytes) -> Self {
         let bytes = body.len() as u64;
         Self {
             start,
@@ -293,7 +293,7 @@
 }
 
 /// Names the run at the engine, also where the caller's key holds characters of URLs.
-fn run_id(start: &Start) -> String {
+fn run_id(start: &StartRequest) -> String {
     let key = &start.key;
     let name = format!("{}/{}/{}/{}", start.life, start.attempt, key.team, key.id);
     format!("{:032x}", xxh3_128(name.as_bytes()))
--- a/crates/anvilreel/src/sidecar/follow.rs
+++ b/crates/anvilreel/src/sidecar/follow.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use anvil_wire::msg::{Heartbeat, Interest, LedgerReply};
+use anvil_wire::msg::{FollowScope, Heartbeat, LedgerReply};
 use anvil_world::prelude::*;
 use tokio::time::{sleep, timeout};
 
@@ -43,7 +43,7 @@
     let id = core.instance.id.clone();
     let opening = core
         .ledger
-        .follow(replica, id, Interest::Sidecar, held.version);
+        .follow(replica, id, FollowScope::Sidecar, held.version);
     let Ok(Ok(mut replies)) = timeout(SILENCE, opening).await else {
         return false;
     };
--- a/crates/anvilreel/src/sidecar/hub.rs
+++ b/crates/anvilreel/src/sidecar/hub.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use anvil_wire::msg::{Evidence, SidecarReply};
+use anvil_wire::msg::{ChargeEvidence, SidecarReply};
 use anvil_world::prelude::*;
 use slog::Logger;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -97,7 +97,7 @@
     }
 
     /// Evidence that the ledger has not taken yet.
-    pub fn evidence(&self) -> Vec<Evidence> {
+    pub fn evidence(&self) -> Vec<ChargeEvidence> {
         self.desk().runs.evidence()
     }
 
--- a/crates/anvilreel/src/watcher.rs
+++ b/crates/anvilreel/src/watcher.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use anvil_wire::msg::{Interest, LedgerReply};
+use anvil_wire::msg::{FollowScope, LedgerReply};
 use anvil_world::prelude::*;
 use arc_swap::ArcSwap;
 use tokio::time::{sleep, timeout};
@@ -68,9 +68,9 @@
     }
 
     async fn follow_one(&self, replica: usize, held: &mut Held) {
-        let opening = self
-            .ledger
-            .follow(replica, self.id.clone(), Interest::Members, held.version);
+        let opening =
+            self.ledger
+                .follow(replica, self.id.clone(), FollowScope::Members, held.version);
         let Ok(Ok(mut replies)) = timeout(SILENCE, opening).await else {
             return;
         };
--- a/crates/anvilreel/tests/claims_tenure.rs
+++ b/crates/anvilreel/tests/claims_tenure.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use anvil_wire::msg::{HolderLife, PlacedClaim, RouterReply, RouterRequest};
+use anvil_wire::msg::{ClaimHolder, IdempotentClaim, RouterReply, RouterRequest};
 use anvil_world::prelude::*;
-use anvilreel::claims::{ClaimBook, Tenure, holder_incarnations, placement};
+use anvilreel::claims::{ClaimStore, HolderHistory, holder_incarnations, placement};
 use anvilreel::request::generation_key;
 
 const WINDOW: Duration = Duration::from_mins(5);
@@ -38,12 +38,12 @@
     }
 }
 
-fn holders(key: &RequestKey, members: &[Member]) -> Vec<HolderLife> {
+fn holders(key: &RequestKey, members: &[Member]) -> Vec<ClaimHolder> {
     holder_incarnations(key, "ke-central", members)
 }
 
-fn claim(key: &RequestKey, sidecar: &str) -> PlacedClaim {
-    PlacedClaim {
+fn claim(key: &RequestKey, sidecar: &str) -> IdempotentClaim {
+    IdempotentClaim {
         key: key.clone(),
         body: [1; 32],
         sidecar: sidecar.into(),
@@ -96,17 +96,17 @@
     let (old, key) = (routers(4), key("q"));
     let asked = holders(&key, &old);
     let me = asked[0].id.clone();
-    let mut history = Tenure::new("ke-central".into(), WINDOW, Now::ZERO);
-    history.note(Now::ZERO, &old);
+    let mut history = HolderHistory::new("ke-central".into(), WINDOW, Now::ZERO);
+    history.record_members(Now::ZERO, &old);
     let late = WINDOW + Duration::from_secs(1);
     let disconnected_for = Duration::from_secs(1);
-    assert!(history.vouches(late, disconnected_for, &me, &key, &asked));
+    assert!(history.may_confirm_claim(late, disconnected_for, &me, &key, &asked));
     let other = asked[1].id.strip_prefix('r').and_then(|i| i.parse().ok());
     let mut new = old.clone();
     let other: usize = other.expect("the id ends in a number");
     new[other] = router(other, 2);
-    history.note(late, &new);
-    assert!(!history.vouches(late, disconnected_for, &me, &key, &asked));
+    history.record_members(late, &new);
+    assert!(!history.may_confirm_claim(late, disconnected_for, &me, &key, &asked));
 }
 
 /// A holder that has been disconnected from the ledger for so long that it may have been declared
@@ -115,20 +115,20 @@
 fn disconnected_holder_confirms_no_claim() {
     let (members, key) = (routers(4), key("q"));
     let asked = holders(&key, &members);
-    let mut history = Tenure::new("ke-central".into(), WINDOW, Now::ZERO);
-    history.note(Now::ZERO, &members);
+    let mut history = HolderHistory::new("ke-central".into(), WINDOW, Now::ZERO);
+    history.record_members(Now::ZERO, &members);
     let late = WINDOW + Duration::from_secs(1);
     let disconnected_for = Duration::from_secs(4);
-    assert!(!history.vouches(late, disconnected_for, &asked[0].id, &key, &asked));
+    assert!(!history.may_confirm_claim(late, disconnected_for, &asked[0].id, &key, &asked));
     // Nor does a holder that has held the key only for a short time: it may not know of an earlier
     // claim.
     let soon = WINDOW.saturating_sub(Duration::from_secs(1));
-    assert!(!history.vouches(soon, Duration::ZERO, &asked[0].id, &key, &asked));
+    assert!(!history.may_confirm_claim(soon, Duration::ZERO, &asked[0].id, &key, &asked));
 }
 
 #[test]
 fn first_claim_is_kept_even_by_a_holder_that_does_not_confirm() {
-    let (mut store, key) = (ClaimBook::default(), key("q"));
+    let (mut store, key) = (ClaimStore::default(), key("q"));
     let put = |sidecar| RouterRequest::PutAs {
         claim: claim(&key, sidecar),
         holders: Vec::new(),
--- a/crates/anvilreel/tests/compare/play.rs
+++ b/crates/anvilreel/tests/compare/play.rs
@@ -14,7 +14,7 @@
 use anvil_wire::msg::{LedgerReply, LedgerRequest};
 use anvil_world::command::{Change, Edit, TopUp, change_id};
 use anvil_world::prelude::*;
-use anvilreel::money::{GrantPolicy, Purse, Reservation, Shortage};
+use anvilreel::money::{GrantAccount, GrantPolicy, Reservation, Shortage};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -100,7 +100,7 @@
     judged: Vec<Judged>,
     /// By router and budget, for the even split.
     shares: Vec<Vec<Tokens>>,
-    purses: Vec<Purse>,
+    accounts: Vec<GrantAccount>,
     state: State,
     index: LogIndex,
     waiting: Vec<(usize, Option<Now>)>,
@@ -151,10 +151,10 @@
         }
         let shares = judged.iter().map(|b| b.credited / play.routers as u64);
         let shares: Vec<_> = shares.collect();
-        let purse = |i: usize| Purse::new(format!("r{i}").into(), 1, play.policy.clone());
+        let account = |i: usize| GrantAccount::new(format!("r{i}").into(), 1, play.policy.clone());
         let mut player = Self {
             shares: vec![shares; play.routers],
-            purses: (0..play.routers).map(purse).collect(),
+            accounts: (0..play.routers).map(account).collect(),
             state: State::default(),
             index: 0,
             waiting: Vec::new(),
@@ -201,7 +201,7 @@
     fn apply(&mut self, command: &Command) -> Answer {
         self.index += 1;
         let answer = self.state.apply(self.index, 1, command);
-        assert!(self.state.holds().is_ok());
+        assert!(self.state.invariants_held().is_ok());
         answer
     }
 
@@ -261,8 +261,8 @@
 
     fn arrive_by_grants(&mut self, now: Now, request: usize, until: Option<Now>) {
         let wanted = &self.requests[request];
-        let split = Split::whole(budget(wanted.budget));
-        match self.purses[wanted.router].reserve(now, &split, wanted.bound) {
+        let split = Split::single_payer(budget(wanted.budget));
+        match self.accounts[wanted.router].reserve(now, &split, wanted.bound) {
             Ok(reservation) => self.begin(now, request, Some(reservation)),
             Err(Shortage::Refused(_)) => self.refuse(request),
             Err(Shortage::WaitFor { until: first, .. }) => {
@@ -320,7 +320,7 @@
                 self.shares[done.router][done.budget] += done.bound - done.cost;
             }
             if let Some(reservation) = run.reservation {
-                let settled = self.purses[done.router].settle(reservation, done.cost);
+                let settled = self.accounts[done.router].settle(reservation, done.cost);
                 settled.expect("no invariant is broken");
             }
         }
@@ -336,8 +336,8 @@
         if self.play.way != Way::Grants {
             return;
         }
-        for router in 0..self.purses.len() {
-            let Some(batch) = self.purses[router].batch(now) else {
+        for router in 0..self.accounts.len() {
+            let Some(batch) = self.accounts[router].next_batch(now) else {
                 continue;
             };
             if self.is_cut(now, router) {
@@ -365,7 +365,7 @@
                 return;
             }
             let ((_, router), answer) = entry.remove_entry();
-            let taken = self.purses[router].answered(now, &answer);
+            let taken = self.accounts[router].apply_answer(now, &answer);
             taken.expect("no invariant is broken");
         }
     }
--- a/crates/anvilreel/tests/ledger_service/cluster.rs
+++ b/crates/anvilreel/tests/ledger_service/cluster.rs
@@ -163,7 +163,7 @@
             take_out: self.take_out,
             // A short log, so that a new disk has to fetch a snapshot.
             core: CoreSettings {
-                trailing: 50,
+                trailing_entries: 50,
                 ..CoreSettings::default()
             },
             ..Tuning::default()
--- a/crates/anvilreel/tests/ledger_service/following.rs
+++ b/crates/anvilreel/tests/ledger_service/following.rs
@@ -5,7 +5,7 @@
 use anvil_ledger::core::CoreSettings;
 use anvil_wire::Channel;
 use anvil_wire::msg::{
-    FollowEvent, Interest, LedgerCall, LedgerReply, LedgerRequest, Query, QueryAnswer,
+    FollowEvent, FollowScope, LedgerCall, LedgerReply, LedgerRequest, Query, QueryAnswer,
 };
 use anvil_world::command::ReplaceRouting;
 use anvil_world::prelude::*;
@@ -25,7 +25,7 @@
         let channel = Channel::new(peer.addr);
         let follow = LedgerRequest::Follow {
             instance: "router-1".into(),
-            interest: Interest::Router,
+            interest: FollowScope::Router,
             version: 0,
         };
         let mut replies = channel.open::<LedgerCall>(&follow).await?;
@@ -75,7 +75,7 @@
     let channel = Channel::new(cluster.peers[0].addr);
     let ask = LedgerRequest::Follow {
         instance: "router-1".into(),
-        interest: Interest::Router,
+        interest: FollowScope::Router,
         version: 0,
     };
     let mut replies = channel.open::<LedgerCall>(&ask).await?;
@@ -83,7 +83,7 @@
     cluster.stop(1).await;
     cluster.stop(2).await;
     let sent_away = async { while let Ok(Some(_)) = replies.next().await {} };
-    let within = CoreSettings::default().election * 2 + Duration::from_secs(1);
+    let within = CoreSettings::default().election_timeout * 2 + Duration::from_secs(1);
     assert!(timeout(within, sent_away).await.is_ok(), "left in silence");
     cluster.stop_all().await;
     Ok(())
--- a/crates/anvilreel/tests/ledger_service/trouble.rs
+++ b/crates/anvilreel/tests/ledger_service/trouble.rs
@@ -6,7 +6,7 @@
 
 use anvil_ledger::storage::{Disk, Op};
 use anvil_wire::Channel;
-use anvil_wire::msg::{FollowEvent, Interest, LedgerCall, LedgerReply, LedgerRequest, Query};
+use anvil_wire::msg::{FollowEvent, FollowScope, LedgerCall, LedgerReply, LedgerRequest, Query};
 use anvil_world::prelude::*;
 use anvil_world::settings::{LedgerSettings, Peer};
 use anvilreel::ledger_service::{Contacts, Tuning, start_on};
@@ -37,7 +37,7 @@
     }
     let follow = LedgerRequest::Follow {
         instance: "router-1".into(),
-        interest: Interest::Router,
+        interest: FollowScope::Router,
         version: 0,
     };
     let mut replies = channel.open::<LedgerCall>(&follow).await?;
--- a/crates/anvilreel/tests/ledger_spread.rs
+++ b/crates/anvilreel/tests/ledger_spread.rs
@@ -5,10 +5,10 @@
 
 use anvil_ledger::core::{Entry, EntryId, Payload};
 use anvil_ledger::machine::{Machine, encode};
-use anvil_wire::msg::{Evidence, FollowEvent, Heartbeat, Interest, KeyCharge};
+use anvil_wire::msg::{ChargeEvidence, FollowEvent, FollowScope, Heartbeat, KeyCharge};
 use anvil_world::command::{
-    Change, ClearSuspects, Edit, FenceRouter, GrantAsk, GrantBatch, Join, ReportCrash, ReportLimit,
-    SetPresence, TopUp, change_id,
+    Change, ClearSuspects, Edit, FenceRouter, GrantBatch, GrantRequest, Join, ReportCrash,
+    ReportLimit, SetPresence, TopUp, change_id,
 };
 use anvil_world::prelude::*;
 use anvil_world::suspect::CrashedRun;
@@ -75,7 +75,7 @@
             incarnation: 1,
             seq: 1,
             reports: Vec::new(),
-            asks: vec![GrantAsk {
+            asks: vec![GrantRequest {
                 budget: "nairobi".into(),
                 wanted: 200,
                 least: 200,
@@ -126,7 +126,7 @@
     Heartbeat {
         instance: instance(sidecar, Role::Sidecar, incarnation),
         version: 0,
-        evidence: vec![Evidence {
+        evidence: vec![ChargeEvidence {
             router: "router-1".into(),
             incarnation: 1,
             charges: charges.into_iter().collect(),
@@ -201,7 +201,7 @@
     Ok(())
 }
 
-fn follower(interest: Interest, version: LogIndex) -> Follower {
+fn follower(interest: FollowScope, version: LogIndex) -> Follower {
     Follower {
         instance: "sidecar-1".into(),
         interest,
@@ -215,7 +215,7 @@
 fn a_lagging_replica_sends_nothing_older() -> Result<(), Failure> {
     let mut ledger = Ledger::default();
     ledger.put("organisations/coop", 0, "weight = 1\n")?;
-    let ahead = follower(Interest::Router, 2);
+    let ahead = follower(FollowScope::Router, 2);
     assert_eq!(ahead.catch_up(&ledger.machine), None);
     ledger.put("organisations/union", 0, "weight = 1\n")?;
     assert_eq!(ahead.catch_up(&ledger.machine), None);
@@ -237,7 +237,7 @@
 fn a_sidecar_is_sent_only_what_it_needs() -> Result<(), Failure> {
     let (mut ledger, _) = Ledger::with_fenced_grant()?;
     ledger.put("fleet", 0, "")?;
-    let event = follower(Interest::Sidecar, 0).catch_up(&ledger.machine);
+    let event = follower(FollowScope::Sidecar, 0).catch_up(&ledger.machine);
     let Some(FollowEvent::Full {
         tree,
         members,
@@ -266,16 +266,16 @@
         }))?;
     }
     let mut held = Held::default();
-    let sidecar = follower(Interest::Sidecar, 0).catch_up(&ledger.machine);
+    let sidecar = follower(FollowScope::Sidecar, 0).catch_up(&ledger.machine);
     held.apply(sidecar.ok_or("an event")?);
     assert!(held.suspects.is_empty());
     let mut held = Held::default();
-    let full = follower(Interest::Router, 0).catch_up(&ledger.machine);
+    let full = follower(FollowScope::Router, 0).catch_up(&ledger.machine);
     held.apply(full.ok_or("an event")?);
     assert_eq!(held.suspects[&7].crashes.len(), 2);
     let requests = vec![7];
     ledger.apply(&Command::ClearSuspects(ClearSuspects { requests }))?;
-    let delta = follower(Interest::Router, held.version).catch_up(&ledger.machine);
+    let delta = follower(FollowScope::Router, held.version).catch_up(&ledger.machine);
     held.apply(delta.ok_or("an event")?);
     assert!(held.suspects.is_empty());
     Ok(())
@@ -292,7 +292,7 @@
             limit,
             at: SystemTime::now(),
         }))?;
-        let event = follower(Interest::Router, held.version).catch_up(&ledger.machine);
+        let event = follower(FollowScope::Router, held.version).catch_up(&ledger.machine);
         held.apply(event.ok_or("an event")?);
         assert_eq!(held.limits.get("a").map(|named| named.limit), limit);
     }
