--- a/crates/anvilreel/tests/money/grant_account.rs
+++ b/crates/anvilreel/tests/money/grant_account.rs
@@ -2,25 +2,25 @@
 
 use std::time::Duration;
 
-use anvil_wire::msg::{Evidence, KeyCharge};
+use anvil_wire::msg::{ChargeEvidence, KeyCharge};
 use anvil_world::command::{TopUp, change_id};
 use anvil_world::prelude::*;
-use anvilreel::money::{Closing, GrantPolicy, Purse, Shortage};
+use anvilreel::money::{GrantAccount, GrantClosing, GrantPolicy, Shortage};
 
 use crate::ledger::{Ledger, at, split};
 
-fn new_account() -> Purse {
-    Purse::new("r1".into(), 1, GrantPolicy::default())
+fn new_account() -> GrantAccount {
+    GrantAccount::new("r1".into(), 1, GrantPolicy::default())
 }
 
 /// An account that could not reserve 100 tokens, asked the ledger and received a grant.
-fn funded(ledger: &mut Ledger) -> Purse {
+fn funded(ledger: &mut Ledger) -> GrantAccount {
     let account = new_account();
     assert!(account.reserve(at(0), &split(), 100).is_err());
-    let batch = account.batch(at(1)).expect("a batch with an ask");
+    let batch = account.next_batch(at(1)).expect("a batch with an ask");
     let answer = ledger.answer(batch);
     account
-        .answered(at(2), &answer)
+        .apply_answer(at(2), &answer)
         .expect("the answer to this batch");
     account
 }
@@ -32,22 +32,22 @@
     let mut ledger = Ledger::with(10_000);
     let account = new_account();
     assert!(account.reserve(at(0), &split(), 100).is_err());
-    let first = account.batch(at(1)).expect("a batch with an ask");
+    let first = account.next_batch(at(1)).expect("a batch with an ask");
     let lost = ledger.answer(first.clone());
     let again = account
-        .batch(at(1_100))
+        .next_batch(at(1_100))
         .expect("the same batch is due again");
     assert_eq!(again, first);
     assert_eq!(ledger.answer(again), lost);
     account
-        .answered(at(1_200), &lost)
+        .apply_answer(at(1_200), &lost)
         .expect("the answer to this batch");
     account
-        .answered(at(1_300), &lost)
+        .apply_answer(at(1_300), &lost)
         .expect("a duplicate answer is accepted");
     let budget = ledger.state.budget("nairobi").expect("the budget exists");
     assert_eq!(budget.open.len(), 1);
-    assert_eq!(account.view("nairobi").free, budget.outstanding());
+    assert_eq!(account.budget_status("nairobi").free, budget.outstanding());
 }
 
 /// Four threads reserve from one grant at once. Two that see the same free tokens must not
@@ -56,7 +56,7 @@
 fn threads_never_reserve_more_than_the_grant() {
     let mut ledger = Ledger::with(10_000);
     let account = funded(&mut ledger);
-    let free = account.view("nairobi").free;
+    let free = account.budget_status("nairobi").free;
     let taken: u64 = std::thread::scope(|scope| {
         let take = || {
             let mut taken = 0;
@@ -81,7 +81,7 @@
             .sum()
     });
     assert!(taken <= free, "{taken} of {free}");
-    assert_eq!(account.broken(), None);
+    assert_eq!(account.invariant_violation(), None);
 }
 
 /// A sidecar reports a cost above the reservation, and charging it would overspend the grant. The
@@ -94,7 +94,7 @@
         .reserve(at(10), &split(), 50)
         .expect("enough free tokens");
     assert!(account.settle(reservation, 51).is_err());
-    assert!(account.broken().is_some());
+    assert!(account.invariant_violation().is_some());
     assert!(account.reserve(at(11), &split(), 1).is_err());
 }
 
@@ -104,7 +104,7 @@
 fn unreachable_ledger_is_not_reported_as_an_exhausted_budget() {
     let account = new_account();
     assert!(account.reserve(at(0), &split(), 100).is_err());
-    assert!(account.batch(at(1)).is_some());
+    assert!(account.next_batch(at(1)).is_some());
     let late = account.reserve(at(5_000), &split(), 100);
     let Err(Shortage::Refused(refusal)) = late else {
         panic!("{late:?}");
@@ -119,16 +119,16 @@
 fn unspent_grant_of_another_router_is_recalled() {
     let mut ledger = Ledger::with(100);
     let idle = funded(&mut ledger);
-    let other = Purse::new("r2".into(), 1, GrantPolicy::default());
+    let other = GrantAccount::new("r2".into(), 1, GrantPolicy::default());
     let mut reserved = false;
     for second in 1..6 {
         let now = at(second * 1_000);
         reserved |= other.reserve(now, &split(), 100).is_ok();
         for account in [&other, &idle] {
-            if let Some(batch) = account.batch(now + at(10)) {
+            if let Some(batch) = account.next_batch(now + at(10)) {
                 let answer = ledger.answer(batch);
                 account
-                    .answered(now + at(20), &answer)
+                    .apply_answer(now + at(20), &answer)
                     .expect("the answer to this batch");
             }
         }
@@ -141,8 +141,8 @@
 #[test]
 fn evidence_counts_a_key_once_by_its_highest_attempt() {
     let sidecars = [("s1".into(), 1), ("s2".into(), 1)];
-    let mut closing = Closing::new(sidecars.clone());
-    let evidence = |attempt, charged| Evidence {
+    let mut closing = GrantClosing::new(sidecars.clone());
+    let evidence = |attempt, charged| ChargeEvidence {
         router: "r1".into(),
         incarnation: 1,
         charges: vec![KeyCharge {
@@ -155,21 +155,21 @@
             charged,
         }],
     };
-    closing.take(&sidecars[0], &evidence(0, 90));
+    closing.record_evidence(&sidecars[0], &evidence(0, 90));
     assert_eq!(closing.charged(7), None, "one sidecar has not answered");
-    closing.take(&sidecars[1], &evidence(1, 80));
-    closing.take(&sidecars[1], &evidence(1, 80));
+    closing.record_evidence(&sidecars[1], &evidence(1, 80));
+    closing.record_evidence(&sidecars[1], &evidence(1, 80));
     assert_eq!(closing.charged(7), Some(80));
 }
 
 /// The policy for a ledger that answers within milliseconds.
 fn fast_ledger_policy() -> GrantPolicy {
     GrantPolicy {
-        recalled_within: Duration::from_millis(800),
-        row_within: Duration::from_secs(10),
-        verdict_holds: Duration::from_millis(300),
-        batch_every: Duration::from_millis(200),
-        urgent_every: Duration::from_millis(10),
+        recall_timeout: Duration::from_millis(800),
+        max_refusal_gap: Duration::from_secs(10),
+        refusal_lifetime: Duration::from_millis(300),
+        batch_interval: Duration::from_millis(200),
+        urgent_batch_interval: Duration::from_millis(10),
         spare_requests: 0,
         ..GrantPolicy::default()
     }
@@ -178,10 +178,10 @@
 /// A budget of 1,000 tokens, 900 of which are in the grant of a router that died.
 fn ledger_with_dead_router() -> Ledger {
     let mut ledger = Ledger::with(1_000);
-    let dead = Purse::new("dead".into(), 1, fast_ledger_policy());
+    let dead = GrantAccount::new("dead".into(), 1, fast_ledger_policy());
     assert!(dead.reserve(at(1), &split(), 900).is_err());
-    let batch = dead.batch(at(1)).expect("a batch with an ask");
-    dead.answered(at(2), &ledger.answer(batch))
+    let batch = dead.next_batch(at(1)).expect("a batch with an ask");
+    dead.apply_answer(at(2), &ledger.answer(batch))
         .expect("the answer to this batch");
     assert!(dead.reserve(at(3), &split(), 900).is_ok());
     ledger
@@ -192,13 +192,13 @@
 #[test]
 fn infrequent_requests_do_not_wait_again_for_tokens_of_a_dead_router() {
     let mut ledger = ledger_with_dead_router();
-    let alive = Purse::new("alive".into(), 1, fast_ledger_policy());
+    let alive = GrantAccount::new("alive".into(), 1, fast_ledger_policy());
     let mut ask = |now: u64| {
         let mut reserve_result = alive.reserve(at(now), &split(), 500);
-        if let Some(batch) = alive.batch(at(now)) {
+        if let Some(batch) = alive.next_batch(at(now)) {
             let answer = ledger.answer(batch);
             alive
-                .answered(at(now + 5), &answer)
+                .apply_answer(at(now + 5), &answer)
                 .expect("the answer to this batch");
             reserve_result = alive.reserve(at(now + 5), &split(), 500);
         }
@@ -219,7 +219,7 @@
 #[test]
 fn tokens_of_dead_routers_are_not_awaited_for_ever() {
     let mut ledger = ledger_with_dead_router();
-    let alive = Purse::new("alive".into(), 1, fast_ledger_policy());
+    let alive = GrantAccount::new("alive".into(), 1, fast_ledger_policy());
     let mut waited = 0;
     let mut refused_from = None;
     for now in (1_000..4_000).step_by(50) {
@@ -231,10 +231,10 @@
                 refused_from.get_or_insert(now);
             }
         }
-        if let Some(batch) = alive.batch(at(now)) {
+        if let Some(batch) = alive.next_batch(at(now)) {
             let answer = ledger.answer(batch);
             alive
-                .answered(at(now), &answer)
+                .apply_answer(at(now), &answer)
                 .expect("the answer to this batch");
         }
     }
@@ -251,10 +251,10 @@
         at: std::time::UNIX_EPOCH,
     }));
     let served = (4_000..5_000).step_by(50).any(|now| {
-        if let Some(batch) = alive.batch(at(now)) {
+        if let Some(batch) = alive.next_batch(at(now)) {
             let answer = ledger.answer(batch);
             alive
-                .answered(at(now), &answer)
+                .apply_answer(at(now), &answer)
                 .expect("the answer to this batch");
         }
         alive.reserve(at(now), &split(), 500).is_ok()
--- a/crates/anvilreel/tests/money/ledger.rs
+++ b/crates/anvilreel/tests/money/ledger.rs
@@ -69,5 +69,5 @@
 
 /// The split with `nairobi` as the only budget that pays.
 pub fn split() -> Split {
-    Split::whole("nairobi".into())
+    Split::single_payer("nairobi".into())
 }
--- a/crates/anvilreel/tests/money/sparse.rs
+++ b/crates/anvilreel/tests/money/sparse.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use anvilreel::money::{GrantPolicy, Purse, Reservation};
+use anvilreel::money::{GrantAccount, GrantPolicy, Reservation};
 
 use crate::ledger::{Ledger, at, split};
 
@@ -12,7 +12,7 @@
 
 /// Settles the requests that have ended by now, and lets the ledger answer the batch that is due.
 fn settle_and_exchange(
-    account: &Purse,
+    account: &GrantAccount,
     ledger: &mut Ledger,
     open: &mut Vec<(u64, Reservation)>,
     now: u64,
@@ -23,26 +23,26 @@
             .settle(reservation, REQUEST_TOKENS)
             .expect("the cost is within the reservation");
     }
-    if let Some(batch) = account.batch(at(now)) {
+    if let Some(batch) = account.next_batch(at(now)) {
         let answer = ledger.answer(batch);
         account
-            .answered(at(now), &answer)
+            .apply_answer(at(now), &answer)
             .expect("the answer to this batch");
     }
 }
 
 /// The most tokens that are free in an account's grants under this demand, over five seconds.
-fn max_free_tokens(smooth_over: Option<Duration>) -> u64 {
+fn max_free_tokens(smoothing_window: Option<Duration>) -> u64 {
     let mut ledger = Ledger::with(100_000_000);
-    let account = Purse::new(
+    let account = GrantAccount::new(
         "r1".into(),
         1,
         GrantPolicy {
             horizon: Duration::from_millis(700),
-            batch_every: Duration::from_millis(200),
-            urgent_every: Duration::from_millis(10),
+            batch_interval: Duration::from_millis(200),
+            urgent_batch_interval: Duration::from_millis(10),
             spare_requests: 0,
-            smooth_over,
+            smoothing_window,
             ..GrantPolicy::default()
         },
     );
@@ -55,7 +55,7 @@
         }
         settle_and_exchange(&account, &mut ledger, &mut open, now);
         if now > 2_000 {
-            highest = highest.max(account.view("nairobi").free);
+            highest = highest.max(account.budget_status("nairobi").free);
         }
     }
     highest
@@ -76,19 +76,19 @@
 /// Tokens that are free in a router's grants 0.35 s after the arrival of each request, on average
 /// over 12 s, if requests arrive at this interval and last 0.1 s. A request that can't be reserved
 /// waits for the ledger's answer.
-fn average_free_tokens(interval_ms: u64, least_expected: f64) -> u64 {
+fn average_free_tokens(interval_ms: u64, min_expected_requests: f64) -> u64 {
     let mut ledger = Ledger::with(100_000_000);
     let policy = GrantPolicy {
         horizon: Duration::from_millis(700),
-        smooth_over: Some(Duration::from_secs(1)),
-        idle: Duration::from_millis(400),
-        batch_every: Duration::from_millis(200),
-        urgent_every: Duration::from_millis(10),
+        smoothing_window: Some(Duration::from_secs(1)),
+        idle_timeout: Duration::from_millis(400),
+        batch_interval: Duration::from_millis(200),
+        urgent_batch_interval: Duration::from_millis(10),
         spare_requests: 0,
-        least_expected,
+        min_expected_requests,
         ..GrantPolicy::default()
     };
-    let account = Purse::new("r1".into(), 1, policy);
+    let account = GrantAccount::new("r1".into(), 1, policy);
     let (mut waiting, mut open) = (0, Vec::new());
     let (mut free, mut samples) = (0, 0);
     for now in 1..12_000 {
@@ -101,7 +101,7 @@
         }
         settle_and_exchange(&account, &mut ledger, &mut open, now);
         if now > interval_ms && now % interval_ms == 350 % interval_ms {
-            free += account.view("nairobi").free;
+            free += account.budget_status("nairobi").free;
             samples += 1;
         }
     }
--- a/crates/anvilreel/tests/money_first_request.rs
+++ b/crates/anvilreel/tests/money_first_request.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 
 use anvil_world::prelude::*;
-use anvilreel::money::{GrantPolicy, Purse, Shortage};
+use anvilreel::money::{GrantAccount, GrantPolicy, Shortage};
 
-fn reserve(account: &Purse, now: Now) -> Shortage {
-    let split = Split::whole("nairobi".into());
+fn reserve(account: &GrantAccount, now: Now) -> Shortage {
+    let split = Split::single_payer("nairobi".into());
     match account.reserve(now, &split, 100) {
         Err(shortage) => shortage,
         Ok(_) => panic!("reserved from an account without grants"),
@@ -19,14 +19,14 @@
 #[test]
 fn first_request_waits_for_its_grant() {
     let policy = GrantPolicy::default();
-    let account = Purse::new("router-0".into(), 1, policy.clone());
+    let account = GrantAccount::new("router-0".into(), 1, policy.clone());
     let late = Duration::from_mins(1);
     assert!(matches!(reserve(&account, late), Shortage::WaitFor { .. }));
     assert!(
-        account.batch(late).is_some(),
+        account.next_batch(late).is_some(),
         "the account asks for a grant"
     );
     // If the ledger leaves that batch unanswered, it does count as unreachable.
-    let later = late + policy.patience + Duration::from_millis(1);
+    let later = late + policy.max_ledger_wait + Duration::from_millis(1);
     assert!(matches!(reserve(&account, later), Shortage::Refused(_)));
 }
--- a/crates/anvilreel/tests/money_quiet.rs
+++ b/crates/anvilreel/tests/money_quiet.rs
@@ -4,10 +4,10 @@
 
 use anvil_world::command::{GrantBatchAnswer, GrantRefusal};
 use anvil_world::prelude::*;
-use anvilreel::money::{GrantPolicy, Purse, Shortage};
+use anvilreel::money::{GrantAccount, GrantPolicy, Shortage};
 
-fn new_account() -> Purse {
-    Purse::new("r1".into(), 1, GrantPolicy::default())
+fn new_account() -> GrantAccount {
+    GrantAccount::new("r1".into(), 1, GrantPolicy::default())
 }
 
 /// The first request after an idle night was refused with `ledger_unreachable` although the ledger
@@ -17,7 +17,7 @@
 fn first_request_after_an_idle_period_waits_for_a_grant() {
     let account = new_account();
     let morning = Duration::from_hours(9);
-    let split = Split::whole("nairobi".into());
+    let split = Split::single_payer("nairobi".into());
     let shortage = account.reserve(morning, &split, 10);
     assert!(
         matches!(shortage, Err(Shortage::WaitFor { .. })),
@@ -30,12 +30,12 @@
 #[test]
 fn unanswered_ask_means_that_the_ledger_is_unreachable() {
     let account = new_account();
-    let split = Split::whole("nairobi".into());
+    let split = Split::single_payer("nairobi".into());
     let start = Duration::from_hours(9);
     let first = account.reserve(start, &split, 10);
     assert!(matches!(first, Err(Shortage::WaitFor { .. })), "{first:?}");
-    assert!(account.batch(start).is_some());
-    let later = start + GrantPolicy::default().patience * 2;
+    assert!(account.next_batch(start).is_some());
+    let later = start + GrantPolicy::default().max_ledger_wait * 2;
     let shortage = account.reserve(later, &split, 10);
     let Err(Shortage::Refused(refusal)) = shortage else {
         panic!("{shortage:?}");
@@ -50,22 +50,22 @@
 fn first_grant_of_a_budget_is_asked_for_at_once() {
     let account = new_account();
     let start = Duration::from_hours(9);
-    let first = account.reserve(start, &Split::whole("nairobi".into()), 10);
+    let first = account.reserve(start, &Split::single_payer("nairobi".into()), 10);
     assert!(first.is_err());
     let batch = account
-        .batch(start)
+        .next_batch(start)
         .expect("a batch with an ask for nairobi");
     let answer = GrantBatchAnswer {
         seq: batch.seq,
         ..GrantBatchAnswer::default()
     };
     account
-        .answered(start, &answer)
+        .apply_answer(start, &answer)
         .expect("the answer to this batch");
     let soon = start + Duration::from_millis(100);
-    let second = account.reserve(soon, &Split::whole("mombasa".into()), 10);
+    let second = account.reserve(soon, &Split::single_payer("mombasa".into()), 10);
     assert!(second.is_err());
-    let batch = account.batch(soon).expect("an urgent batch");
+    let batch = account.next_batch(soon).expect("an urgent batch");
     assert!(batch.asks.iter().any(|ask| &*ask.budget == "mombasa"));
 }
 
@@ -75,9 +75,9 @@
 fn refused_budget_is_asked_for_once_a_second() {
     let account = new_account();
     let start = Duration::from_hours(9);
-    let split = Split::whole("nairobi".into());
+    let split = Split::single_payer("nairobi".into());
     assert!(account.reserve(start, &split, 10).is_err());
-    let batch = account.batch(start).expect("a batch with an ask");
+    let batch = account.next_batch(start).expect("a batch with an ask");
     let answer = GrantBatchAnswer {
         seq: batch.seq,
         refused: vec![GrantRefusal {
@@ -88,10 +88,10 @@
         ..GrantBatchAnswer::default()
     };
     account
-        .answered(start, &answer)
+        .apply_answer(start, &answer)
         .expect("the answer to this batch");
     let soon = start + Duration::from_millis(100);
     assert!(account.reserve(soon, &split, 10).is_err());
-    assert_eq!(account.batch(soon), None);
-    assert!(account.batch(start + Duration::from_secs(1)).is_some());
+    assert_eq!(account.next_batch(soon), None);
+    assert!(account.next_batch(start + Duration::from_secs(1)).is_some());
 }
--- a/crates/anvilreel/tests/path_fleet/fleet.rs
+++ b/crates/anvilreel/tests/path_fleet/fleet.rs
@@ -118,7 +118,9 @@
     async fn wait_ready(&self, routers: usize, sidecars: usize) {
         let ready = || {
             let mut all = self.routers.iter().flatten();
-            all.all(|r| r.is_ready() && r.endpoints() >= sidecars && r.peers() >= routers)
+            all.all(|r| {
+                r.is_ready() && r.endpoint_count() >= sidecars && r.router_count() >= routers
+            })
         };
         eventually("the fleet is ready", || async { ready() }).await;
     }
@@ -197,7 +199,7 @@
         };
         eventually("it is in force", || async {
             let mut routers = self.routers.iter().flatten();
-            routers.all(|router| router.version() >= receipt.revision)
+            routers.all(|router| router.view_version() >= receipt.revision)
         })
         .await;
     }
--- a/crates/anvilreel/tests/path_fleet/money.rs
+++ b/crates/anvilreel/tests/path_fleet/money.rs
@@ -38,5 +38,5 @@
     let prompt = usage["prompt_tokens"].as_u64().expect("a number");
     let output = usage["completion_tokens"].as_u64().expect("a number");
     fleet.billed(prompt + 10_000 * output).await;
-    assert!(fleet.budget().await.holds());
+    assert!(fleet.budget().await.invariant_holds());
 }
--- a/crates/anvilreel/tests/replay.rs
+++ b/crates/anvilreel/tests/replay.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use anvil_wire::msg::{Payment, ProbeAnswer, SidecarReply, Start, Work};
+use anvil_wire::msg::{Payment, ProbeAnswer, SidecarReply, StartRequest, Work};
 use anvil_world::document::WorkClass;
 use anvil_world::prelude::*;
 use anvilreel::runs::{Action, EngineCommand, EngineEvent, Event, Runs, RunsConfig};
@@ -72,8 +72,8 @@
     }
 }
 
-fn start(step: &Step) -> Start {
-    Start {
+fn start(step: &Step) -> StartRequest {
+    StartRequest {
         key: key(step),
         life: step.life,
         claim: "claim".into(),
@@ -83,7 +83,7 @@
             router: step.router.as_str().into(),
             incarnation: 1,
             number: 1,
-            split: Split::whole("nairobi".into()),
+            split: Split::single_payer("nairobi".into()),
             grants: [("nairobi".into(), (1, step.bound))].into(),
             oldest: 1,
             price: Price::default(),
--- a/crates/anvilreel/tests/request_refused.rs
+++ b/crates/anvilreel/tests/request_refused.rs
@@ -6,26 +6,26 @@
 use anvil_world::command::GrantBatchAnswer;
 use anvil_world::document::WorkClass;
 use anvil_world::prelude::*;
-use anvilreel::money::{GrantPolicy, Purse};
-use anvilreel::request::{Action, Event, Exchange, Spec, Target};
+use anvilreel::money::{GrantAccount, GrantPolicy};
+use anvilreel::request::{Action, Event, Exchange, RequestSpec, Target};
 
 const NOW: Now = Duration::from_secs(1);
 const BOUND: Tokens = 100;
 
 fn split() -> Split {
-    Split::whole("nairobi".into())
+    Split::single_payer("nairobi".into())
 }
 
-fn spec() -> Spec {
-    Spec {
+fn spec() -> RequestSpec {
+    RequestSpec {
         key: RequestKey {
             team: "counter".into(),
             id: "r1".into(),
         },
         claim_id: "c1".into(),
-        named: false,
-        body: [1; 32],
-        once: false,
+        has_caller_key: false,
+        body_hash: [1; 32],
+        at_most_once: false,
         split: split(),
         price: Price::default(),
         bound: BOUND,
@@ -36,17 +36,17 @@
         },
         class: WorkClass::Interactive,
         deadline: Duration::from_mins(10),
-        keep: Duration::from_mins(5),
+        retention: Duration::from_mins(5),
         holders: Vec::new(),
-        suspects: Vec::new(),
+        probe_candidates: Vec::new(),
     }
 }
 
 /// An account with one grant that is large enough.
-fn new_account() -> Purse {
-    let account = Purse::new("router-0".into(), 1, GrantPolicy::default());
+fn new_account() -> GrantAccount {
+    let account = GrantAccount::new("router-0".into(), 1, GrantPolicy::default());
     assert!(account.reserve(NOW, &split(), BOUND).is_err());
-    let seq = account.batch(NOW).expect("a batch with an ask").seq;
+    let seq = account.next_batch(NOW).expect("a batch with an ask").seq;
     let grant = Grant {
         id: 1,
         budget: "nairobi".into(),
@@ -62,13 +62,13 @@
         opened: vec![grant],
         ..GrantBatchAnswer::default()
     };
-    account.answered(NOW, &answer).unwrap();
+    account.apply_answer(NOW, &answer).unwrap();
     account
 }
 
 /// Feeds an event, makes a reservation where one is requested, and returns the call that the
 /// exchange makes.
-fn feed(exchange: &mut Exchange, account: &Purse, event: Event) -> Option<(u32, Target)> {
+fn feed(exchange: &mut Exchange, account: &GrantAccount, event: Event) -> Option<(u32, Target)> {
     let mut call = None;
     for action in exchange.handle(NOW, account, event) {
         match action {
@@ -108,7 +108,7 @@
     let reply = SidecarReply::Refused(refusal);
     feed(&mut exchange, &account, Event::Reply { dispatch, reply });
     let never_sent = false;
-    let ended = Event::Broken {
+    let ended = Event::CallBroken {
         dispatch,
         never_sent,
     };
--- a/crates/anvilreel/tests/sidecar_platform.rs
+++ b/crates/anvilreel/tests/sidecar_platform.rs
@@ -7,7 +7,7 @@
 use anvil_standins::plain;
 use anvil_standins::platform::{self, Listed};
 use anvil_wire::Channel;
-use anvil_wire::msg::{Payment, SidecarCall, SidecarReply, SidecarRequest, Start, Work};
+use anvil_wire::msg::{Payment, SidecarCall, SidecarReply, SidecarRequest, StartRequest, Work};
 use anvil_world::document::WorkClass;
 use anvil_world::prelude::*;
 use anvil_world::settings::{EndpointKind, EndpointSettings, SidecarSettings};
@@ -60,7 +60,7 @@
 }
 
 fn start(number: u64, life: Incarnation) -> SidecarRequest {
-    SidecarRequest::Start(Box::new(Start {
+    SidecarRequest::Start(Box::new(StartRequest {
         key: RequestKey {
             team: "counter".into(),
             id: format!("order-{number}").into(),
@@ -72,7 +72,7 @@
         payment: Payment {
             router: "router-1".into(),
             incarnation: 1,
-            split: Split::whole("nairobi".into()),
+            split: Split::single_payer("nairobi".into()),
             grants: BTreeMap::from([("nairobi".into(), (1, 100))]),
             price: Price::default(),
             bound: 100,
--- a/crates/anvilreel/tests/soak/callers.rs
+++ b/crates/anvilreel/tests/soak/callers.rs
@@ -5,7 +5,7 @@
 use anvil_wire::msg::Work;
 use anvil_world::document::WorkClass;
 use anvil_world::prelude::*;
-use anvilreel::request::{Event, Spec};
+use anvilreel::request::{Event, RequestSpec};
 use bytes::Bytes;
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -74,7 +74,7 @@
         (0..tokens).flat_map(|i| token(&self.key, i)).collect()
     }
 
-    pub fn spec(&self, now: Now, claim_id: String) -> Spec {
+    pub fn spec(&self, now: Now, claim_id: String) -> RequestSpec {
         let work = if self.once {
             Work::Plain {
                 method: "POST".into(),
@@ -90,12 +90,12 @@
             }
         };
         let split = Split::try_from(vec![("mombasa".into(), 60), ("nairobi".into(), 40)]);
-        Spec {
+        RequestSpec {
             key: self.key.clone(),
             claim_id: claim_id.into(),
-            named: self.named,
-            body: [1; 32],
-            once: self.once,
+            has_caller_key: self.named,
+            body_hash: [1; 32],
+            at_most_once: self.once,
             split: split.expect("a split"),
             price: Price {
                 call: ORDER_COST,
@@ -109,9 +109,9 @@
             work,
             class: WorkClass::Interactive,
             deadline: now + Duration::from_mins(1),
-            keep: super::routers::KEEP,
+            retention: super::routers::KEEP,
             holders: Vec::new(),
-            suspects: Vec::new(),
+            probe_candidates: Vec::new(),
         }
     }
 }
--- a/crates/anvilreel/tests/soak/ledger.rs
+++ b/crates/anvilreel/tests/soak/ledger.rs
@@ -5,12 +5,12 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use anvil_ledger::state::State;
-use anvil_wire::msg::Evidence;
+use anvil_wire::msg::ChargeEvidence;
 use anvil_world::command::{
     Change, Claim, Edit, GrantBatch, Join, SetPresence, SettleClaim, TopUp, WriteOff, change_id,
 };
 use anvil_world::prelude::*;
-use anvilreel::money::Closing;
+use anvilreel::money::GrantClosing;
 
 use super::routers::FromLedger;
 use super::{Happening, World};
@@ -35,7 +35,7 @@
     Batch(GrantBatch),
     Claim(u64, Claim),
     Settle(SettleClaim),
-    Alive(Box<Instance>, Vec<Evidence>),
+    Alive(Box<Instance>, Vec<ChargeEvidence>),
 }
 
 pub struct LedgerNode {
@@ -48,7 +48,7 @@
     held_since: BTreeMap<GrantId, Now>,
     /// When each grant was opened.
     opened: BTreeMap<GrantId, Now>,
-    closing: BTreeMap<InstanceId, (Incarnation, Closing)>,
+    closing: BTreeMap<InstanceId, (Incarnation, GrantClosing)>,
     top_ups: u64,
 }
 
@@ -169,7 +169,7 @@
                 // A life that was over before the oldest open grant charged nothing under it.
                 let lives = self.sidecar_lives.iter();
                 let lives = lives.filter(|(_, over)| over.is_none_or(|over| over >= since));
-                let closing = Closing::new(lives.map(|(life, _)| life.clone()));
+                let closing = GrantClosing::new(lives.map(|(life, _)| life.clone()));
                 self.closing.insert(router, (life, closing));
             }
         }
@@ -237,7 +237,7 @@
         self.after(pause, Happening::ToRouter(msg.slot, msg.life, answer));
     }
 
-    fn alive(&mut self, slot: usize, instance: &Instance, evidence: &[Evidence]) {
+    fn alive(&mut self, slot: usize, instance: &Instance, evidence: &[ChargeEvidence]) {
         let (id, life) = (instance.id.clone(), instance.incarnation);
         let joined = self.ledger.apply(&Command::Join(Join {
             instance: instance.clone(),
@@ -266,7 +266,7 @@
         &mut self,
         slot: usize,
         who: &(InstanceId, Incarnation),
-        evidence: &[Evidence],
+        evidence: &[ChargeEvidence],
     ) {
         let mut taken = Vec::new();
         for found in evidence {
@@ -278,7 +278,7 @@
             }
             let closing = self.ledger.closing.get_mut(&found.router);
             if let Some((_, closing)) = closing.filter(|(life, _)| *life == found.incarnation) {
-                closing.take(who, found);
+                closing.record_evidence(who, found);
             }
         }
         let fenced = self.ledger.state.fenced().clone();
@@ -305,7 +305,7 @@
             let Some(charged) = closing.charged(grant.id) else {
                 continue;
             };
-            let keys: Vec<_> = closing.keys(grant.id).collect();
+            let keys: Vec<_> = closing.charges_by_key(grant.id).collect();
             let closed = self.ledger.apply(&Command::CloseGrant {
                 grant: grant.id,
                 charged,
--- a/crates/anvilreel/tests/soak/net.rs
+++ b/crates/anvilreel/tests/soak/net.rs
@@ -178,7 +178,7 @@
         }
         self.stream_gone(id);
         let dispatch = stream.dispatch;
-        let event = Event::Broken {
+        let event = Event::CallBroken {
             dispatch,
             never_sent,
         };
--- a/crates/anvilreel/tests/soak/routers.rs
+++ b/crates/anvilreel/tests/soak/routers.rs
@@ -1,15 +1,15 @@
-//! Router nodes: a shell as thin as the real one around purse, claims and exchanges.
+//! Router nodes: a shell as thin as the real one around account, claims and exchanges.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-use anvil_wire::msg::{HolderLife, PlacedClaim, RouterReply, RouterRequest};
+use anvil_wire::msg::{ClaimHolder, IdempotentClaim, RouterReply, RouterRequest};
 use anvil_world::command::{ClaimRecord, ClaimState, Denial, GrantBatchAnswer};
 use anvil_world::prelude::*;
-use anvilreel::claims::{ClaimBook, Tenure, placement};
-use anvilreel::money::{GrantPolicy, Purse};
+use anvilreel::claims::{ClaimStore, HolderHistory, placement};
+use anvilreel::money::{GrantAccount, GrantPolicy};
 use anvilreel::request::{Action, ClaimAnswer, Dispatch, Event, Exchange, Holder, Target};
 use rand::RngExt;
 
@@ -28,7 +28,7 @@
     Denied(Denial),
     Claimed(u64, Box<ClaimRecord>),
     ClaimLost(u64, Holder),
-    Placed(u64, InstanceId, Option<PlacedClaim>),
+    Placed(u64, InstanceId, Option<IdempotentClaim>),
     Members(BTreeMap<InstanceId, Member>, bool),
 }
 
@@ -36,8 +36,8 @@
 #[derive(Debug, Clone)]
 pub struct PeerClaim {
     pub from: (usize, Incarnation, u64),
-    pub claim: PlacedClaim,
-    pub holders: Vec<HolderLife>,
+    pub claim: IdempotentClaim,
+    pub holders: Vec<ClaimHolder>,
 }
 
 pub struct Running {
@@ -52,9 +52,9 @@
     pub alive: bool,
     pub stopping: bool,
     pub frozen_until: Now,
-    pub purse: Arc<Purse>,
-    pub book: ClaimBook,
-    pub tenure: Tenure,
+    pub account: Arc<GrantAccount>,
+    pub claim_store: ClaimStore,
+    pub holder_history: HolderHistory,
     /// When the ledger was last heard of.
     pub heard: Now,
     pub members: BTreeMap<InstanceId, Member>,
@@ -71,9 +71,9 @@
             alive: false,
             stopping: false,
             frozen_until: Now::ZERO,
-            purse: purse(slot, 0),
-            book: ClaimBook::default(),
-            tenure: Tenure::new("ke-central".into(), KEEP, Now::ZERO),
+            account: new_account(slot, 0),
+            claim_store: ClaimStore::default(),
+            holder_history: HolderHistory::new("ke-central".into(), KEEP, Now::ZERO),
             heard: Now::ZERO,
             members: BTreeMap::new(),
             running: BTreeMap::new(),
@@ -98,9 +98,9 @@
     }
 }
 
-fn purse(slot: usize, life: Incarnation) -> Arc<Purse> {
+fn new_account(slot: usize, life: Incarnation) -> Arc<GrantAccount> {
     let id = format!("r{slot}").into();
-    Arc::new(Purse::new(id, life, GrantPolicy::default()))
+    Arc::new(GrantAccount::new(id, life, GrantPolicy::default()))
 }
 
 pub fn zone(slot: usize) -> Zone {
@@ -123,9 +123,9 @@
         router.life = life;
         router.next = next;
         router.alive = true;
-        router.purse = purse(slot, life);
+        router.account = new_account(slot, life);
         let now = self.now;
-        router.tenure = Tenure::new("ke-central".into(), KEEP, now);
+        router.holder_history = HolderHistory::new("ke-central".into(), KEEP, now);
         self.at(now, Happening::RouterTick(slot, life));
     }
 
@@ -169,13 +169,13 @@
         let now = self.now;
         let router = &mut self.routers[slot];
         router.stopping = true;
-        router.purse.stop();
-        for claim in router.book.leave(now) {
+        router.account.begin_drain();
+        for claim in router.claim_store.drain(now) {
             self.hand_over(slot, &claim);
         }
     }
 
-    fn hand_over(&mut self, from: usize, claim: &PlacedClaim) {
+    fn hand_over(&mut self, from: usize, claim: &IdempotentClaim) {
         let members = self.routers[from].members.clone();
         let others = members
             .values()
@@ -185,7 +185,9 @@
             if self.routers[to].alive && !self.routers[to].stopping {
                 let now = self.now;
                 let claims = RouterRequest::HandOver(vec![claim.clone()]);
-                self.routers[to].book.handle(now, claims, |_, _| false);
+                self.routers[to]
+                    .claim_store
+                    .handle(now, claims, |_, _| false);
             }
         }
     }
@@ -200,14 +202,14 @@
         if self.routers[slot].life != life || !self.routers[slot].alive {
             return;
         }
-        let urgent = self.routers[slot].purse.is_urgent();
+        let urgent = self.routers[slot].account.is_urgent();
         let pause = Duration::from_millis(if urgent { 50 } else { 200 });
         self.after(pause, Happening::RouterTick(slot, life));
         if self.finished_stopping(slot) {
             return;
         }
         let now = self.now;
-        if let Some(batch) = self.routers[slot].purse.batch(now) {
+        if let Some(batch) = self.routers[slot].account.next_batch(now) {
             self.ask_ledger(slot, Asked::Batch(batch));
         }
         if now >= self.routers[slot].last_alive + Duration::from_secs(1) {
@@ -219,7 +221,7 @@
 
     fn finished_stopping(&mut self, slot: usize) -> bool {
         let router = &self.routers[slot];
-        if !router.stopping || !router.running.is_empty() || !router.purse.is_empty() {
+        if !router.stopping || !router.running.is_empty() || !router.account.is_empty() {
             return false;
         }
         self.count("routers stopped cleanly");
@@ -250,16 +252,16 @@
             return;
         }
         let now = self.now;
-        let purse = self.routers[slot].purse.clone();
+        let account = self.routers[slot].account.clone();
         match msg {
             FromLedger::Grants(answer) => {
-                if let Err(e) = purse.answered(now, &answer) {
+                if let Err(e) = account.apply_answer(now, &answer) {
                     self.truth.violate(e.to_string());
                 }
-                self.feed_all(slot, || Event::MoneyChanged);
+                self.feed_all(slot, || Event::GrantsChanged);
             }
             FromLedger::Denied(denial) => {
-                if purse.denied(now, &denial) {
+                if account.apply_denial(now, &denial) {
                     self.fenced_out(slot);
                 }
             }
@@ -271,13 +273,13 @@
                 self.feed(slot, life, exchange, event);
             }
             FromLedger::ClaimLost(exchange, holder) => {
-                let answer = ClaimAnswer::Lost;
+                let answer = ClaimAnswer::Unavailable;
                 self.feed(slot, life, exchange, Event::Claimed { holder, answer });
             }
             FromLedger::Placed(exchange, holder, claim) => {
                 let event = Event::Claimed {
                     holder: Holder::Router(holder),
-                    answer: claim.map_or(ClaimAnswer::Lost, placed_answer),
+                    answer: claim.map_or(ClaimAnswer::Unavailable, placed_answer),
                 };
                 self.feed(slot, life, exchange, event);
             }
@@ -289,7 +291,7 @@
     /// This life was declared lost while it was cut off: the process begins a new one.
     fn fenced_out(&mut self, slot: usize) {
         self.count("routers fenced out");
-        self.routers[slot].purse.fence();
+        self.routers[slot].account.fence();
         self.drop_router(slot);
         let life = self.routers[slot].life;
         self.after(
@@ -301,7 +303,9 @@
     fn new_members(&mut self, slot: usize, members: BTreeMap<InstanceId, Member>) {
         let now = self.now;
         self.routers[slot].heard = now;
-        self.routers[slot].tenure.note(now, members.values());
+        self.routers[slot]
+            .holder_history
+            .record_members(now, members.values());
         let old = std::mem::replace(&mut self.routers[slot].members, members);
         let new = &self.routers[slot].members;
         let over = |was: &&Member| {
@@ -315,7 +319,7 @@
             .map(|m| Target::new(m.instance.id.clone(), m.instance.incarnation))
             .collect();
         for target in gone {
-            self.feed_all(slot, || Event::Gone(target.clone()));
+            self.feed_all(slot, || Event::TargetGone(target.clone()));
         }
     }
 
@@ -337,8 +341,11 @@
             .members
             .values()
             .filter(|m| m.instance.role == Role::Sidecar && m.presence != Presence::Gone);
-        if !router.tenure.is_settled(self.now, &spec.key) {
-            spec.suspects = sidecars
+        if !router
+            .holder_history
+            .has_stable_holders(self.now, &spec.key)
+        {
+            spec.probe_candidates = sidecars
                 .map(|m| Target::new(m.instance.id.clone(), m.instance.incarnation))
                 .collect();
         }
@@ -356,7 +363,7 @@
         if let Some(until) = self.frozen(slot, life) {
             return self.at(until, Happening::Wake(slot, life, id));
         }
-        self.feed(slot, life, id, Event::Wake);
+        self.feed(slot, life, id, Event::TimerFired);
     }
 
     /// Feeds one event to an exchange and does what it wants, until it wants nothing more.
@@ -364,18 +371,18 @@
         if self.routers[slot].life != life {
             return;
         }
-        let purse = self.routers[slot].purse.clone();
+        let account = self.routers[slot].account.clone();
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let Some(running) = self.routers[slot].running.get_mut(&id) else {
                 if let Event::Reserved(reservation) = event {
-                    purse.release(reservation);
+                    account.release(reservation);
                 }
                 return;
             };
             let key = running.exchange.spec().key.id.clone();
             let what = format!("r{slot}/{life}/{id} {key} <- {event:?}");
-            let actions = running.exchange.handle(self.now, &purse, event);
+            let actions = running.exchange.handle(self.now, &account, event);
             self.trace(|| what);
             for action in actions {
                 self.trace(|| format!("r{slot}/{life}/{id} {key} -> {action:?}"));
@@ -390,7 +397,7 @@
 
     fn act(&mut self, slot: usize, id: u64, action: Action) -> Option<Event> {
         let life = self.routers[slot].life;
-        let purse = self.routers[slot].purse.clone();
+        let account = self.routers[slot].account.clone();
         let running = self.routers[slot].running.get(&id)?;
         let (caller, spec) = (running.caller, running.exchange.spec().clone());
         match action {
@@ -405,19 +412,19 @@
             }
             Action::SettleClaim(settle) => self.ask_ledger(slot, Asked::Settle(settle)),
             Action::Reserve => {
-                let reserved = purse.reserve(self.now, &spec.split, spec.bound);
+                let reserved = account.reserve(self.now, &spec.split, spec.bound);
                 return Some(match reserved {
                     Ok(reservation) => Event::Reserved(reservation),
-                    Err(shortage) => Event::Short(shortage),
+                    Err(shortage) => Event::ReservationFailed(shortage),
                 });
             }
-            Action::Release(reservation) => purse.release(reservation),
+            Action::Release(reservation) => account.release(reservation),
             Action::Settle { reservation, cost } => {
                 let grants = reservation.grants();
                 for (budget, tokens) in spec.split.divide(cost) {
                     self.truth.settle(&spec.key, grants[budget].0, tokens);
                 }
-                if let Err(e) = purse.settle(reservation, cost) {
+                if let Err(e) = account.settle(reservation, cost) {
                     self.truth.violate(e.to_string());
                 }
             }
@@ -430,14 +437,14 @@
                 let stream = self.new_stream(slot, id, dispatch, to);
                 self.open_stream(stream, *req);
             }
-            Action::Drop { dispatch } => self.drop_call(slot, id, dispatch),
+            Action::DropCall { dispatch } => self.drop_call(slot, id, dispatch),
             Action::DeliverHead(_) => {}
             Action::Deliver(bytes) => {
                 if self.is_at(caller, slot, id) {
                     self.caller_gets(caller, &bytes);
                 }
             }
-            Action::WakeAt(when) => self.at(when, Happening::Wake(slot, life, id)),
+            Action::SetTimer(when) => self.at(when, Happening::Wake(slot, life, id)),
             Action::Finish { outcome, .. } => {
                 if matches!(outcome, Outcome::NotRun(_)) {
                     self.truth.told_not_run.insert((slot, life, id));
@@ -492,14 +499,14 @@
         Event::Chosen(good[chosen].clone())
     }
 
-    fn put_claim(&mut self, slot: usize, id: u64, holder: &InstanceId, claim: PlacedClaim) {
+    fn put_claim(&mut self, slot: usize, id: u64, holder: &InstanceId, claim: IdempotentClaim) {
         let life = self.routers[slot].life;
         let to = slot_of(holder);
         let lost = FromLedger::ClaimLost(id, Holder::Router(holder.clone()));
         self.after(CLAIM_WITHIN, Happening::ToRouter(slot, life, lost));
         let pause = self.latency();
         let from = (slot, life, id);
-        let holders = self.routers[slot].tenure.holders(&claim.key);
+        let holders = self.routers[slot].holder_history.holders(&claim.key);
         let msg = PeerClaim {
             from,
             claim,
@@ -521,8 +528,8 @@
         let now = self.now;
         let unguarded = self.without("vouching");
         let RouterNode {
-            book,
-            tenure,
+            claim_store,
+            holder_history,
             heard,
             ..
         } = &mut self.routers[to];
@@ -530,8 +537,8 @@
         let me: InstanceId = b.as_str().into();
         let silent = now.saturating_sub(*heard);
         let put = RouterRequest::PutAs { claim, holders };
-        let reply = book.handle(now, put, |key, asked| {
-            unguarded || tenure.vouches(now, silent, &me, key, asked)
+        let reply = claim_store.handle(now, put, |key, asked| {
+            unguarded || holder_history.may_confirm_claim(now, silent, &me, key, asked)
         });
         let claim = match reply {
             RouterReply::Claim(claim) => claim,
@@ -549,7 +556,7 @@
 
 fn ledger_answer(record: ClaimRecord) -> ClaimAnswer {
     let claim = record.claim;
-    ClaimAnswer::Stands {
+    ClaimAnswer::Recorded {
         target: Target::new(claim.sidecar, claim.incarnation),
         body: claim.body,
         id: claim.id,
@@ -561,8 +568,8 @@
     }
 }
 
-fn placed_answer(claim: PlacedClaim) -> ClaimAnswer {
-    ClaimAnswer::Stands {
+fn placed_answer(claim: IdempotentClaim) -> ClaimAnswer {
+    ClaimAnswer::Recorded {
         target: Target::new(claim.sidecar, claim.incarnation),
         body: claim.body,
         id: "".into(),
--- a/crates/anvilreel/tests/soak/sidecars.rs
+++ b/crates/anvilreel/tests/soak/sidecars.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use anvil_wire::msg::{Frame, Head, SidecarReply, SidecarRequest, Start, Work};
+use anvil_wire::msg::{Frame, ResponseHead, SidecarReply, SidecarRequest, StartRequest, Work};
 use anvil_world::prelude::*;
 use anvilreel::runs::{Action, EngineCommand, EngineEvent, Event, Runs, RunsConfig};
 use bytes::Bytes;
@@ -17,7 +17,7 @@
 
 /// One run in the fake engine.
 struct InEngine {
-    start: Arc<Start>,
+    start: Arc<StartRequest>,
     prompt: Tokens,
     /// Tokens of the whole answer made so far, with the prefix.
     made: u64,
@@ -224,7 +224,7 @@
         }
     }
 
-    fn begins(&mut self, slot: usize, start: &Start, by: (usize, Incarnation, u64)) {
+    fn begins(&mut self, slot: usize, start: &StartRequest, by: (usize, Incarnation, u64)) {
         *self.truth.begun.entry(start.key.clone()).or_default() += 1;
         *self.truth.begun_by.entry(by).or_default() += 1;
         let life = self.sidecars[slot].life;
@@ -287,7 +287,7 @@
         }
     }
 
-    fn engine_begins(&mut self, slot: usize, run: u64, start: Arc<Start>) {
+    fn engine_begins(&mut self, slot: usize, run: u64, start: Arc<StartRequest>) {
         let caller = self.callers.iter().find(|caller| caller.key == start.key);
         let prompt = caller.map_or(0, |caller| caller.prompt);
         let made = start.prefix_tokens;
@@ -338,7 +338,7 @@
         found.made += 1;
         let usage = found.usage();
         if plain {
-            let head = Head {
+            let head = ResponseHead {
                 status: 200,
                 headers: Vec::new(),
             };
--- a/crates/anvilreel/tests/soak/world.rs
+++ b/crates/anvilreel/tests/soak/world.rs
@@ -184,10 +184,13 @@
         if let Some(e) = self.truth.violations.first() {
             return Some(e.clone());
         }
-        if let Err(e) = self.ledger.state.holds() {
+        if let Err(e) = self.ledger.state.invariants_held() {
             return Some(e.to_string());
         }
-        let broken = self.routers.iter().find_map(|r| r.purse.broken());
+        let broken = self
+            .routers
+            .iter()
+            .find_map(|r| r.account.invariant_violation());
         broken.map(|e| e.to_string())
     }
 
