--- a/crates/anvil_gateway/src/choose.rs
+++ b/crates/anvil_gateway/src/choose.rs
@@ -82,7 +82,7 @@
         let source = self.copy_source(service, prompt, best, &candidates);
         let missing_tokens = source
             .as_ref()
-            .map_or(best.lacking.with_home, |source| source.equivalent_tokens);
+            .map_or(best.missing.with_home, |source| source.equivalent_tokens);
         let load_summary = best.endpoint.load().describe(now);
         let slot = EndpointSlot::take(
             best.endpoint.clone(),
@@ -155,14 +155,14 @@
         let others = candidates.iter().filter(|other| !other.on_cooldown);
         let others = others.filter(|other| other.endpoint.id != selected.endpoint.id);
         let others: Vec<_> = others
-            .map(|other| (other.endpoint.addr, other.lacking))
+            .map(|other| (other.endpoint.addr, other.missing))
             .collect();
-        let (addr, source_lacking) = copying::source(selected.lacking, &others)?;
+        let (addr, source_missing) = copying::source(selected.missing, &others)?;
         Some(CopySource {
             addr,
             equivalent_tokens: copy_rate.equivalent_missing(
-                selected.lacking.with_home,
-                source_lacking,
+                selected.missing.with_home,
+                source_missing,
                 &self.engine_rule,
             ),
         })
@@ -191,7 +191,7 @@
             return Candidate {
                 endpoint,
                 expected: base + FULL_ENDPOINT_WAIT.mul_f64(utilisation) + jitter,
-                lacking: MissingTokens {
+                missing: MissingTokens {
                     by_own_requests: 0,
                     with_home: 0,
                 },
@@ -211,7 +211,7 @@
         Candidate {
             endpoint,
             expected: base + expected,
-            lacking: MissingTokens {
+            missing: MissingTokens {
                 by_own_requests,
                 with_home,
             },
@@ -226,7 +226,7 @@
     /// Time to the first token if all missing prompt tokens are processed.
     expected: Duration,
     /// Prompt tokens that are not cached there.
-    lacking: MissingTokens,
+    missing: MissingTokens,
     /// Whether it failed recently and is on cooldown.
     on_cooldown: bool,
 }
--- a/crates/anvil_gateway/src/crashes.rs
+++ b/crates/anvil_gateway/src/crashes.rs
@@ -37,10 +37,10 @@
             return;
         }
         let now = self.lifecycle.now();
-        let verdict = self
+        let action = self
             .crash_watch()
             .record_lost_answer(now, &endpoint.id, digest, progress);
-        match verdict {
+        match action {
             LostAnswerAction::Wait => {}
             LostAnswerAction::Probe => {
                 tokio::spawn(probe(self.clone(), endpoint.clone()));
--- a/crates/anvil_gateway/src/exchange.rs
+++ b/crates/anvil_gateway/src/exchange.rs
@@ -270,14 +270,14 @@
         if !self.attempt_counter.endpoints().is_empty() {
             self.gw.metrics.count(metrics::ATTEMPTS_AFTER_FIRST);
         }
-        let left = self.time_left();
-        let onward = ForwardedHead {
+        let time_left = self.time_left();
+        let forwarded = ForwardedHead {
             endpoint: &endpoint.id,
             organisation: self
                 .organisation
                 .as_ref()
                 .map(|organisation| &*organisation.id),
-            time_left: left,
+            time_left,
             priority_class: self.priority_class(),
             resume_after: after.or(self.request.resume_after),
             copy_from: selection.copy_from,
@@ -286,7 +286,7 @@
         let outgoing = OutgoingRequest {
             method: &self.method,
             uri: &self.uri,
-            headers: (self.gw.cfg.dialect.forward_headers)(&self.headers, &onward),
+            headers: (self.gw.cfg.dialect.forward_headers)(&self.headers, &forwarded),
             body: self.body.clone(),
             id: &self.request.id,
             response_deadline,
--- a/crates/anvil_gateway/tests/direct/dialect.rs
+++ b/crates/anvil_gateway/tests/direct/dialect.rs
@@ -11,26 +11,26 @@
 
 /// The dialect of the tests.
 pub const DIALECT: Dialect = Dialect {
-    parse_request: ask,
-    forward_headers: onward,
-    parse_response: answer,
-    parse_table: table,
+    parse_request,
+    forward_headers,
+    parse_response,
+    parse_table,
 };
 
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn ask(head: &request::Parts) -> Result<RequestHead, RequestHeadError> {
+fn parse_request(head: &request::Parts) -> Result<RequestHead, RequestHeadError> {
     let headers = &head.headers;
     let id = text(headers, "x-id").ok_or(RequestHeadError { what: "the id" })?;
     let timeout_ms = text(headers, "x-wait").and_then(|ms| ms.parse().ok());
-    let work = text(headers, "x-tokens").and_then(|tokens| {
-        let (prompt, most_output) = tokens.split_once(',')?;
+    let model_work = text(headers, "x-tokens").and_then(|tokens| {
+        let (prompt, max_output) = tokens.split_once(',')?;
         let prompt = prompt.parse().ok()?;
         Some(ModelWork {
             prompt,
-            max_output: most_output.parse().ok()?,
+            max_output: max_output.parse().ok()?,
             parts: vec![PromptPart {
                 id: 1,
                 tokens: prompt,
@@ -41,12 +41,12 @@
         id: id.into(),
         timeout: Duration::from_millis(timeout_ms.unwrap_or(3_000)),
         bearer_key: text(headers, "x-key").map(Into::into),
-        model_work: work,
+        model_work,
         resume_after: text(headers, "x-after").and_then(|id| id.parse().ok()),
     })
 }
 
-fn onward(client: &HeaderMap, onward: &ForwardedHead<'_>) -> HeaderMap {
+fn forward_headers(client: &HeaderMap, forwarded: &ForwardedHead<'_>) -> HeaderMap {
     let mut headers = client.clone();
     for name in ["connection", "content-length", "x-key"] {
         headers.remove(name);
@@ -55,18 +55,18 @@
         let value = HeaderValue::try_from(value).expect("a header value");
         headers.insert(HeaderName::from_static(name), value);
     };
-    set("x-endpoint", onward.endpoint.into());
-    set("x-wait", onward.time_left.as_millis().to_string());
-    if let Some(organisation) = onward.organisation {
+    set("x-endpoint", forwarded.endpoint.into());
+    set("x-wait", forwarded.time_left.as_millis().to_string());
+    if let Some(organisation) = forwarded.organisation {
         set("x-organisation", organisation.into());
     }
-    if let Some(after) = onward.resume_after {
+    if let Some(after) = forwarded.resume_after {
         set("x-after", after.to_string());
     }
     headers
 }
 
-fn answer(status: StatusCode, headers: &HeaderMap) -> ResponseHead {
+fn parse_response(status: StatusCode, headers: &HeaderMap) -> ResponseHead {
     ResponseHead {
         id: text(headers, "x-id").map(Into::into),
         not_run: headers.contains_key("x-not-run") || status == StatusCode::MISDIRECTED_REQUEST,
@@ -89,6 +89,6 @@
     }
 }
 
-fn table(_: &str) -> Result<RouteTable, InvalidTable> {
+fn parse_table(_: &str) -> Result<RouteTable, InvalidTable> {
     unreachable!("tests set the table directly")
 }
--- a/crates/anvil_gateway/tests/direct/gateway.rs
+++ b/crates/anvil_gateway/tests/direct/gateway.rs
@@ -34,11 +34,11 @@
 
 /// One route for each retry mode: `/idempotent/`, `/once/`, `/stream/` and `/resumed/`.
 pub fn routes() -> Vec<Route> {
-    let route = |name: &str, repeat| Route {
+    let route = |name: &str, retry_mode| Route {
         name: name.into(),
         host: "shop".into(),
         prefix: format!("/{name}/").into(),
-        retry_mode: repeat,
+        retry_mode,
         timeout: Duration::from_secs(3),
         target_latency: Duration::from_millis(150),
         max_gap: Some(Duration::from_millis(100)),
@@ -158,10 +158,10 @@
     }
 
     /// A gateway with the default routes that reads a list of endpoints regularly.
-    pub async fn start_reading_list(list: ListSource, list_within: Duration) -> Self {
+    pub async fn start_reading_list(list: ListSource, max_list_age: Duration) -> Self {
         let cfg = GatewaySettings {
             list,
-            max_list_age: list_within,
+            max_list_age,
             ..settings()
         };
         let log = Logger::root(Discard, o!());
--- a/crates/anvil_gateway/tests/direct/missing_endpoints.rs
+++ b/crates/anvil_gateway/tests/direct/missing_endpoints.rs
@@ -113,7 +113,7 @@
 }
 
 /// Parses the tests' list: one endpoint, its id and address.
-fn page(bytes: &Bytes) -> Result<ListPage, String> {
+fn parse_page(bytes: &Bytes) -> Result<ListPage, String> {
     let text = String::from_utf8_lossy(bytes);
     let (id, addr) = text.split_once(' ').ok_or("no endpoint")?;
     let addr = addr.parse().map_err(|e| format!("{e}"))?;
@@ -144,7 +144,7 @@
         first_page_path: "/".into(),
         max_lag: Duration::from_millis(300),
         calls_per_second: 50.0,
-        parse_page: page,
+        parse_page,
     };
     let gateway = TestGateway::start_reading_list(source, Duration::from_mins(10)).await;
     while gateway.gw.directory.is_empty() {
--- a/crates/anvil_gateway/tests/direct/processes.rs
+++ b/crates/anvil_gateway/tests/direct/processes.rs
@@ -44,11 +44,11 @@
         first_page_path: "/".into(),
         max_lag: Duration::from_millis(300),
         calls_per_second: 50.0,
-        parse_page: page,
+        parse_page,
     }
 }
 
-fn page(bytes: &Bytes) -> Result<ListPage, String> {
+fn parse_page(bytes: &Bytes) -> Result<ListPage, String> {
     let text = String::from_utf8_lossy(bytes);
     let entry = |line: &str| {
         let (id, addr) = line.split_once(' ')?;
--- a/crates/anvil_gateway/tests/direct/siblings.rs
+++ b/crates/anvil_gateway/tests/direct/siblings.rs
@@ -33,7 +33,7 @@
     reads: Arc<AtomicUsize>,
 }
 
-fn page(bytes: &Bytes) -> Result<ListPage, String> {
+fn parse_page(bytes: &Bytes) -> Result<ListPage, String> {
     let mut entry = listed("one", ([127, 0, 0, 1], 9).into());
     entry.leaving = match &bytes[..] {
         b"leaving" => true,
@@ -64,7 +64,7 @@
             first_page_path: "/".into(),
             max_lag: Duration::from_millis(100),
             calls_per_second: 50.0,
-            parse_page: page,
+            parse_page,
         };
         Self {
             source,
--- a/crates/anvil_ledger/src/machine.rs
+++ b/crates/anvil_ledger/src/machine.rs
@@ -109,8 +109,8 @@
         };
         let suspects = suspects.into_iter().map(ChangedItem::Suspect);
         let limits = limits.into_iter().map(ChangedItem::Limit);
-        for touched in suspects.chain(limits) {
-            self.state.record_change(index, touched);
+        for changed_item in suspects.chain(limits) {
+            self.state.record_change(index, changed_item);
         }
     }
 
--- a/crates/anvil_ledger/src/state.rs
+++ b/crates/anvil_ledger/src/state.rs
@@ -90,8 +90,8 @@
 
     /// Records that something which followers copy, but is kept outside this state, changed at this
     /// index.
-    pub fn record_change(&mut self, index: LogIndex, touched: ChangedItem) {
-        self.recent_changes.record_at(index, touched);
+    pub fn record_change(&mut self, index: LogIndex, changed_item: ChangedItem) {
+        self.recent_changes.record_at(index, changed_item);
     }
 
     /// The last index applied, 0 for none.
--- a/crates/anvil_ledger/src/state/recent_changes.rs
+++ b/crates/anvil_ledger/src/state/recent_changes.rs
@@ -33,8 +33,8 @@
 }
 
 impl RecentChanges {
-    pub(super) fn record_at(&mut self, index: LogIndex, touched: ChangedItem) {
-        self.recent.entry(index).or_default().insert(touched);
+    pub(super) fn record_at(&mut self, index: LogIndex, changed_item: ChangedItem) {
+        self.recent.entry(index).or_default().insert(changed_item);
         if self.recent.len() > MAX_RECORDED
             && let Some((oldest, _)) = self.recent.pop_first()
         {
@@ -52,6 +52,11 @@
             return None;
         }
         let newer = self.recent.range(version + 1..);
-        Some(newer.flat_map(|(_, touched)| touched).cloned().collect())
+        Some(
+            newer
+                .flat_map(|(_, changed_items)| changed_items)
+                .cloned()
+                .collect(),
+        )
     }
 }
--- a/crates/anvil_ledger/src/state/tree.rs
+++ b/crates/anvil_ledger/src/state/tree.rs
@@ -124,8 +124,8 @@
         let before = self.tree.entries.get(&change.path).cloned();
         let after = self.edit(index, change)?;
         self.check_revision_rises(index, &change.path, before.as_ref());
-        let touched = ChangedItem::Document(change.path.clone());
-        self.recent_changes.record_at(index, touched);
+        let changed_item = ChangedItem::Document(change.path.clone());
+        self.recent_changes.record_at(index, changed_item);
         Ok(AppliedChange {
             subject: change.path.to_string(),
             revision: index,
--- a/crates/anvil_ledger/tests/core_guards.rs
+++ b/crates/anvil_ledger/tests/core_guards.rs
@@ -417,9 +417,9 @@
 /// only after the others could.
 #[test]
 fn a_leader_with_a_stalled_commit_hands_over_leadership() {
-    let slow_commit = Some(Duration::from_millis(450));
+    let slow_commit_limit = Some(Duration::from_millis(450));
     let cfg = CoreSettings {
-        slow_commit_limit: slow_commit,
+        slow_commit_limit,
         ..CoreSettings::default()
     };
     let mut driver = Driver::with(cfg);
--- a/crates/anvil_policy/src/choice.rs
+++ b/crates/anvil_policy/src/choice.rs
@@ -147,26 +147,26 @@
     }
 
     /// Chooses an endpoint with headroom for one more run.
-    pub fn choose(&self, pool: &Pool, ask: &ChoiceRequest<'_>, rng: &mut impl Rng) -> Choice {
+    pub fn choose(&self, pool: &Pool, request: &ChoiceRequest<'_>, rng: &mut impl Rng) -> Choice {
         let mut best = Best::default();
-        for (id, cached_tokens) in ask.cached {
+        for (id, cached_tokens) in request.cached {
             if let Some(endpoint) = pool.get(id) {
-                self.consider(pool, &mut best, endpoint, ask, *cached_tokens, rng);
+                self.consider(pool, &mut best, endpoint, request, *cached_tokens, rng);
             }
         }
-        for endpoint in self.sample(pool, ask, rng) {
-            self.consider(pool, &mut best, endpoint, ask, 0, rng);
+        for endpoint in self.sample(pool, request, rng) {
+            self.consider(pool, &mut best, endpoint, request, 0, rng);
         }
         match best.endpoint {
             Some(endpoint) => Choice::Endpoint(Arc::clone(endpoint)),
-            None => scan(pool, ask, rng),
+            None => scan(pool, request, rng),
         }
     }
 
     fn sample<'a>(
         &self,
         pool: &'a Pool,
-        ask: &ChoiceRequest<'_>,
+        request: &ChoiceRequest<'_>,
         rng: &mut impl Rng,
     ) -> Vec<&'a Arc<EndpointState>> {
         let all = &pool.endpoints;
@@ -179,7 +179,7 @@
         } else {
             self.own_zone_samples
         };
-        let from_pool = if ask.avoid.is_empty() {
+        let from_pool = if request.avoid.is_empty() {
             self.pool_samples
         } else {
             self.pool_samples * RETRY_SAMPLE_FACTOR
@@ -197,7 +197,7 @@
         pool: &'a Pool,
         best: &mut Best<'a>,
         endpoint: &'a Arc<EndpointState>,
-        ask: &ChoiceRequest<'_>,
+        request: &ChoiceRequest<'_>,
         cached_tokens: Tokens,
         rng: &mut impl Rng,
     ) {
@@ -210,11 +210,11 @@
         };
         let within_share =
             endpoint.share() >= FULL_SHARE || rng.random_range(0..FULL_SHARE) < endpoint.share();
-        if !within_share || headroom == 0 || ask.avoid.contains(&endpoint.id) {
+        if !within_share || headroom == 0 || request.avoid.contains(&endpoint.id) {
             return;
         }
-        let mut score = self.expected(endpoint, ask.prompt.saturating_sub(cached_tokens));
-        if failed_in_zone(pool, endpoint, ask) {
+        let mut score = self.expected(endpoint, request.prompt.saturating_sub(cached_tokens));
+        if failed_in_zone(pool, endpoint, request) {
             score += FAILED_ZONE_PENALTY_S;
         }
         if best.endpoint.is_none() || score < best.score {
@@ -249,8 +249,8 @@
 /// lost zone the request would fail at one endpoint after the other until its attempts are used up.
 const FAILED_ZONE_PENALTY_S: f64 = 1.0;
 
-fn failed_in_zone(pool: &Pool, endpoint: &EndpointState, ask: &ChoiceRequest<'_>) -> bool {
-    let mut failed = ask.avoid.iter().filter_map(|id| pool.get(id));
+fn failed_in_zone(pool: &Pool, endpoint: &EndpointState, request: &ChoiceRequest<'_>) -> bool {
+    let mut failed = request.avoid.iter().filter_map(|id| pool.get(id));
     failed.any(|other| other.zone == endpoint.zone)
 }
 
@@ -266,7 +266,7 @@
 const MAX_SCANNED: usize = 256;
 
 /// Scans endpoints in order, from a random start.
-fn scan(pool: &Pool, ask: &ChoiceRequest<'_>, rng: &mut impl Rng) -> Choice {
+fn scan(pool: &Pool, request: &ChoiceRequest<'_>, rng: &mut impl Rng) -> Choice {
     let all = pool.endpoints.len();
     if all == 0 {
         return Choice::Unserved;
@@ -278,7 +278,7 @@
         if any_serves && scanned >= MAX_SCANNED {
             break;
         }
-        if ask.avoid.contains(&endpoint.id) {
+        if request.avoid.contains(&endpoint.id) {
             continue;
         }
         any_serves |= accepts_work(endpoint);
--- a/crates/anvil_policy/src/copying.rs
+++ b/crates/anvil_policy/src/copying.rs
@@ -46,13 +46,13 @@
     chosen: MissingTokens,
     others: &[(T, MissingTokens)],
 ) -> Option<(T, Tokens)> {
-    let best_source = |lacks: fn(&MissingTokens) -> Tokens| {
-        let (engine, fewest) = others.iter().min_by_key(|(_, other)| lacks(other))?;
-        let worth = Copying::is_worthwhile(lacks(&chosen), lacks(fewest));
-        worth.then(|| (*engine, lacks(fewest)))
+    let best_source = |missing: fn(&MissingTokens) -> Tokens| {
+        let (engine, fewest) = others.iter().min_by_key(|(_, other)| missing(other))?;
+        let worth = Copying::is_worthwhile(missing(&chosen), missing(fewest));
+        worth.then(|| (*engine, missing(fewest)))
     };
-    best_source(|lacking| lacking.by_own_requests)
-        .or_else(|| best_source(|lacking| lacking.with_home))
+    best_source(|missing| missing.by_own_requests)
+        .or_else(|| best_source(|missing| missing.with_home))
 }
 
 /// Speed at which the engines of one service copy from each other.
--- a/crates/anvil_policy/src/retry.rs
+++ b/crates/anvil_policy/src/retry.rs
@@ -104,11 +104,11 @@
         &mut self,
         now: Now,
         attempts: u32,
-        repeat: RetrySafety,
+        safety: RetrySafety,
         rng: &mut impl Rng,
     ) -> Option<Duration> {
         self.refill(now);
-        if repeat == RetrySafety::Unsafe
+        if safety == RetrySafety::Unsafe
             || attempts >= self.rule.max_attempts
             || self.available < 1.0
         {
--- a/crates/anvilreel/src/ledger_service/follow.rs
+++ b/crates/anvilreel/src/ledger_service/follow.rs
@@ -32,7 +32,7 @@
         }
         let known = (self.version > 0).then(|| state.changed_since(self.version));
         Some(match known.flatten() {
-            Some(touched) => self.delta(machine, &touched),
+            Some(changed) => self.delta(machine, &changed),
             None => self.full(machine),
         })
     }
@@ -61,15 +61,15 @@
         }
     }
 
-    fn delta(&self, machine: &Machine, touched: &BTreeSet<ChangedItem>) -> FollowEvent {
+    fn delta(&self, machine: &Machine, changed: &BTreeSet<ChangedItem>) -> FollowEvent {
         let state = &machine.state;
         let mut suspects = Vec::new();
         let mut limits = Vec::new();
         let mut tree = Vec::new();
         let mut members = Vec::new();
         let mut fenced = Vec::new();
-        for touched in touched {
-            match touched {
+        for item in changed {
+            match item {
                 ChangedItem::Document(path) if self.needs_document(path) => {
                     tree.push((path.clone(), state.tree().get(path).cloned()));
                 }
--- a/crates/anvilreel/src/router/pool_queue.rs
+++ b/crates/anvilreel/src/router/pool_queue.rs
@@ -149,9 +149,9 @@
         if !self.pool.load().accepts_work() {
             return Err(no_endpoint(job));
         }
-        let mut verdict = self.queue().gate.offer(life.now(), ticket.clone());
+        let mut decision = self.queue().gate.offer(life.now(), ticket.clone());
         loop {
-            match verdict {
+            match decision {
                 AdmissionDecision::Run => {}
                 AdmissionDecision::Refuse(refusal) => return Err(refusal),
                 AdmissionDecision::Wait(id) => self.wait(id).await?,
@@ -171,7 +171,7 @@
                     self.queue().gate.finished();
                     return Err(no_endpoint(job));
                 }
-                Choice::Full => verdict = self.requeue(life.now(), &ticket, job),
+                Choice::Full => decision = self.requeue(life.now(), &ticket, job),
             }
         }
     }
