--- a/crates/anvil_standins/src/load/policy.rs
+++ b/crates/anvil_standins/src/load/policy.rs
@@ -11,7 +11,7 @@
 pub mod router;
 pub mod rule;
 pub mod scenario;
-pub mod world;
+pub mod simulation;
 
 pub use report::Report;
 pub use rule::Rule;
@@ -19,7 +19,7 @@
 
 /// Plays one scenario under one rule.
 pub fn run_policy(scenario: &PolicyScenario, rule: &Rule) -> Report {
-    let mut world = world::World::new(scenario, rule);
+    let mut world = simulation::World::new(scenario, rule);
     world.play();
     world.report()
 }
