--- a/crates/anvil_standins/src/client.rs
+++ b/crates/anvil_standins/src/client.rs
@@ -10,15 +10,15 @@
 
 use crate::error::{BrokenSnafu, Error, RequestSnafu, UrlSnafu};
 
-type Inner = hyper_util::client::legacy::Client<HttpConnector, Full<Bytes>>;
+type HyperClient = hyper_util::client::legacy::Client<HttpConnector, Full<Bytes>>;
 
 /// Keeps connections for reuse; cloning shares them.
 #[derive(Debug, Clone)]
 pub struct Client {
-    inner: Inner,
+    inner: HyperClient,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct Answer {
     /// Status.
@@ -41,14 +41,14 @@
 }
 
 impl Client {
-    /// Gets a whole answer.
+    /// Sends a GET request and reads the complete response.
     pub async fn get(&self, url: &str) -> Result<Answer, Error> {
         let req = Request::builder().method(Method::GET).uri(url);
         let req = req.body(Full::default()).context(UrlSnafu { url })?;
         self.whole(url, req).await
     }
 
-    /// Sends a request and reads its answer whole.
+    /// Sends a request and reads the complete response.
     pub async fn whole(&self, url: &str, req: Request<Full<Bytes>>) -> Result<Answer, Error> {
         let response = self.send(url, req).await?;
         let (parts, body) = response.into_parts();
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Sends a request; the body of the answer comes as a stream.
+    /// Sends a request; the response body is a stream.
     pub async fn send(
         &self,
         url: &str,
--- a/crates/anvil_standins/src/engine.rs
+++ b/crates/anvil_standins/src/engine.rs
@@ -1,23 +1,23 @@
-//! A model engine that answers as OpenAI's chat completions do.
+//! A model engine with the interface of OpenAI's chat completions.
 //!
 //! It batches continuously, caches prompt prefixes in limited memory, honours priorities,
 //! resumes and cancels streams, publishes cache events late and with gaps, reports its load
-//! with a lag and takes orders with a fencing number. Every engine gives the same answer to the
-//! same messages, see [`expected_answer`].
+//! with a lag and executes orders that carry a fencing number. Every engine gives the same
+//! answer to the same messages, see [`expected_answer`].
 //!
-//! | request | answer |
+//! | request | response |
 //! |---|---|
 //! | `POST /v1/chat/completions` | OpenAI's shape, and the fields `priority`, `run_id`, `continue_from` |
-//! | `GET /v1/streams/{run_id}?from=BYTE` | the rest of a run's stream |
+//! | `GET /v1/streams/{run_id}?from=BYTE` | a run's stream from that byte on |
 //! | `DELETE /v1/streams/{run_id}` | cancels it |
 //! | `GET /load` | `{"running","queued","slots","tokens_per_second","models"}` |
 //! | `GET /events?from=SEQ` | cache events |
-//! | `GET`, `POST /kv/{prefix}` | KV cache out and in |
-//! | `POST /orders` | `{"term","index","order"}`: 200, 409 when stale, 503 while weights wait |
-//! | `GET /runs` | `{"runs":{run_id: times},"tokens":made}` |
+//! | `GET`, `POST /kv/{prefix}` | export and import of a block's KV cache |
+//! | `POST /orders` | `{"term","index","order"}`: 200, 409 for a stale number, 503 while the weight store refuses |
+//! | `GET /runs` | `{"runs":{run_id: starts},"tokens":generated}` |
 //!
-//! `max_tokens` bounds the whole answer, and `usage` counts the whole answer, also where a run
-//! continues one that began elsewhere.
+//! `max_tokens` limits the complete answer and `usage` counts the complete answer, also when a
+//! run continues an answer that was begun elsewhere.
 
 mod answer;
 mod batch;
@@ -36,7 +36,7 @@
 use anvil_world::prelude::*;
 use viz::Router;
 
-pub use answer::{Answer, LENGTH_HINT, Message, expected_answer, prompt_tokens};
+pub use answer::{AnswerTokens, LENGTH_HINT, Message, expected_answer, prompt_tokens};
 pub use cache::{BlockHash, CacheEvent, EventKind, blocks};
 pub use run::Usage;
 pub use state::LoadReport;
@@ -46,32 +46,33 @@
 use state::Engine;
 pub(crate) use state::lock;
 
-/// What an engine is like.
+/// Configuration of an engine.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen on; port 0 takes a free port.
     pub listen: SocketAddr,
-    /// Models it holds at start.
+    /// Models that are loaded at the start.
     pub models: BTreeSet<ModelId>,
-    /// Runs in the batch side by side.
+    /// Maximum number of concurrent runs in the batch.
     pub slots: u32,
-    /// Time for each prompt token that is not cached.
+    /// Prefill time for each prompt token that is not cached.
     pub prefill: Duration,
-    /// Time for each token of an answer when the run is alone.
+    /// Time for each output token when the batch has a single run.
     pub token_time: Duration,
-    /// What every further run in the batch adds to the time of a token.
+    /// Time that each further run in the batch adds to an output token.
     pub token_time_per_run: Duration,
-    /// Blocks of 64 bytes that the prefix cache holds.
+    /// Capacity of the prefix cache, in blocks of 64 bytes.
     pub cache_blocks: usize,
-    /// How old the load report may be.
+    /// Maximum age of the load report.
     pub load_lag: Duration,
-    /// How late cache events come.
+    /// Delay before a cache event is published.
     pub events_lag: Duration,
-    /// Every so many-th cache event is lost; 0 means none.
+    /// Interval of lost cache events: events whose number is a multiple of it are lost; 0 loses
+    /// none.
     pub events_gap: u64,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with a stale fencing number are refused.
     pub checks_fencing: bool,
-    /// Where weights come from; none means that loading takes no time.
+    /// Address of the weight store; without one, loading a model takes no time.
     pub weights: Option<SocketAddr>,
 }
 
@@ -95,19 +96,19 @@
 }
 
 impl Config {
-    /// Holding these models at start.
+    /// Replaces the models that are loaded at the start.
     pub fn with_models<'a>(mut self, models: impl IntoIterator<Item = &'a str>) -> Self {
         self.models = models.into_iter().map(Into::into).collect();
         self
     }
 
-    /// With so many slots.
+    /// Replaces the number of slots.
     pub fn with_slots(mut self, slots: u32) -> Self {
         self.slots = slots;
         self
     }
 
-    /// With no time spent on anything.
+    /// Sets the times for prefill and tokens to zero.
     pub fn without_delays(mut self) -> Self {
         self.prefill = Duration::ZERO;
         self.token_time = Duration::ZERO;
@@ -116,7 +117,7 @@
     }
 }
 
-/// A running engine. Dropping it is like killing its process.
+/// A running engine. Dropping it has the effect of killing its process.
 #[derive(Debug)]
 pub struct Handle {
     server: Server,
@@ -135,65 +136,65 @@
 }
 
 impl Handle {
-    /// Where it listens.
+    /// The address it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// How often each run id was started.
+    /// How often a run was started for each run id.
     pub fn runs(&self) -> BTreeMap<String, u64> {
-        self.engine.runs_started()
+        self.engine.start_counts()
     }
 
-    /// Runs started, named or not.
+    /// Number of runs started, with or without a run id.
     pub fn started(&self) -> u64 {
         self.engine.started.load(Ordering::Relaxed)
     }
 
-    /// Tokens made in all.
+    /// Total number of output tokens generated.
     pub fn tokens(&self) -> u64 {
         self.engine.tokens.load(Ordering::Relaxed)
     }
 
-    /// Models it holds now.
+    /// Models that are loaded now.
     pub fn models(&self) -> BTreeSet<ModelId> {
         self.engine.models()
     }
 
-    /// Orders carried out, with their numbers.
+    /// Fencing numbers of the orders executed, in order of execution.
     pub fn orders(&self) -> Vec<(Term, LogIndex)> {
         self.engine.orders()
     }
 
-    /// Makes it so many times slower than it was set up; 1 is its own pace.
+    /// Multiplies all times by this factor; 1 is the configured speed.
     pub fn set_slowdown(&self, factor: u32) {
         self.engine.slowdown.store(factor, Ordering::Relaxed);
     }
 
-    /// Whether it answers every chat with an error at once.
+    /// Sets whether it responds to every chat with an error at once.
     pub fn set_failing(&self, failing: bool) {
         self.engine.failing.store(failing, Ordering::Relaxed);
     }
 
-    /// After how many tokens the next runs break off; 0 means never.
-    pub fn set_dying_after(&self, tokens: u64) {
-        self.engine.dying_after.store(tokens, Ordering::Relaxed);
+    /// Sets the number of tokens after which new runs crash; 0 means never.
+    pub fn set_crash_after(&self, tokens: u64) {
+        self.engine.crash_after.store(tokens, Ordering::Relaxed);
     }
 
-    /// Whether it refuses orders with an old fencing number.
+    /// Sets whether it refuses orders with a stale fencing number.
     pub fn set_checks_fencing(&self, checks: bool) {
         self.engine.checks_fencing.store(checks, Ordering::Relaxed);
     }
 
-    /// Stops as hard as a kill, and waits until the address is free.
+    /// Stops abruptly, like a killed process, and waits until the address is free.
     pub async fn stop(self) {
-        self.engine.kill();
+        self.engine.crash_all();
         self.server.stop().await;
     }
 }
 
 impl Drop for Engine {
     fn drop(&mut self) {
-        self.kill();
+        self.crash_all();
     }
 }
--- a/crates/anvil_standins/src/engine/answer.rs
+++ b/crates/anvil_standins/src/engine/answer.rs
@@ -1,19 +1,19 @@
-//! Answers: a fixed function of the model and the messages.
+//! The answer to a chat: a fixed function of the model and the messages.
 
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::Value;
 use xxhash_rust::xxh3::{Xxh3, xxh3_64_with_seed};
 
-/// A message that contains this and a number is answered in so many tokens.
+/// When the last message contains this and a number, the answer has that many tokens.
 pub const LENGTH_HINT: &str = "tokens=";
 
-/// Fewest tokens of an answer whose length was not asked for.
-const SHORTEST: u64 = 8;
-/// How many lengths there are above the shortest.
-const LENGTHS: u64 = 56;
+/// Minimum tokens of an answer without a length hint.
+const MIN_LENGTH: u64 = 8;
+/// Number of different lengths of answers without a hint.
+const LENGTH_COUNT: u64 = 56;
 
-/// What answers are made of; one word and a space are one token. Some letters take two bytes,
-/// so that byte offsets and letter counts differ.
+/// Words of the answers; a word and a space are one token. Some letters take two bytes, so that
+/// byte offsets and character counts differ.
 const WORDS: [&str; 16] = [
     "card", "bond", "swatch", "grade", "ledger", "piață", "ceas", "arc", "roată", "tichet",
     "stock", "order", "café", "paper", "member", "bench",
@@ -24,7 +24,7 @@
 pub struct Message {
     /// `system`, `user` or `assistant`.
     pub role: String,
-    /// The text; parts of a list are joined.
+    /// The text; the parts of a multi-part content are joined.
     #[serde(default, deserialize_with = "text")]
     pub content: String,
 }
@@ -47,15 +47,17 @@
     })
 }
 
-/// Tokens of a text: bytes by 4, rounded up; so never more than its bytes.
+/// Prompt tokens of the messages: total bytes divided by 4, rounded up.
 pub fn prompt_tokens(messages: &[Message]) -> u64 {
     let bytes: usize = messages.iter().map(|m| m.content.len()).sum();
     (bytes as u64).div_ceil(4)
 }
 
-/// The whole answer of every engine to these messages, cut at `max` tokens.
+/// The complete answer of any engine to these messages, truncated at `max` tokens.
 pub fn expected_answer(model: &str, messages: &[Message], max: u64) -> String {
-    Answer::new(model, messages, max).map(Token::text).collect()
+    AnswerTokens::new(model, messages, max)
+        .map(Token::text)
+        .collect()
 }
 
 /// One token of an answer.
@@ -65,23 +67,23 @@
 }
 
 impl Token {
-    /// The word and its space.
+    /// The word and a space.
     pub fn text(self) -> String {
         format!("{} ", self.word)
     }
 }
 
-/// The tokens of an answer, one after the other.
+/// Iterator over the tokens of an answer.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct AnswerTokens {
     seed: u64,
-    made: u64,
+    produced: u64,
     length: u64,
-    natural: u64,
+    untruncated_length: u64,
 }
 
-impl Answer {
-    /// The answer to these messages, cut at `max` tokens.
+impl AnswerTokens {
+    /// The answer to these messages, truncated at `max` tokens.
     pub fn new(model: &str, messages: &[Message], max: u64) -> Self {
         let mut hasher = Xxh3::new();
         hasher.update(model.as_bytes());
@@ -92,62 +94,64 @@
             hasher.update(message.content.as_bytes());
         }
         let seed = hasher.digest();
-        let natural = hinted(messages).unwrap_or(SHORTEST + seed % LENGTHS);
+        let untruncated_length =
+            hinted_length(messages).unwrap_or(MIN_LENGTH + seed % LENGTH_COUNT);
         Self {
             seed,
-            made: 0,
-            length: natural.min(max),
-            natural,
+            produced: 0,
+            length: untruncated_length.min(max),
+            untruncated_length,
         }
     }
 
-    /// Why it ends: `stop`, or `length` where it was cut.
-    pub fn finish(&self) -> &'static str {
-        if self.length < self.natural {
+    /// The finish reason: `stop`, or `length` when it is truncated.
+    pub fn finish_reason(&self) -> &'static str {
+        if self.length < self.untruncated_length {
             "length"
         } else {
             "stop"
         }
     }
 
-    /// Tokens given so far.
-    pub fn made(&self) -> u64 {
-        self.made
+    /// Number of tokens generated or skipped so far.
+    pub fn produced(&self) -> u64 {
+        self.produced
     }
 
-    /// Skips the tokens of a text that was delivered before. Gives back how many bytes of the
-    /// next token were delivered too, or `None` when the text is no beginning of this answer.
+    /// Skips the tokens of a text that was delivered before. Returns the number of delivered
+    /// bytes of the next token, when it was delivered in part, or `None` when the text is not a prefix of
+    /// this answer.
     pub fn skip_delivered(&mut self, delivered: &str) -> Option<usize> {
         let mut rest = delivered;
         while !rest.is_empty() {
-            let before = self.clone();
+            let previous = self.clone();
             let token = self.next()?.text();
             if let Some(after) = rest.strip_prefix(token.as_str()) {
                 rest = after;
                 continue;
             }
-            *self = before;
+            *self = previous;
             return token.starts_with(rest).then_some(rest.len());
         }
         Some(0)
     }
 }
 
-impl Iterator for Answer {
+impl Iterator for AnswerTokens {
     type Item = Token;
 
     fn next(&mut self) -> Option<Token> {
-        if self.made >= self.length {
+        if self.produced >= self.length {
             return None;
         }
-        let hash = xxh3_64_with_seed(&self.made.to_le_bytes(), self.seed);
-        self.made += 1;
-        let at = usize::try_from(hash % WORDS.len() as u64).unwrap_or_default();
-        Some(Token { word: WORDS[at] })
+        let hash = xxh3_64_with_seed(&self.produced.to_le_bytes(), self.seed);
+        self.produced += 1;
+        let index = usize::try_from(hash % WORDS.len() as u64).unwrap_or_default();
+        Some(Token { word: WORDS[index] })
     }
 }
 
-fn hinted(messages: &[Message]) -> Option<u64> {
+fn hinted_length(messages: &[Message]) -> Option<u64> {
     let text = &messages.last()?.content;
     let (_, after) = text.split_once(LENGTH_HINT)?;
     let digits = after.split(|c: char| !c.is_ascii_digit()).next()?;
--- a/crates/anvil_standins/src/engine/batch.rs
+++ b/crates/anvil_standins/src/engine/batch.rs
@@ -1,11 +1,12 @@
-//! Slots of the batch: the waiting run of the lowest priority number comes next.
+//! The slots of the batch. A free slot goes to the waiting run with the lowest priority number,
+//! and among equals to the one that arrived first.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
 
 use tokio::sync::oneshot;
 
-/// Lower is sooner.
+/// Priority of a run; lower numbers run first.
 pub type Priority = i64;
 
 /// A batch with a fixed number of slots.
@@ -23,7 +24,7 @@
 }
 
 impl Batch {
-    /// A batch of so many slots.
+    /// An empty batch with this number of slots.
     pub fn new(slots: u32) -> Self {
         Self {
             slots,
@@ -31,24 +32,24 @@
         }
     }
 
-    /// Runs in the batch.
+    /// Number of runs in the batch.
     pub fn running(&self) -> u32 {
         self.state().running
     }
 
-    /// Runs that wait for a slot.
+    /// Number of runs that wait for a slot.
     pub fn queued(&self) -> u32 {
         u32::try_from(self.state().waiting.len()).unwrap_or(u32::MAX)
     }
 
-    /// How many slots there are.
+    /// Number of slots.
     pub fn slots(&self) -> u32 {
         self.slots
     }
 
     /// Waits for a slot.
-    pub async fn enter(self: &Arc<Self>, priority: Priority) -> Slot {
-        let turn = {
+    pub async fn acquire_slot(self: &Arc<Self>, priority: Priority) -> Slot {
+        let entry = {
             let mut state = self.state();
             if state.running < self.slots {
                 state.running += 1;
@@ -58,23 +59,23 @@
                 state.arrivals += 1;
                 let arrival = state.arrivals;
                 state.waiting.insert((priority, arrival), tx);
-                Some(Turn {
+                Some(QueueEntry {
                     rx,
                     batch: self.clone(),
                     key: (priority, arrival),
                 })
             }
         };
-        if let Some(mut turn) = turn {
-            // The sender is only dropped after it has sent.
-            let _ = (&mut turn.rx).await;
+        if let Some(mut entry) = entry {
+            // The sender is dropped only after it has sent.
+            let _ = (&mut entry.rx).await;
         }
         Slot {
             batch: self.clone(),
         }
     }
 
-    fn leave(&self) {
+    fn release_slot(&self) {
         let mut state = self.state();
         while let Some((_, tx)) = state.waiting.pop_first() {
             if tx.send(()).is_ok() {
@@ -89,20 +90,20 @@
     }
 }
 
-/// A place in the queue; dropping it gives the place up.
-struct Turn {
+/// An entry in the queue; dropping it removes the entry.
+struct QueueEntry {
     rx: oneshot::Receiver<()>,
     batch: Arc<Batch>,
     key: (Priority, u64),
 }
 
-impl Drop for Turn {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
         self.batch.state().waiting.remove(&self.key);
     }
 }
 
-/// A slot in the batch; dropping it lets the next run in.
+/// A slot in the batch; dropping it passes the slot to the next waiting run.
 #[derive(Debug)]
 pub struct Slot {
     batch: Arc<Batch>,
@@ -110,6 +111,6 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        self.batch.leave();
+        self.batch.release_slot();
     }
 }
--- a/crates/anvil_standins/src/engine/chat.rs
+++ b/crates/anvil_standins/src/engine/chat.rs
@@ -1,4 +1,4 @@
-//! Chat completions and their streams over HTTP.
+//! HTTP endpoints for chat completions and their streams.
 
 use std::future::ready;
 use std::io;
@@ -13,12 +13,12 @@
 use viz::{Request, RequestExt, Response, ResponseExt, Router};
 
 use super::answer::Message;
-use super::run::{Piece, Run, RunState};
-use super::state::{Ask, Engine};
+use super::run::{OutputChunk, Run, RunState};
+use super::state::{ChatRequest, Engine};
 use crate::reply;
 
-/// Output limit of a request that names none, in tokens.
-const DEFAULT_MAX: u64 = 1_024;
+/// Output limit of a request without one.
+const DEFAULT_MAX_TOKENS: u64 = 1_024;
 
 #[derive(Debug, Deserialize)]
 struct ChatBody {
@@ -68,7 +68,7 @@
     let body: ChatBody = match serde_json::from_slice(&body) {
         Ok(body) => body,
         Err(e) => {
-            return Ok(refusal(
+            return Ok(error_response(
                 StatusCode::BAD_REQUEST,
                 "invalid_json",
                 &e.to_string(),
@@ -77,44 +77,48 @@
     };
     if engine.failing.load(Ordering::Relaxed) {
         let status = StatusCode::INTERNAL_SERVER_ERROR;
-        return Ok(refusal(status, "engine_failing", "this engine fails"));
+        return Ok(error_response(
+            status,
+            "engine_failing",
+            "this engine fails",
+        ));
     }
     if !engine.models().contains(body.model.as_str()) {
         let status = StatusCode::NOT_FOUND;
-        return Ok(refusal(status, "model_not_found", &body.model));
+        return Ok(error_response(status, "model_not_found", &body.model));
     }
-    let named = body.run_id.is_some();
+    let has_run_id = body.run_id.is_some();
     let from = body.continue_from.len();
-    let usage = body.stream_options.is_some_and(|o| o.include_usage);
-    let ask = Ask {
+    let include_usage = body.stream_options.is_some_and(|o| o.include_usage);
+    let request = ChatRequest {
         model: body.model,
         messages: body.messages,
         max: body
             .max_completion_tokens
             .or(body.max_tokens)
-            .unwrap_or(DEFAULT_MAX),
+            .unwrap_or(DEFAULT_MAX_TOKENS),
         priority: body.priority,
         run_id: body.run_id,
         continue_from: body.continue_from,
     };
-    let Some(run) = engine.run(ask) else {
+    let Some(run) = engine.run(request) else {
         let status = StatusCode::BAD_REQUEST;
         let message = "continue_from is no beginning of the answer";
-        return Ok(refusal(status, "bad_continuation", message));
+        return Ok(error_response(status, "bad_continuation", message));
     };
-    let owner = (!named).then(|| Owner(run.clone()));
-    let reader = Reader::new(run, from, usage, owner);
+    let cancel_on_drop = (!has_run_id).then(|| CancelOnDrop(run.clone()));
+    let reader = Reader::new(run, from, include_usage, cancel_on_drop);
     if body.stream {
         return Ok(reader.into_events());
     }
-    Ok(reader.into_whole().await)
+    Ok(reader.into_complete().await)
 }
 
 fn resume(engine: &Engine, req: &Request) -> viz::Result<Response> {
     let id: String = req.param("run_id")?;
     let from = req.query::<ResumeQuery>().unwrap_or_default().from;
     let Some(run) = engine.find(&id) else {
-        return Ok(refusal(StatusCode::NOT_FOUND, "run_not_found", &id));
+        return Ok(error_response(StatusCode::NOT_FOUND, "run_not_found", &id));
     };
     Ok(Reader::new(run, from, true, None).into_events())
 }
@@ -122,46 +126,51 @@
 fn cancel(engine: &Engine, req: &Request) -> viz::Result<Response> {
     let id: String = req.param("run_id")?;
     let Some(run) = engine.find(&id) else {
-        return Ok(refusal(StatusCode::NOT_FOUND, "run_not_found", &id));
+        return Ok(error_response(StatusCode::NOT_FOUND, "run_not_found", &id));
     };
     run.end(RunState::Cancelled);
     Ok(reply::json(StatusCode::OK, &json!({"cancelled": id})))
 }
 
-fn refusal(status: StatusCode, code: &str, message: &str) -> Response {
+fn error_response(status: StatusCode, code: &str, message: &str) -> Response {
     let error = json!({"message": message, "type": "invalid_request_error", "code": code});
     reply::json(status, &json!({ "error": error }))
 }
 
-/// Ends an unnamed run with its reader, for nobody else can resume it.
-struct Owner(Arc<Run>);
+/// Cancels a run without a run id when its reader is dropped: no one else can resume it.
+struct CancelOnDrop(Arc<Run>);
 
-impl Drop for Owner {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
         self.0.end(RunState::Cancelled);
     }
 }
 
-/// Reads a run for one client.
+/// Reads the output of a run for one client.
 struct Reader {
     run: Arc<Run>,
-    at: usize,
-    usage: bool,
-    first: bool,
-    over: bool,
-    // Kept for its drop.
-    _owner: Option<Owner>,
+    position: usize,
+    include_usage: bool,
+    is_first: bool,
+    finished: bool,
+    // Held only for its `Drop`.
+    _cancel_on_drop: Option<CancelOnDrop>,
 }
 
 impl Reader {
-    fn new(run: Arc<Run>, at: usize, usage: bool, owner: Option<Owner>) -> Self {
+    fn new(
+        run: Arc<Run>,
+        position: usize,
+        include_usage: bool,
+        cancel_on_drop: Option<CancelOnDrop>,
+    ) -> Self {
         Self {
             run,
-            at,
-            usage,
-            first: true,
-            over: false,
-            _owner: owner,
+            position,
+            include_usage,
+            is_first: true,
+            finished: false,
+            _cancel_on_drop: cancel_on_drop,
         }
     }
 
@@ -171,47 +180,47 @@
             Some((event, reader))
         });
         let mut response = Response::stream(events);
-        let kind = http::HeaderValue::from_static("text/event-stream");
+        let content_type = http::HeaderValue::from_static("text/event-stream");
         response
             .headers_mut()
-            .insert(http::header::CONTENT_TYPE, kind);
+            .insert(http::header::CONTENT_TYPE, content_type);
         response
     }
 
     async fn next_event(&mut self) -> Option<Result<Bytes, io::Error>> {
-        if self.over {
+        if self.finished {
             return None;
         }
-        let piece = self.run.read(self.at).await;
-        self.at += piece.text.len();
-        let mut out = String::new();
-        if !piece.text.is_empty() {
-            let delta = if std::mem::take(&mut self.first) {
-                json!({"role": "assistant", "content": piece.text})
+        let output = self.run.read(self.position).await;
+        self.position += output.text.len();
+        let mut buf = String::new();
+        if !output.text.is_empty() {
+            let delta = if std::mem::take(&mut self.is_first) {
+                json!({"role": "assistant", "content": output.text})
             } else {
-                json!({"content": piece.text})
+                json!({"content": output.text})
             };
-            self.chunk(&mut out, &delta, None);
+            self.push_chunk(&mut buf, &delta, None);
         }
-        if let RunState::Ended(finish) = piece.state {
-            self.over = true;
-            self.chunk(&mut out, &json!({}), Some(finish));
-            if self.usage {
-                let chunk = self.envelope(&json!([]), &json!(piece.usage));
-                event(&mut out, &chunk);
+        if let RunState::Ended(finish) = output.state {
+            self.finished = true;
+            self.push_chunk(&mut buf, &json!({}), Some(finish));
+            if self.include_usage {
+                let chunk = self.envelope(&json!([]), &json!(output.usage));
+                push_event(&mut buf, &chunk);
             }
-            out.push_str("data: [DONE]\n\n");
-        } else if piece.state != RunState::Running {
-            self.over = true;
-            // The connection breaks, as when the process dies.
+            buf.push_str("data: [DONE]\n\n");
+        } else if output.state != RunState::Running {
+            self.finished = true;
+            // Breaks the connection, as a killed process would.
             return Some(Err(io::ErrorKind::ConnectionAborted.into()));
         }
-        Some(Ok(out.into()))
+        Some(Ok(buf.into()))
     }
 
-    fn chunk(&self, out: &mut String, delta: &Value, finish: Option<&str>) {
+    fn push_chunk(&self, buf: &mut String, delta: &Value, finish: Option<&str>) {
         let choices = json!([{"index": 0, "delta": delta, "finish_reason": finish}]);
-        event(out, &self.envelope(&choices, &Value::Null));
+        push_event(buf, &self.envelope(&choices, &Value::Null));
     }
 
     fn envelope(&self, choices: &Value, usage: &Value) -> Value {
@@ -225,44 +234,44 @@
         })
     }
 
-    async fn into_whole(mut self) -> Response {
+    async fn into_complete(mut self) -> Response {
         let mut text = String::new();
-        let last = loop {
-            let piece = self.run.read(self.at).await;
-            self.at += piece.text.len();
-            text.push_str(&piece.text);
-            if piece.state != RunState::Running {
-                break piece;
+        let final_output = loop {
+            let output = self.run.read(self.position).await;
+            self.position += output.text.len();
+            text.push_str(&output.text);
+            if output.state != RunState::Running {
+                break output;
             }
         };
-        let RunState::Ended(finish) = last.state else {
-            return broken();
+        let RunState::Ended(finish) = final_output.state else {
+            return aborted_response();
         };
         let message = json!({"role": "assistant", "content": text});
         let choices = json!([{"index": 0, "message": message, "finish_reason": finish}]);
-        reply::json(StatusCode::OK, &self.completion(&choices, &last))
+        reply::json(StatusCode::OK, &self.completion(&choices, &final_output))
     }
 
-    fn completion(&self, choices: &Value, last: &Piece) -> Value {
+    fn completion(&self, choices: &Value, final_output: &OutputChunk) -> Value {
         json!({
             "id": format!("chatcmpl-{}", self.run.id),
             "object": "chat.completion",
             "created": self.run.created,
             "model": self.run.model,
             "choices": choices,
-            "usage": last.usage,
+            "usage": final_output.usage,
         })
     }
 }
 
-fn event(out: &mut String, chunk: &Value) {
-    out.push_str("data: ");
-    out.push_str(&chunk.to_string());
-    out.push_str("\n\n");
+fn push_event(buf: &mut String, chunk: &Value) {
+    buf.push_str("data: ");
+    buf.push_str(&chunk.to_string());
+    buf.push_str("\n\n");
 }
 
-/// An answer whose connection breaks before its first byte of body.
-fn broken() -> Response {
-    let cut: Result<Bytes, io::Error> = Err(io::ErrorKind::ConnectionAborted.into());
-    Response::stream(futures::stream::iter([cut]))
+/// A response whose connection breaks before the first byte of its body.
+fn aborted_response() -> Response {
+    let aborted: Result<Bytes, io::Error> = Err(io::ErrorKind::ConnectionAborted.into());
+    Response::stream(futures::stream::iter([aborted]))
 }
--- a/crates/anvil_standins/src/engine/control.rs
+++ b/crates/anvil_standins/src/engine/control.rs
@@ -1,4 +1,4 @@
-//! Load, cache events, KV cache, orders and counts over HTTP.
+//! HTTP endpoints for load, cache events, KV cache, orders and run counts.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,7 +15,7 @@
 use crate::client::Client;
 use crate::reply;
 
-/// Bytes of KV cache that stand for one block.
+/// Placeholder for the KV cache of one block.
 static KV: [u8; 256] = [0; 256];
 
 #[derive(Debug, Deserialize)]
@@ -32,7 +32,7 @@
 }
 
 pub(super) fn routes(router: Router, engine: &Arc<Engine>) -> Router {
-    let with = |f: fn(&Engine, &Request) -> Response| {
+    let with_engine = |f: fn(&Engine, &Request) -> Response| {
         let engine = engine.clone();
         move |req: Request| {
             let response = f(&engine, &req);
@@ -41,11 +41,11 @@
     };
     let orders = engine.clone();
     router
-        .get("/load", with(load))
-        .get("/events", with(events))
-        .get("/runs", with(runs))
-        .get("/kv/:prefix", with(export))
-        .post("/kv/:prefix", with(import))
+        .get("/load", with_engine(load))
+        .get("/events", with_engine(events))
+        .get("/runs", with_engine(runs))
+        .get("/kv/:prefix", with_engine(export))
+        .post("/kv/:prefix", with_engine(import))
         .post("/orders", move |req| order(orders.clone(), req))
 }
 
@@ -62,7 +62,7 @@
 
 fn runs(engine: &Engine, _: &Request) -> Response {
     let tokens = engine.tokens.load(Ordering::Relaxed);
-    let body = json!({"runs": engine.runs_started(), "tokens": tokens});
+    let body = json!({"runs": engine.start_counts(), "tokens": tokens});
     reply::json(StatusCode::OK, &body)
 }
 
@@ -97,41 +97,41 @@
         }
     };
     let number = (body.term, body.index);
-    let checks = engine.checks_fencing.load(Ordering::Relaxed);
-    let newest = engine.placed().newest;
-    if checks && number < newest {
-        let stale = json!({"error": "stale", "term": newest.0, "index": newest.1});
+    let checks_fencing = engine.checks_fencing.load(Ordering::Relaxed);
+    let newest_number = engine.order_state().newest_number;
+    if checks_fencing && number < newest_number {
+        let stale = json!({"error": "stale", "term": newest_number.0, "index": newest_number.1});
         return Ok(reply::json(StatusCode::CONFLICT, &stale));
     }
     if let OrderKind::LoadModel(model) = &body.order
-        && !fetched(&engine, model).await
+        && !fetch_weights(&engine, model).await
     {
         let limited = json!({"error": "the weight store limits"});
         return Ok(reply::json(StatusCode::SERVICE_UNAVAILABLE, &limited));
     }
-    carry_out(&engine, number, body.order);
+    execute(&engine, number, body.order);
     Ok(reply::json(StatusCode::OK, &json!({"done": true})))
 }
 
-async fn fetched(engine: &Engine, model: &str) -> bool {
+async fn fetch_weights(engine: &Engine, model: &str) -> bool {
     let Some(weights) = engine.cfg.weights else {
         return true;
     };
     let url = format!("http://{weights}/weights/{model}");
-    let answer = Client::default().get(&url).await;
-    answer.is_ok_and(|answer| answer.status == StatusCode::OK)
+    let response = Client::default().get(&url).await;
+    response.is_ok_and(|response| response.status == StatusCode::OK)
 }
 
-fn carry_out(engine: &Engine, number: (Term, LogIndex), order: OrderKind) {
-    let mut placed = engine.placed();
-    placed.newest = placed.newest.max(number);
-    placed.done.push(number);
+fn execute(engine: &Engine, number: (Term, LogIndex), order: OrderKind) {
+    let mut order_state = engine.order_state();
+    order_state.newest_number = order_state.newest_number.max(number);
+    order_state.executed.push(number);
     match order {
         OrderKind::LoadModel(model) => {
-            placed.models.insert(model);
+            order_state.models.insert(model);
         }
         OrderKind::UnloadModel(model) => {
-            placed.models.remove(&model);
+            order_state.models.remove(&model);
         }
         OrderKind::LoadAdapter { .. } | OrderKind::SetVersion { .. } | OrderKind::SetRole(_) => {}
     }
--- a/crates/anvil_standins/src/engine/run.rs
+++ b/crates/anvil_standins/src/engine/run.rs
@@ -5,38 +5,38 @@
 use serde::Serialize;
 use tokio::sync::watch;
 
-/// How far a run has come.
+/// State of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunState {
-    /// Tokens are still to come.
+    /// More tokens will follow.
     Running,
-    /// It came to its end, for this reason: `stop` or `length`.
+    /// The answer is complete, with this finish reason: `stop` or `length`.
     Ended(&'static str),
-    /// It was cancelled.
+    /// The run was cancelled.
     Cancelled,
-    /// The engine died in mid-answer.
-    Died,
+    /// The engine crashed before the answer was complete.
+    Crashed,
 }
 
-/// Use as OpenAI's API reports it.
+/// Token usage in the form of OpenAI's API.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Usage {
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the whole answer, the part before a continuation included.
+    /// Tokens of the complete answer, including the part before a continuation.
     pub completion_tokens: u64,
-    /// Both.
+    /// Sum of both.
     pub total_tokens: u64,
 }
 
-/// A run in the engine.
+/// A run of the engine, with its output so far.
 #[derive(Debug)]
 pub struct Run {
-    /// Names it in chunks.
+    /// Id of the run in chunks and responses.
     pub id: String,
     /// The model.
     pub model: String,
-    /// When it came, in seconds since 1970.
+    /// Start time, in seconds since 1970.
     pub created: u64,
     output: Mutex<Output>,
     changed: watch::Sender<()>,
@@ -50,19 +50,19 @@
     usage: Usage,
 }
 
-/// What a reader gets.
+/// Part of a run's output, as a reader gets it.
 #[derive(Debug, Clone)]
-pub struct Piece {
-    /// New text.
+pub struct OutputChunk {
+    /// Text that the reader does not have yet.
     pub text: String,
-    /// How far the run has come.
+    /// State of the run.
     pub state: RunState,
-    /// Use so far.
+    /// Usage so far.
     pub usage: Usage,
 }
 
 impl Run {
-    /// A new run whose answer's first `base` bytes were delivered by another one.
+    /// A new run; the first `base` bytes of its answer were delivered by an earlier run.
     pub fn new(id: String, model: String, created: u64, base: usize, prompt: u64) -> Self {
         Self {
             id,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Adds text; `tokens` is the length of the whole answer so far.
+    /// Appends text; `tokens` is the length of the answer so far.
     pub fn push(&self, text: &str, tokens: u64) {
         let mut output = self.output();
         output.text.push_str(text);
@@ -92,7 +92,7 @@
         self.changed.send_replace(());
     }
 
-    /// Ends it, unless it has ended.
+    /// Sets the final state, unless the run has ended already.
     pub fn end(&self, state: RunState) {
         let mut output = self.output();
         if output.state == RunState::Running {
@@ -102,42 +102,42 @@
         self.changed.send_replace(());
     }
 
-    /// How far it has come.
+    /// The state of the run.
     pub fn state(&self) -> RunState {
         self.output().state
     }
 
-    /// Waits for text after byte `from` of the whole answer, or for the end.
-    pub async fn read(&self, from: usize) -> Piece {
+    /// Waits for text after byte `from` of the complete answer, or for the end of the run.
+    pub async fn read(&self, from: usize) -> OutputChunk {
         let mut changed = self.changed.subscribe();
         loop {
-            if let Some(piece) = self.piece(from) {
-                return piece;
+            if let Some(next_chunk) = self.next_chunk(from) {
+                return next_chunk;
             }
-            // The sender lives as long as the run.
+            // Can't fail: the sender exists as long as the run.
             let _ = changed.changed().await;
         }
     }
 
-    /// Waits until it was cancelled or died.
-    pub async fn stopped(&self) {
+    /// Waits until the run is no longer running.
+    pub async fn wait_until_ended(&self) {
         let mut changed = self.changed.subscribe();
         while self.state() == RunState::Running {
-            // The sender lives as long as the run.
+            // Can't fail: the sender exists as long as the run.
             let _ = changed.changed().await;
         }
     }
 
-    fn piece(&self, from: usize) -> Option<Piece> {
+    fn next_chunk(&self, from: usize) -> Option<OutputChunk> {
         let output = self.output();
         let at = from.saturating_sub(output.base).min(output.text.len());
-        // A reader who names the middle of a letter gets the letter whole.
+        // When the offset is inside a character, the reader gets the complete character.
         let at = (0..=at).rev().find(|at| output.text.is_char_boundary(*at));
         let text = &output.text[at.unwrap_or_default()..];
         if text.is_empty() && output.state == RunState::Running {
             return None;
         }
-        Some(Piece {
+        Some(OutputChunk {
             text: text.into(),
             state: output.state,
             usage: output.usage,
--- a/crates/anvil_standins/src/engine/state.rs
+++ b/crates/anvil_standins/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What an engine keeps, and how a run goes through it.
+//! The state of an engine and the execution of runs.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -10,34 +10,34 @@
 use tokio::time::{Instant as TokioInstant, sleep, sleep_until};
 
 use super::Config;
-use super::answer::{Answer, Message, prompt_tokens};
+use super::answer::{AnswerTokens, Message, prompt_tokens};
 use super::batch::{Batch, Priority};
 use super::cache::PrefixCache;
 use super::run::{Run, RunState};
 
-/// Ended runs that can still be resumed.
-const RUNS_KEPT: usize = 10_000;
-/// Run ids whose starts are counted.
-const COUNTS_KEPT: usize = 1_000_000;
+/// Maximum number of runs kept by id, so that their streams can be resumed.
+const MAX_RUNS: usize = 10_000;
+/// Maximum number of run ids whose starts are counted.
+const MAX_START_COUNTS: usize = 1_000_000;
 
-/// What `GET /load` answers.
+/// Response body of `GET /load`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct LoadReport {
-    /// Runs in the batch.
+    /// Number of runs in the batch.
     pub running: u32,
-    /// Runs that wait for a slot.
+    /// Number of runs that wait for a slot.
     pub queued: u32,
-    /// Runs that fit the batch.
+    /// Number of slots of the batch.
     pub slots: u32,
-    /// Tokens made in the last second.
+    /// Output tokens a second, over the time since the previous report.
     pub tokens_per_second: u64,
-    /// Models held.
+    /// Models that are loaded.
     pub models: BTreeSet<ModelId>,
 }
 
-/// What a chat asks for.
+/// A validated chat request.
 #[derive(Debug, Clone)]
-pub(super) struct Ask {
+pub(super) struct ChatRequest {
     pub model: String,
     pub messages: Vec<Message>,
     pub max: u64,
@@ -55,10 +55,10 @@
     pub tokens: AtomicU64,
     pub slowdown: AtomicU32,
     pub failing: AtomicBool,
-    pub dying_after: AtomicU64,
+    pub crash_after: AtomicU64,
     pub checks_fencing: AtomicBool,
     runs: Mutex<Runs>,
-    placed: Mutex<Placed>,
+    order_state: Mutex<OrderState>,
     report: Mutex<(Instant, u64, LoadReport)>,
 }
 
@@ -66,22 +66,22 @@
 struct Runs {
     by_id: BTreeMap<String, Arc<Run>>,
     order: VecDeque<String>,
-    counts: BTreeMap<String, u64>,
+    start_counts: BTreeMap<String, u64>,
 }
 
-/// What orders have led to.
+/// Result of the orders executed so far.
 #[derive(Debug, Default)]
-pub(super) struct Placed {
+pub(super) struct OrderState {
     pub models: BTreeSet<ModelId>,
-    pub newest: (Term, LogIndex),
-    pub done: Vec<(Term, LogIndex)>,
+    pub newest_number: (Term, LogIndex),
+    pub executed: Vec<(Term, LogIndex)>,
 }
 
 impl Engine {
     pub fn new(cfg: Config) -> Arc<Self> {
-        let placed = Placed {
+        let order_state = OrderState {
             models: cfg.models.clone(),
-            ..Placed::default()
+            ..OrderState::default()
         };
         let report = LoadReport {
             slots: cfg.slots,
@@ -95,63 +95,69 @@
             tokens: AtomicU64::new(0),
             slowdown: AtomicU32::new(1),
             failing: AtomicBool::new(false),
-            dying_after: AtomicU64::new(0),
+            crash_after: AtomicU64::new(0),
             checks_fencing: AtomicBool::new(cfg.checks_fencing),
             runs: Mutex::default(),
-            placed: Mutex::new(placed),
+            order_state: Mutex::new(order_state),
             report: Mutex::new((Instant::now(), 0, report)),
             cfg,
         })
     }
 
-    /// Starts a run, which goes on without its readers. `None` when `continue_from` is no
-    /// beginning of the answer.
-    pub fn run(self: &Arc<Self>, ask: Ask) -> Option<Arc<Run>> {
-        let mut answer = Answer::new(&ask.model, &ask.messages, ask.max);
-        let within = answer.skip_delivered(&ask.continue_from)?;
+    /// Starts a run, which continues without readers. `None` when `continue_from` is not a
+    /// prefix of the answer.
+    pub fn run(self: &Arc<Self>, request: ChatRequest) -> Option<Arc<Run>> {
+        let mut answer = AnswerTokens::new(&request.model, &request.messages, request.max);
+        let skip_bytes = answer.skip_delivered(&request.continue_from)?;
         let number = self.started.fetch_add(1, Ordering::Relaxed);
-        let id = ask.run_id.clone();
+        let id = request.run_id.clone();
         let run = Arc::new(Run::new(
             id.unwrap_or_else(|| number.to_string()),
-            ask.model.clone(),
+            request.model.clone(),
             seconds_since_1970(),
-            ask.continue_from.len(),
-            prompt_tokens(&ask.messages),
+            request.continue_from.len(),
+            prompt_tokens(&request.messages),
         ));
-        if let Some(id) = &ask.run_id {
-            self.keep(id, &run);
+        if let Some(id) = &request.run_id {
+            self.record_run(id, &run);
         }
-        let (engine, done) = (self.clone(), run.clone());
+        let (engine, run_handle) = (self.clone(), run.clone());
         tokio::spawn(async move {
             tokio::select! {
-                () = done.stopped() => {}
-                () = engine.work(&done, &ask, answer, within) => {}
+                () = run_handle.wait_until_ended() => {}
+                () = engine.execute(&run_handle, &request, answer, skip_bytes) => {}
             }
         });
         Some(run)
     }
 
-    async fn work(&self, run: &Run, ask: &Ask, mut answer: Answer, mut within: usize) {
-        let slot = self.batch.enter(ask.priority).await;
-        sleep(self.prefill(&ask.messages)).await;
-        let mut due = TokioInstant::now();
-        let dying_after = self.dying_after.load(Ordering::Relaxed);
+    async fn execute(
+        &self,
+        run: &Run,
+        request: &ChatRequest,
+        mut answer: AnswerTokens,
+        mut skip_bytes: usize,
+    ) {
+        let slot = self.batch.acquire_slot(request.priority).await;
+        sleep(self.prefill(&request.messages)).await;
+        let mut next_token_at = TokioInstant::now();
+        let crash_after = self.crash_after.load(Ordering::Relaxed);
         loop {
-            if dying_after > 0 && answer.made() >= dying_after {
-                run.end(RunState::Died);
+            if crash_after > 0 && answer.produced() >= crash_after {
+                run.end(RunState::Crashed);
                 break;
             }
-            due += self.token_time();
-            if due > TokioInstant::now() {
-                sleep_until(due).await;
+            next_token_at += self.token_time();
+            if next_token_at > TokioInstant::now() {
+                sleep_until(next_token_at).await;
             }
             let Some(token) = answer.next() else {
-                run.end(RunState::Ended(answer.finish()));
+                run.end(RunState::Ended(answer.finish_reason()));
                 break;
             };
             self.tokens.fetch_add(1, Ordering::Relaxed);
-            run.push(&token.text()[within..], answer.made());
-            within = 0;
+            run.push(&token.text()[skip_bytes..], answer.produced());
+            skip_bytes = 0;
         }
         drop(slot);
     }
@@ -165,22 +171,22 @@
     }
 
     fn token_time(&self) -> Duration {
-        let others = self.batch.running().saturating_sub(1);
-        let time = self.cfg.token_time + self.cfg.token_time_per_run * others;
+        let other_runs = self.batch.running().saturating_sub(1);
+        let time = self.cfg.token_time + self.cfg.token_time_per_run * other_runs;
         time * self.slowdown.load(Ordering::Relaxed)
     }
 
-    fn keep(&self, id: &str, run: &Arc<Run>) {
+    fn record_run(&self, id: &str, run: &Arc<Run>) {
         let mut runs = lock(&self.runs);
         runs.by_id.insert(id.into(), run.clone());
         runs.order.push_back(id.into());
-        if runs.order.len() > RUNS_KEPT
+        if runs.order.len() > MAX_RUNS
             && let Some(oldest) = runs.order.pop_front()
         {
             runs.by_id.remove(&oldest);
         }
-        if runs.counts.len() < COUNTS_KEPT || runs.counts.contains_key(id) {
-            *runs.counts.entry(id.into()).or_default() += 1;
+        if runs.start_counts.len() < MAX_START_COUNTS || runs.start_counts.contains_key(id) {
+            *runs.start_counts.entry(id.into()).or_default() += 1;
         }
     }
 
@@ -188,30 +194,30 @@
         lock(&self.runs).by_id.get(id).cloned()
     }
 
-    pub fn runs_started(&self) -> BTreeMap<String, u64> {
-        lock(&self.runs).counts.clone()
+    pub fn start_counts(&self) -> BTreeMap<String, u64> {
+        lock(&self.runs).start_counts.clone()
     }
 
     pub fn models(&self) -> BTreeSet<ModelId> {
-        self.placed().models.clone()
+        self.order_state().models.clone()
     }
 
     pub fn orders(&self) -> Vec<(Term, LogIndex)> {
-        self.placed().done.clone()
+        self.order_state().executed.clone()
     }
 
-    pub fn placed(&self) -> MutexGuard<'_, Placed> {
-        lock(&self.placed)
+    pub fn order_state(&self) -> MutexGuard<'_, OrderState> {
+        lock(&self.order_state)
     }
 
-    /// The load, up to `load_lag` old.
+    /// The load report, at most `load_lag` old.
     pub fn load(&self) -> LoadReport {
         let mut report = lock(&self.report);
         let age = report.0.elapsed();
         if age >= self.cfg.load_lag {
             let tokens = self.tokens.load(Ordering::Relaxed);
-            let made = u128::from(tokens - report.1) * 1_000;
-            let rate = made / age.as_millis().max(1);
+            let produced = u128::from(tokens - report.1) * 1_000;
+            let rate = produced / age.as_millis().max(1);
             let fresh = LoadReport {
                 running: self.batch.running(),
                 queued: self.batch.queued(),
@@ -224,10 +230,10 @@
         report.2.clone()
     }
 
-    /// Every run dies.
-    pub fn kill(&self) {
+    /// Crashes every run.
+    pub fn crash_all(&self) {
         for run in lock(&self.runs).by_id.values() {
-            run.end(RunState::Died);
+            run.end(RunState::Crashed);
         }
     }
 }
--- a/crates/anvil_standins/src/error.rs
+++ b/crates/anvil_standins/src/error.rs
@@ -1,86 +1,86 @@
-//! Failures of the stand-ins and the load tool.
+//! Errors of the stand-ins and the load tool.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use snafu::Snafu;
 
-/// What can go wrong.
+/// Any error of this crate.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
-    /// The address can't be listened on.
-    #[snafu(display("can't listen on {addr}: {source}"))]
+    /// Listening on the address failed.
+    #[snafu(display("listening on {addr} failed: {source}"))]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// A request got no answer.
-    #[snafu(display("no answer from {url}: {source}"))]
+    /// A request got no response.
+    #[snafu(display("request to {url} failed: {source}"))]
     Request {
-        /// Where it went.
+        /// The requested URL.
         url: String,
-        /// Why.
+        /// The cause.
         source: hyper_util::client::legacy::Error,
     },
-    /// An answer broke off.
-    #[snafu(display("the answer of {url} broke off: {source}"))]
+    /// A response ended early.
+    #[snafu(display("response of {url} ended early: {source}"))]
     Broken {
-        /// Where it came from.
+        /// The requested URL.
         url: String,
-        /// Why.
+        /// The cause.
         source: hyper::Error,
     },
-    /// Text that is no address or path of a request.
-    #[snafu(display("{url} is no URL that can be asked: {source}"))]
+    /// The text is not a valid request URL.
+    #[snafu(display("invalid request URL {url}: {source}"))]
     Url {
         /// The text.
         url: String,
-        /// Why.
+        /// The cause.
         source: http::Error,
     },
-    /// JSON of an unexpected form.
+    /// JSON of an unexpected shape.
     #[snafu(display("unexpected JSON: {source}"))]
     Json {
-        /// Where and why.
+        /// The position and the cause.
         source: serde_json::Error,
     },
-    /// A file can't be read or written.
+    /// Reading or writing a file failed.
     #[snafu(display("{}: {source}", path.display()))]
     File {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// A scenario that is not accepted.
+    /// A scenario file is invalid.
     #[snafu(display("{}: {source}", path.display()))]
     Scenario {
         /// The file.
         path: PathBuf,
-        /// Line and cause.
+        /// The line and the cause.
         source: anvil_world::SettingsError,
     },
-    /// A plot can't be drawn.
-    #[snafu(display("can't draw {}: {message}", path.display()))]
+    /// Drawing a plot failed.
+    #[snafu(display("drawing {} failed: {message}", path.display()))]
     Plot {
         /// The file.
         path: PathBuf,
-        /// What the drawing library said.
+        /// The drawing library's error.
         message: String,
     },
-    /// A process of the fleet does not serve in time.
-    #[snafu(display("{url} does not say that it is ready"))]
+    /// A router of the fleet is not ready in time.
+    #[snafu(display("router is not ready: {url} did not answer with success in time"))]
     NotReady {
-        /// What was asked.
+        /// The readiness URL.
         url: String,
     },
-    /// The operators' client did not get its work done in time.
-    #[snafu(display("the operators' client: {said}"))]
+    /// The operators' client did not succeed in time.
+    #[snafu(display("operators' client failed: {stderr}"))]
     Operator {
-        /// What it wrote last.
-        said: String,
+        /// Its last output on standard error.
+        stderr: String,
     },
 }
--- a/crates/anvil_standins/src/lib.rs
+++ b/crates/anvil_standins/src/lib.rs
@@ -1,8 +1,7 @@
-//! Stand-ins of the outside systems, and the load and experiment tool.
+//! Stand-ins for the outside systems, and the load and experiment tool.
 //!
-//! The stand-ins exist to be served, not to be admired: small, and no more faithful than the
-//! system needs. Each one has a `start(cfg)` that gives back a handle; dropping the handle is
-//! like killing the process.
+//! Each stand-in is small and only as faithful as the tests and the load tool need. Its
+//! `start(cfg)` returns a handle; dropping the handle has the effect of killing the process.
 //!
 //! ```
 //! # tokio::runtime::Runtime::new()?.block_on(async {
--- a/crates/anvil_standins/src/load/fleet/documents.rs
+++ b/crates/anvil_standins/src/load/fleet/documents.rs
@@ -78,7 +78,7 @@
             }
             if Instant::now() > end {
                 return Err(Error::Operator {
-                    said: String::from_utf8_lossy(&output.stderr).into_owned(),
+                    stderr: String::from_utf8_lossy(&output.stderr).into_owned(),
                 });
             }
             sleep(LOOK).await;
--- a/crates/anvil_standins/src/plain.rs
+++ b/crates/anvil_standins/src/plain.rs
@@ -1,8 +1,8 @@
 //! A plain service that counts how often each order ran.
 //!
-//! It takes any method and path. A request with an `order-id` header, or a JSON body with
-//! `order_id`, is counted under that id; the answer says how often it ran. `GET /runs` gives all
-//! counts.
+//! It accepts any method and path. A request with an `order-id` header, or a JSON body with
+//! `order_id`, is counted under that id; the response contains the count. `GET /runs` returns
+//! all counts.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -23,15 +23,15 @@
 use crate::reply;
 use crate::server::Server;
 
-/// Header that names an order.
+/// Header with the id of an order.
 pub const ORDER_ID: &str = "order-id";
 
-/// What a plain service is like.
+/// Configuration of a plain service.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen on; port 0 takes a free port.
     pub listen: SocketAddr,
-    /// How long a call takes.
+    /// Duration of a call.
     pub call_time: Duration,
 }
 
@@ -48,12 +48,12 @@
 struct Service {
     call_time: AtomicU64,
     failing: AtomicBool,
-    dying: AtomicBool,
+    breaks_responses: AtomicBool,
     calls: AtomicU64,
     orders: Mutex<BTreeMap<String, u64>>,
 }
 
-/// A running service. Dropping it is like killing its process.
+/// A running service. Dropping it has the effect of killing its process.
 #[derive(Debug)]
 pub struct Handle {
     server: Server,
@@ -65,19 +65,19 @@
     let service = Arc::new(Service::default());
     let call_time = u64::try_from(cfg.call_time.as_micros()).unwrap_or(u64::MAX);
     service.call_time.store(call_time, Ordering::Relaxed);
-    let (any, runs) = (service.clone(), service.clone());
+    let (call_service, runs_service) = (service.clone(), service.clone());
     let router = Router::new()
         .get("/runs", move |_: Request| {
-            let body = json!({"runs": *lock(&runs.orders)});
+            let body = json!({"runs": *lock(&runs_service.orders)});
             async move { viz::Result::Ok(reply::json(StatusCode::OK, &body)) }
         })
-        .any("/*", move |req| call(any.clone(), req));
+        .any("/*", move |req| call(call_service.clone(), req));
     let server = Server::start(cfg.listen, router).await?;
     Ok(Handle { server, service })
 }
 
 impl Handle {
-    /// Where it listens.
+    /// The address it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
@@ -87,28 +87,30 @@
         lock(&self.service.orders).clone()
     }
 
-    /// Calls in all.
+    /// Total number of calls.
     pub fn calls(&self) -> u64 {
         self.service.calls.load(Ordering::Relaxed)
     }
 
-    /// How long a call takes from now on.
-    pub fn set_call_time(&self, time: Duration) {
-        let time = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
-        self.service.call_time.store(time, Ordering::Relaxed);
+    /// Changes the duration of a call.
+    pub fn set_call_time(&self, call_time: Duration) {
+        let micros = u64::try_from(call_time.as_micros()).unwrap_or(u64::MAX);
+        self.service.call_time.store(micros, Ordering::Relaxed);
     }
 
-    /// Whether it answers 503 at once and runs nothing.
+    /// Sets whether it responds with 503 at once and runs nothing.
     pub fn set_failing(&self, failing: bool) {
         self.service.failing.store(failing, Ordering::Relaxed);
     }
 
-    /// Whether it runs a call and breaks the connection in mid-answer.
-    pub fn set_dying(&self, dying: bool) {
-        self.service.dying.store(dying, Ordering::Relaxed);
+    /// Sets whether it runs a call and breaks the connection in the middle of the response.
+    pub fn set_breaks_responses(&self, breaks_responses: bool) {
+        self.service
+            .breaks_responses
+            .store(breaks_responses, Ordering::Relaxed);
     }
 
-    /// Stops as hard as a kill, and waits until the address is free.
+    /// Stops abruptly, like a killed process, and waits until the address is free.
     pub async fn stop(self) {
         self.server.stop().await;
     }
@@ -124,20 +126,20 @@
     let path = req.uri().path().to_owned();
     let body = req.bytes().await?;
     let order = header.or_else(|| order_id(&body));
-    let time = service.call_time.load(Ordering::Relaxed);
-    let ran = service.count(order.as_deref());
-    sleep(Duration::from_micros(time)).await;
-    let answer = json!({
+    let micros = service.call_time.load(Ordering::Relaxed);
+    let run_count = service.count(order.as_deref());
+    sleep(Duration::from_micros(micros)).await;
+    let body_json = json!({
         "method": method,
         "path": path,
         "order_id": order,
-        "ran": ran,
+        "ran": run_count,
         "bytes": body.len(),
     });
-    if service.dying.load(Ordering::Relaxed) {
-        return Ok(torn(&answer));
+    if service.breaks_responses.load(Ordering::Relaxed) {
+        return Ok(truncated_response(&body_json));
     }
-    Ok(reply::json(StatusCode::OK, &answer))
+    Ok(reply::json(StatusCode::OK, &body_json))
 }
 
 impl Service {
@@ -147,9 +149,9 @@
             return 0;
         };
         let mut orders = lock(&self.orders);
-        let ran = orders.entry(order.into()).or_default();
-        *ran += 1;
-        *ran
+        let run_count = orders.entry(order.into()).or_default();
+        *run_count += 1;
+        *run_count
     }
 }
 
@@ -158,10 +160,10 @@
     Some(body["order_id"].as_str()?.into())
 }
 
-/// Half of an answer, then a broken connection.
-fn torn(answer: &Value) -> Response {
-    let text = answer.to_string();
-    let half = Bytes::from(text).slice(..answer.to_string().len() / 2);
-    let cut: Result<Bytes, io::Error> = Err(io::ErrorKind::ConnectionAborted.into());
-    Response::stream(futures::stream::iter([Ok(half), cut]))
+/// Half of the response body, then a broken connection.
+fn truncated_response(body_json: &Value) -> Response {
+    let text = body_json.to_string();
+    let half = Bytes::from(text).slice(..body_json.to_string().len() / 2);
+    let aborted: Result<Bytes, io::Error> = Err(io::ErrorKind::ConnectionAborted.into());
+    Response::stream(futures::stream::iter([Ok(half), aborted]))
 }
--- a/crates/anvil_standins/src/platform.rs
+++ b/crates/anvil_standins/src/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's list of live and leaving instances, lagging.
+//! The platform's list of live and leaving instances, with a lag.
 //!
-//! `GET /instances` answers `{"instances": [{"id", "zone", "addr", "presence"}]}` with what was
-//! true some time ago.
+//! `GET /instances` returns `{"instances": [{"id", "zone", "addr", "presence"}]}`: the list as
+//! it was the configured lag ago.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,25 +19,25 @@
 use crate::reply;
 use crate::server::Server;
 
-/// One line of the list.
+/// One instance in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
-    /// The instance.
+    /// The instance's id.
     pub id: InstanceId,
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: Zone,
-    /// Where it is reached.
+    /// Its address.
     pub addr: SocketAddr,
-    /// Live or leaving; one that is gone is not listed.
+    /// Live or leaving; an instance that is gone is not listed.
     pub presence: Presence,
 }
 
-/// What the platform is like.
+/// Configuration of the platform.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen on; port 0 takes a free port.
     pub listen: SocketAddr,
-    /// How late the list is.
+    /// Age of the list that readers get.
     pub lag: Duration,
 }
 
@@ -55,38 +55,39 @@
 #[derive(Debug, Default)]
 struct Platform {
     lag: Duration,
-    now: List,
-    /// Lists not seen yet, with the time of their change; the first is the one to be seen.
-    past: Vec<(Instant, List)>,
+    current: List,
+    /// The list that readers get, followed by newer ones that they don't get yet, each with the
+    /// time of its change.
+    history: Vec<(Instant, List)>,
 }
 
 impl Platform {
     fn change(&mut self, f: impl FnOnce(&mut List)) {
-        f(&mut self.now);
-        self.past.push((Instant::now(), self.now.clone()));
-        self.forget();
+        f(&mut self.current);
+        self.history.push((Instant::now(), self.current.clone()));
+        self.drop_outdated();
     }
 
-    /// Drops all lists older than the newest one that may be seen.
-    fn forget(&mut self) {
-        let seen = self
-            .past
+    /// Drops all lists older than the newest one that has reached the lag.
+    fn drop_outdated(&mut self) {
+        let visible = self
+            .history
             .iter()
             .rposition(|(at, _)| at.elapsed() >= self.lag);
-        if let Some(seen) = seen {
-            self.past.drain(..seen);
+        if let Some(visible) = visible {
+            self.history.drain(..visible);
         }
     }
 
-    fn seen(&mut self) -> List {
-        self.forget();
-        let oldest = self.past.first();
+    fn visible(&mut self) -> List {
+        self.drop_outdated();
+        let oldest = self.history.first();
         let old_enough = oldest.filter(|(at, _)| at.elapsed() >= self.lag);
         old_enough.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 }
 
-/// A running platform. Dropping it is like losing it.
+/// A running platform. Dropping it closes the listener and all connections.
 #[derive(Debug)]
 pub struct Handle {
     server: Server,
@@ -101,8 +102,8 @@
     }));
     let list = platform.clone();
     let router = Router::new().get("/instances", move |_: Request| {
-        let seen: Vec<_> = lock(&list).seen().into_values().collect();
-        let body = json!({ "instances": seen });
+        let visible: Vec<_> = lock(&list).visible().into_values().collect();
+        let body = json!({ "instances": visible });
         async move { viz::Result::Ok(reply::json(StatusCode::OK, &body)) }
     });
     let server = Server::start(cfg.listen, router).await?;
@@ -110,12 +111,12 @@
 }
 
 impl Handle {
-    /// Where it listens.
+    /// The address it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Lists an instance, or changes its line.
+    /// Adds an instance to the list, or replaces its entry.
     pub fn set(&self, listed: Listed) {
         let id = listed.id.clone();
         lock(&self.platform).change(|list| {
@@ -123,14 +124,14 @@
         });
     }
 
-    /// Takes an instance off the list.
+    /// Removes an instance from the list.
     pub fn remove(&self, id: &str) {
         lock(&self.platform).change(|list| {
             list.remove(id);
         });
     }
 
-    /// Stops, and waits until the address is free.
+    /// Stops and waits until the address is free.
     pub async fn stop(self) {
         self.server.stop().await;
     }
--- a/crates/anvil_standins/src/relay.rs
+++ b/crates/anvil_standins/src/relay.rs
@@ -1,7 +1,7 @@
-//! A TCP link that can be delayed, cut, held or silenced while it runs.
+//! A TCP relay that can delay, hold, discard or cut traffic while it runs.
 //!
-//! The small fake at the interface for tests of partitions: a process is given the relay's
-//! address in place of its peer's.
+//! Tests use it to simulate network partitions: a process is configured with the relay's address
+//! in place of its peer's.
 
 mod pump;
 
@@ -20,11 +20,11 @@
 
 /// One direction of the link, or both.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
-    /// From whoever connected.
-    Out,
-    /// To whoever connected.
-    Back,
+pub enum Direction {
+    /// From the connecting side to the target.
+    ToTarget,
+    /// From the target to the connecting side.
+    FromTarget,
     /// Both directions.
     Both,
 }
@@ -32,37 +32,37 @@
 /// What happens to bytes in one direction.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Flow {
-    /// They go on.
+    /// They are forwarded.
     #[default]
-    Pass,
-    /// They wait until the link heals, as in a short partition that TCP outlives.
+    Forward,
+    /// They are held until the link heals, as in a short partition that TCP survives.
     Hold,
-    /// They are swallowed without a reset, as in a long partition. A connection that lost bytes
-    /// is closed when the link heals, for its stream has a hole.
-    Swallow,
+    /// They are discarded without a reset, as in a long partition. A connection that may have
+    /// lost bytes is closed when the link heals, because its stream has a gap.
+    Discard,
 }
 
-/// How the link is now.
+/// Current state of the link.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Link {
-    pub out: Flow,
-    pub back: Flow,
-    pub out_delay: Duration,
-    pub back_delay: Duration,
+    pub to_target: Flow,
+    pub from_target: Flow,
+    pub to_target_delay: Duration,
+    pub from_target_delay: Duration,
     pub cut: bool,
 }
 
-/// Which ends a relay joins.
+/// Configuration of a relay.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen on; port 0 takes a free port.
     pub listen: SocketAddr,
-    /// Where connections go on to.
+    /// The target that connections are forwarded to.
     pub to: SocketAddr,
 }
 
 impl Config {
-    /// A relay on a free port of loopback.
+    /// A relay to this target, on a free port of loopback.
     pub fn to(addr: SocketAddr) -> Self {
         Self {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
@@ -83,7 +83,7 @@
     }
 }
 
-/// A running link. Dropping it closes everything.
+/// A running relay. Dropping it closes the listener and all connections.
 #[derive(Debug)]
 pub struct Handle {
     addr: SocketAddr,
@@ -92,7 +92,7 @@
     task: AbortHandle,
 }
 
-/// Starts a link.
+/// Starts a relay.
 pub async fn start(cfg: Config) -> Result<Handle, Error> {
     let addr = cfg.listen;
     let listener = TcpListener::bind(addr).await;
@@ -110,60 +110,60 @@
 }
 
 impl Handle {
-    /// Where it listens.
+    /// The address it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Bytes passed on, both directions together.
+    /// Bytes forwarded, in both directions.
     pub fn bytes(&self) -> u64 {
         self.counters.bytes.load(Ordering::Relaxed)
     }
 
-    /// Connections taken.
+    /// Connections accepted.
     pub fn connections(&self) -> u64 {
         self.counters.connections.load(Ordering::Relaxed)
     }
 
-    /// What happens to bytes in this direction from now on.
-    pub fn set_flow(&self, way: Way, flow: Flow) {
+    /// Sets what happens to bytes in this direction.
+    pub fn set_flow(&self, direction: Direction, flow: Flow) {
         self.link.send_modify(|link| {
-            if way != Way::Back {
-                link.out = flow;
+            if direction != Direction::FromTarget {
+                link.to_target = flow;
             }
-            if way != Way::Out {
-                link.back = flow;
+            if direction != Direction::ToTarget {
+                link.from_target = flow;
             }
         });
     }
 
-    /// How long bytes take in this direction from now on.
-    pub fn set_delay(&self, way: Way, delay: Duration) {
+    /// Sets the delay of bytes in this direction.
+    pub fn set_delay(&self, direction: Direction, delay: Duration) {
         self.link.send_modify(|link| {
-            if way != Way::Back {
-                link.out_delay = delay;
+            if direction != Direction::FromTarget {
+                link.to_target_delay = delay;
             }
-            if way != Way::Out {
-                link.back_delay = delay;
+            if direction != Direction::ToTarget {
+                link.from_target_delay = delay;
             }
         });
     }
 
-    /// Closes every connection and every new one at once, until the link heals.
+    /// Closes all connections, and new ones as soon as they are accepted, until the link heals.
     pub fn cut(&self) {
         self.link.send_modify(|link| link.cut = true);
     }
 
-    /// Bytes pass again; delays stay.
+    /// Forwards bytes again in both directions; delays stay.
     pub fn heal(&self) {
         self.link.send_modify(|link| {
-            link.out = Flow::Pass;
-            link.back = Flow::Pass;
+            link.to_target = Flow::Forward;
+            link.from_target = Flow::Forward;
             link.cut = false;
         });
     }
 
-    /// Closes everything.
+    /// Closes the listener and all connections, and waits until the address is free.
     pub async fn stop(self) {
         self.task.abort();
         while !self.task.is_finished() {
@@ -191,18 +191,19 @@
             accepted = listener.accept() => match accepted {
                 Ok((socket, _)) => {
                     counters.connections.fetch_add(1, Ordering::Relaxed);
-                    connections.spawn(join(socket, to, link.subscribe(), counters.clone()));
+                    connections.spawn(forward_connection(socket, to, link.subscribe(), counters.clone()));
                 }
-                // Out of file descriptors: let some connections end first.
+                // Out of file descriptors: wait for some connections to end.
                 Err(_) => tokio::task::yield_now().await,
             },
         }
     }
 }
 
-/// Joins one connection to the other end until either closes it or the link is cut.
-async fn join(
-    near: TcpStream,
+/// Forwards one connection in both directions, until either side closes it, the link is cut, or
+/// it heals after bytes may have been discarded.
+async fn forward_connection(
+    client: TcpStream,
     to: SocketAddr,
     link: watch::Receiver<Link>,
     counters: Arc<Counters>,
@@ -210,35 +211,48 @@
     if link.borrow().cut {
         return;
     }
-    let Ok(far) = TcpStream::connect(to).await else {
+    let Ok(target) = TcpStream::connect(to).await else {
         return;
     };
-    // Without it small pieces wait for an acknowledgement; with a failure they are only slower.
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
-    let (near_in, near_out) = near.into_split();
-    let (far_in, far_out) = far.into_split();
-    let out = |link: &Link| (link.out, link.out_delay);
-    let back = |link: &Link| (link.back, link.back_delay);
-    let both = async {
+    // Without TCP_NODELAY small chunks wait for an acknowledgement. An error only costs latency.
+    let _ = client.set_nodelay(true);
+    let _ = target.set_nodelay(true);
+    let (client_read, client_write) = client.into_split();
+    let (target_read, target_write) = target.into_split();
+    let to_target = |link: &Link| (link.to_target, link.to_target_delay);
+    let from_target = |link: &Link| (link.from_target, link.from_target_delay);
+    let pumps = async {
         tokio::join!(
-            pump(near_in, far_out, link.clone(), out, &counters),
-            pump(far_in, near_out, link.clone(), back, &counters),
+            pump(
+                client_read,
+                target_write,
+                link.clone(),
+                to_target,
+                &counters
+            ),
+            pump(
+                target_read,
+                client_write,
+                link.clone(),
+                from_target,
+                &counters
+            ),
         )
     };
     let (mut cut, mut healed) = (link.clone(), link.clone());
     tokio::select! {
-        _ = both => {}
+        _ = pumps => {}
         _ = cut.wait_for(|link| link.cut) => {}
-        () = holes(&mut healed) => {}
+        () = healed_after_loss(&mut healed) => {}
     }
 }
 
-/// Returns when the link heals after bytes may have been swallowed.
-async fn holes(link: &mut watch::Receiver<Link>) {
-    let swallows = |link: &Link| link.out == Flow::Swallow || link.back == Flow::Swallow;
-    if link.wait_for(swallows).await.is_ok() {
-        // Either it healed or the relay is gone.
-        let _ = link.wait_for(|link| !swallows(link)).await;
+/// Returns when the link heals after bytes may have been discarded.
+async fn healed_after_loss(link: &mut watch::Receiver<Link>) {
+    let discards =
+        |link: &Link| link.to_target == Flow::Discard || link.from_target == Flow::Discard;
+    if link.wait_for(discards).await.is_ok() {
+        // An error means that the relay is gone, which ends the connection too.
+        let _ = link.wait_for(|link| !discards(link)).await;
     }
 }
--- a/crates/anvil_standins/src/relay/pump.rs
+++ b/crates/anvil_standins/src/relay/pump.rs
@@ -1,4 +1,7 @@
-//! One direction of one connection.
+//! Forwards one direction of one connection.
+//!
+//! A reader applies the flow and stamps each chunk with its due time; a writer sends the chunks
+//! when they are due.
 
 use std::time::Duration;
 
@@ -10,46 +13,49 @@
 
 use super::{Counters, Flow, Link};
 
-/// Bytes read at a time.
-const PIECE: usize = 16 << 10;
-/// Pieces under way in one direction.
-const PIECES: usize = 1_024;
+/// Maximum bytes of one read.
+const CHUNK_BYTES: usize = 16 << 10;
+/// Maximum number of chunks in flight in one direction.
+const MAX_CHUNKS: usize = 1_024;
 
-type Timed = (Instant, Bytes);
+type DelayedChunk = (Instant, Bytes);
 
-/// Passes bytes on until one side closes.
+/// Forwards bytes until one side closes.
 pub(super) async fn pump(
     input: OwnedReadHalf,
-    out: OwnedWriteHalf,
+    output: OwnedWriteHalf,
     link: watch::Receiver<Link>,
-    way: impl Fn(&Link) -> (Flow, Duration),
+    flow_and_delay: impl Fn(&Link) -> (Flow, Duration),
     counters: &Counters,
 ) {
-    let (tx, rx) = mpsc::channel(PIECES);
-    tokio::join!(take(input, link, way, tx), give(out, rx, counters));
+    let (tx, rx) = mpsc::channel(MAX_CHUNKS);
+    tokio::join!(
+        read_chunks(input, link, flow_and_delay, tx),
+        write_chunks(output, rx, counters)
+    );
 }
 
-async fn take(
+async fn read_chunks(
     mut input: OwnedReadHalf,
     mut link: watch::Receiver<Link>,
-    way: impl Fn(&Link) -> (Flow, Duration),
-    tx: mpsc::Sender<Timed>,
+    flow_and_delay: impl Fn(&Link) -> (Flow, Duration),
+    tx: mpsc::Sender<DelayedChunk>,
 ) {
     loop {
-        let mut buf = BytesMut::with_capacity(PIECE);
+        let mut buf = BytesMut::with_capacity(CHUNK_BYTES);
         match input.read_buf(&mut buf).await {
             Ok(0) | Err(_) => return,
             Ok(_) => {}
         }
         if link
-            .wait_for(|link| way(link).0 != Flow::Hold)
+            .wait_for(|link| flow_and_delay(link).0 != Flow::Hold)
             .await
             .is_err()
         {
             return;
         }
-        let (flow, delay) = way(&link.borrow());
-        if flow == Flow::Swallow {
+        let (flow, delay) = flow_and_delay(&link.borrow());
+        if flow == Flow::Discard {
             continue;
         }
         let due = Instant::now() + delay;
@@ -59,16 +65,20 @@
     }
 }
 
-async fn give(mut out: OwnedWriteHalf, mut rx: mpsc::Receiver<Timed>, counters: &Counters) {
+async fn write_chunks(
+    mut output: OwnedWriteHalf,
+    mut rx: mpsc::Receiver<DelayedChunk>,
+    counters: &Counters,
+) {
     while let Some((due, bytes)) = rx.recv().await {
         if due > Instant::now() {
             sleep_until(due).await;
         }
-        if out.write_all(&bytes).await.is_err() {
+        if output.write_all(&bytes).await.is_err() {
             return;
         }
         counters.add(bytes.len());
     }
-    // The other side may have closed first.
-    let _ = out.shutdown().await;
+    // Fails only when the other side has closed first.
+    let _ = output.shutdown().await;
 }
--- a/crates/anvil_standins/src/server.rs
+++ b/crates/anvil_standins/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP server on loopback that can be stopped as hard as a killed process.
+//! An HTTP server on loopback that can be stopped abruptly, like a killed process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 }
 
 impl Server {
-    /// Listens and serves; port 0 takes a free one.
+    /// Listens and serves; port 0 takes a free port.
     pub async fn start(listen: SocketAddr, router: Router) -> Result<Self, Error> {
         let listener = TcpListener::bind(listen).await;
         let listener = listener.context(ListenSnafu { addr: listen })?;
@@ -33,12 +33,12 @@
         })
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Stops and waits until the address is free again.
+    /// Stops abruptly and waits until the address is free again.
     pub async fn stop(self) {
         self.task.abort();
         while !self.task.is_finished() {
@@ -62,7 +62,7 @@
                 Ok((socket, peer)) => {
                     connections.spawn(serve(socket, peer, tree.clone()));
                 }
-                // Out of file descriptors: let some connections end first.
+                // Out of file descriptors: wait for some connections to end.
                 Err(_) => tokio::task::yield_now().await,
             },
         }
@@ -70,11 +70,11 @@
 }
 
 async fn serve(socket: TcpStream, peer: SocketAddr, tree: Arc<Tree>) {
-    // Without it small pieces wait for an acknowledgement; with a failure they are only slower.
+    // Without TCP_NODELAY small chunks wait for an acknowledgement. An error only costs latency.
     let _ = socket.set_nodelay(true);
     let responder = Responder::new(tree, Some(Arc::new(peer)));
     let builder = Builder::new(TokioExecutor::new());
-    // A broken connection is the peer's affair.
+    // A broken connection needs no handling here: the peer sees it too.
     let _ = builder
         .serve_connection(TokioIo::new(socket), responder)
         .await;
--- a/crates/anvil_standins/src/weights.rs
+++ b/crates/anvil_standins/src/weights.rs
@@ -1,7 +1,7 @@
-//! A rate-limited weight store.
+//! A weight store with limited concurrency.
 //!
-//! `GET /weights/{model}` answers after the time that the weights take at the store's rate, or
-//! 503 with `Retry-After` while too many are being read.
+//! `GET /weights/{model}` responds after the configured read time, or with 503 and `Retry-After`
+//! while the maximum number of reads is in progress.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,14 +18,14 @@
 use crate::reply;
 use crate::server::Server;
 
-/// What a weight store is like.
+/// Configuration of a weight store.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Where it listens; port 0 takes a free one.
+    /// The address to listen on; port 0 takes a free port.
     pub listen: SocketAddr,
-    /// Reads side by side; one more is refused.
-    pub at_once: usize,
-    /// How long one read takes.
+    /// Maximum number of concurrent reads; further reads are refused.
+    pub max_concurrent: usize,
+    /// Duration of one read.
     pub read_time: Duration,
 }
 
@@ -33,7 +33,7 @@
     fn default() -> Self {
         Self {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-            at_once: 2,
+            max_concurrent: 2,
             read_time: Duration::from_millis(500),
         }
     }
@@ -42,12 +42,12 @@
 #[derive(Debug)]
 struct Store {
     cfg: Config,
-    room: Semaphore,
+    permits: Semaphore,
     served: AtomicU64,
     limited: AtomicU64,
 }
 
-/// A running store. Dropping it is like losing it.
+/// A running weight store. Dropping it closes the listener and all connections.
 #[derive(Debug)]
 pub struct Handle {
     server: Server,
@@ -58,34 +58,34 @@
 pub async fn start(cfg: Config) -> Result<Handle, Error> {
     let listen = cfg.listen;
     let store = Arc::new(Store {
-        room: Semaphore::new(cfg.at_once),
+        permits: Semaphore::new(cfg.max_concurrent),
         cfg,
         served: AtomicU64::new(0),
         limited: AtomicU64::new(0),
     });
-    let reads = store.clone();
-    let router = Router::new().get("/weights/:model", move |req| read(reads.clone(), req));
+    let read_store = store.clone();
+    let router = Router::new().get("/weights/:model", move |req| read(read_store.clone(), req));
     let server = Server::start(listen, router).await?;
     Ok(Handle { server, store })
 }
 
 impl Handle {
-    /// Where it listens.
+    /// The address it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Reads answered.
+    /// Number of completed reads.
     pub fn served(&self) -> u64 {
         self.store.served.load(Ordering::Relaxed)
     }
 
-    /// Reads refused.
+    /// Number of refused reads.
     pub fn limited(&self) -> u64 {
         self.store.limited.load(Ordering::Relaxed)
     }
 
-    /// Stops, and waits until the address is free.
+    /// Stops and waits until the address is free.
     pub async fn stop(self) {
         self.server.stop().await;
     }
@@ -93,7 +93,7 @@
 
 async fn read(store: Arc<Store>, req: Request) -> viz::Result<Response> {
     let model: String = req.param("model")?;
-    let Ok(_room) = store.room.try_acquire() else {
+    let Ok(_permit) = store.permits.try_acquire() else {
         store.limited.fetch_add(1, Ordering::Relaxed);
         return Ok(limited(store.cfg.read_time));
     };
--- a/crates/anvil_standins/tests/engine.rs
+++ b/crates/anvil_standins/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine, over HTTP.
+//! Tests of the engine's chat and order endpoints over HTTP.
 
 use anvil_standins::client::{Answer, Client};
 use anvil_standins::engine::{self, Message, expected_answer};
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use serde_json::{Value, json};
 
-async fn ask(method: Method, url: String, body: Value) -> Answer {
+async fn send(method: Method, url: String, body: Value) -> Answer {
     let req = Request::builder().method(method).uri(&url);
     let req = req.body(Full::new(Bytes::from(body.to_string())));
     Client::default().whole(&url, req.unwrap()).await.unwrap()
@@ -15,11 +15,11 @@
 
 async fn chat(engine: &engine::Handle, body: Value) -> Answer {
     let url = format!("http://{}/v1/chat/completions", engine.addr());
-    ask(Method::POST, url, body).await
+    send(Method::POST, url, body).await
 }
 
-fn events(answer: &Answer) -> Vec<Value> {
-    let text = std::str::from_utf8(&answer.body).unwrap();
+fn events(response: &Answer) -> Vec<Value> {
+    let text = std::str::from_utf8(&response.body).unwrap();
     let data = text.split("\n\n").filter_map(|e| e.strip_prefix("data: "));
     let (mut chunks, mut done) = (Vec::new(), 0);
     for data in data {
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test]
-async fn streamed_and_whole_answers_are_the_expected_one() {
+async fn streamed_and_complete_responses_contain_the_expected_answer() {
     let engine = engine::start(engine::Config::default()).await.unwrap();
     let messages = [Message::user("grade of the card, please")];
     let expected = expected_answer("demo-chat", &messages, 20);
@@ -73,29 +73,29 @@
 }
 
 #[tokio::test]
-async fn a_named_run_can_be_resumed_and_cancelled() {
+async fn a_run_with_an_id_can_be_resumed_and_cancelled() {
     let engine = engine::start(engine::Config::default()).await.unwrap();
     let messages = [Message::user("tokens=30")];
     let body = json!({"model": "demo-chat", "messages": messages, "run_id": "r1"});
     chat(&engine, body).await;
     let url = format!("http://{}/v1/streams/r1", engine.addr());
-    let rest = ask(Method::GET, format!("{url}?from=25"), Value::Null).await;
+    let rest = send(Method::GET, format!("{url}?from=25"), Value::Null).await;
     let expected = expected_answer("demo-chat", &messages, 100);
     assert_eq!(text(&events(&rest)), expected[25..]);
-    let cancelled = ask(Method::DELETE, url, Value::Null).await;
+    let cancelled = send(Method::DELETE, url, Value::Null).await;
     assert_eq!(cancelled.status, StatusCode::OK);
     assert_eq!(engine.runs()["r1"], 1);
 }
 
 #[tokio::test]
-async fn a_stale_order_is_refused_only_where_the_number_is_checked() {
+async fn a_stale_order_is_refused_only_when_fencing_is_checked() {
     let engine = engine::start(engine::Config::default()).await.unwrap();
     let url = format!("http://{}/orders", engine.addr());
     let order = |index: u64| json!({"term": 1, "index": index, "order": {"load_model": "m2"}});
-    let first = ask(Method::POST, url.clone(), order(5)).await;
-    let stale = ask(Method::POST, url.clone(), order(4)).await;
+    let first = send(Method::POST, url.clone(), order(5)).await;
+    let stale = send(Method::POST, url.clone(), order(4)).await;
     engine.set_checks_fencing(false);
-    let ignored = ask(Method::POST, url, order(4)).await;
+    let ignored = send(Method::POST, url, order(4)).await;
     let statuses = [first.status, stale.status, ignored.status];
     assert_eq!(
         statuses,
@@ -105,13 +105,13 @@
 }
 
 #[tokio::test]
-async fn an_engine_that_dies_breaks_the_stream() {
+async fn a_crash_breaks_the_stream() {
     let engine = engine::start(engine::Config::default()).await.unwrap();
-    engine.set_dying_after(5);
+    engine.set_crash_after(5);
     let messages = [Message::user("tokens=30")];
     let body = json!({"model": "demo-chat", "messages": messages, "stream": true});
     let url = format!("http://{}/v1/chat/completions", engine.addr());
     let req = Request::post(&url).body(Full::new(Bytes::from(body.to_string())));
-    let answer = Client::default().whole(&url, req.unwrap()).await;
-    assert!(answer.is_err());
+    let response = Client::default().whole(&url, req.unwrap()).await;
+    assert!(response.is_err());
 }
--- a/crates/anvil_standins/tests/engine_load.rs
+++ b/crates/anvil_standins/tests/engine_load.rs
@@ -1,4 +1,4 @@
-//! What an engine does with load: slots, priorities, the prefix cache, reports and events.
+//! Tests of the engine under load: slots, priorities, the prefix cache, load reports and events.
 
 use std::time::{Duration, Instant};
 
@@ -15,15 +15,15 @@
         "priority": priority});
     let url = format!("http://{}/v1/chat/completions", engine.addr());
     let req = Request::post(&url).body(Full::new(Bytes::from(body.to_string())));
-    let answer = Client::default().whole(&url, req.unwrap()).await.unwrap();
-    assert!(answer.status.is_success());
+    let response = Client::default().whole(&url, req.unwrap()).await.unwrap();
+    assert!(response.status.is_success());
     Instant::now()
 }
 
 async fn get(engine: &engine::Handle, path: &str) -> Value {
     let url = format!("http://{}{path}", engine.addr());
-    let answer = Client::default().get(&url).await.unwrap();
-    serde_json::from_slice(&answer.body).unwrap()
+    let response = Client::default().get(&url).await.unwrap();
+    serde_json::from_slice(&response.body).unwrap()
 }
 
 #[tokio::test]
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test]
-async fn a_cached_prefix_takes_no_prefill() {
+async fn a_cached_prefix_needs_no_prefill() {
     let cfg = engine::Config {
         prefill: Duration::from_millis(2),
         ..engine::Config::default().without_delays()
@@ -59,16 +59,16 @@
 }
 
 #[tokio::test]
-async fn the_load_report_lags() {
+async fn the_load_report_is_refreshed_after_its_lag() {
     let cfg = engine::Config::default().with_slots(2);
     let engine = engine::start(cfg).await.unwrap();
-    let look = async {
+    let two_reports = async {
         sleep(Duration::from_millis(100)).await;
         let early = get(&engine, "/load").await;
         sleep(Duration::from_millis(500)).await;
         (early, get(&engine, "/load").await)
     };
-    let (_, (early, late)) = tokio::join!(chat(&engine, "tokens=400", 0), look);
+    let (_, (early, late)) = tokio::join!(chat(&engine, "tokens=400", 0), two_reports);
     assert_eq!(
         (early["running"].clone(), late["running"].clone()),
         (json!(0), json!(1))
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn cache_events_come_late_and_with_gaps() {
+async fn cache_events_are_published_late_and_with_gaps() {
     let cfg = engine::Config {
         events_lag: Duration::from_millis(200),
         events_gap: 3,
--- a/crates/anvil_standins/tests/plain.rs
+++ b/crates/anvil_standins/tests/plain.rs
@@ -1,4 +1,4 @@
-//! The plain service, over HTTP.
+//! Tests of the plain service over HTTP.
 
 use anvil_standins::client::Client;
 use anvil_standins::plain;
@@ -22,14 +22,14 @@
 }
 
 #[tokio::test]
-async fn a_dying_service_runs_the_call_and_breaks_the_answer() {
+async fn a_broken_response_still_counts_the_call() {
     let service = plain::start(plain::Config::default()).await.unwrap();
-    service.set_dying(true);
+    service.set_breaks_responses(true);
     let url = format!("http://{}/deposits", service.addr());
     let req = Request::post(&url).header(plain::ORDER_ID, "d1");
-    let answer = Client::default()
+    let response = Client::default()
         .whole(&url, req.body(Full::default()).unwrap())
         .await;
-    assert!(answer.is_err());
+    assert!(response.is_err());
     assert_eq!(service.runs()["d1"], 1);
 }
--- a/crates/anvil_standins/tests/platform.rs
+++ b/crates/anvil_standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list and the weight store, over HTTP.
+//! Tests of the platform's list and the weight store over HTTP.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 #[tokio::test]
-async fn the_list_lags() {
+async fn readers_get_the_list_after_its_lag() {
     let lag = Duration::from_millis(200);
     let cfg = platform::Config {
         lag,
@@ -35,12 +35,12 @@
 }
 
 #[tokio::test]
-async fn the_weight_store_limits_reads_at_once() {
+async fn the_weight_store_refuses_too_many_concurrent_reads() {
     let store = weights::start(weights::Config::default()).await.unwrap();
     let url = format!("http://{}/weights/m", store.addr());
     let client = Client::default();
-    let reads = (0..3).map(|_| client.get(&url));
-    let reads = futures::future::join_all(reads).await;
-    assert!(reads.iter().all(Result::is_ok));
+    let responses = (0..3).map(|_| client.get(&url));
+    let responses = futures::future::join_all(responses).await;
+    assert!(responses.iter().all(Result::is_ok));
     assert_eq!((store.served(), store.limited()), (2, 1));
 }
