--- a/crates/anvil_standins/src/bin/anvil-load.rs
+++ b/crates/anvil_standins/src/bin/anvil-load.rs
@@ -1,4 +1,4 @@
-//! The load and experiment tool's command line.
+//! Command line of the load and experiment tool.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -85,7 +85,7 @@
     let arguments: Arguments = argh::from_env();
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
-        Err(e) => return failed(&e),
+        Err(e) => return report_failure(&e),
     };
     let done = match arguments.task {
         Task::Run(task) => runtime.block_on(run(&task)),
@@ -93,11 +93,11 @@
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => failed(&e),
+        Err(e) => report_failure(&e),
     }
 }
 
-fn failed(e: &dyn std::error::Error) -> ExitCode {
+fn report_failure(e: &dyn std::error::Error) -> ExitCode {
     eprintln!("anvil-load: {e}");
     ExitCode::FAILURE
 }
@@ -110,17 +110,17 @@
             scenario = scenario.without_keys();
         }
         let report = if task.target.is_empty() {
-            with_fleet(task, &scenario).await?
+            run_with_fleet(task, &scenario).await?
         } else {
             let target = Target {
                 routers: task.target.clone(),
                 keys: task.key.clone(),
                 rule: "target".into(),
-                run: scenario.name.to_string(),
+                run_name: scenario.name.to_string(),
             };
             drive(&scenario, target).await.recorder.report()
         };
-        keep(&task.out, std::slice::from_ref(&report))?;
+        save_reports(&task.out, std::slice::from_ref(&report))?;
         reports.push(report);
     }
     print!("{}", table::table(&reports));
@@ -129,30 +129,30 @@
 }
 
 fn policy(task: &Policy) -> Result<(), Error> {
-    let others = if task.ablations {
+    let other_rules = if task.ablations {
         Rule::ablations()
     } else {
         Rule::baselines()
     };
-    let rules: Vec<_> = [Rule::ours()].into_iter().chain(others).collect();
+    let rules: Vec<_> = [Rule::ours()].into_iter().chain(other_rules).collect();
     let mut all = Vec::new();
     for path in &task.scenarios {
         let scenario = Scenario::load(path)?.with_percent(task.percent);
         let reports: Vec<_> = rules
             .iter()
-            .map(|r| experiment::play(&scenario, r))
+            .map(|r| experiment::simulate(&scenario, r))
             .collect();
-        keep(&task.out, &reports)?;
+        save_reports(&task.out, &reports)?;
         all.extend(reports);
     }
     print!("{}", table::table(&all));
     Ok(())
 }
 
-async fn with_fleet(task: &Run, scenario: &Scenario) -> Result<Report, Error> {
+async fn run_with_fleet(task: &Run, scenario: &Scenario) -> Result<Report, Error> {
     let folder = task.out.join(scenario.name.as_ref());
-    fresh(&folder)?;
-    let programs = task.programs.clone().or_else(own_folder);
+    recreate_folder(&folder)?;
+    let programs = task.programs.clone().or_else(program_folder);
     let programs = programs.unwrap_or_default();
     let mut fleet = Fleet::start(scenario, &programs, &folder).await?;
     let report = fleet.run().await?;
@@ -170,13 +170,13 @@
     Ok(report)
 }
 
-fn own_folder() -> Option<PathBuf> {
+fn program_folder() -> Option<PathBuf> {
     let program = std::env::current_exe().ok()?;
     Some(program.parent()?.into())
 }
 
-/// Empties the folder of an earlier run.
-fn fresh(folder: &Path) -> Result<(), Error> {
+/// Creates the folder anew, without the files of an earlier run.
+fn recreate_folder(folder: &Path) -> Result<(), Error> {
     match std::fs::remove_dir_all(folder) {
         Err(e) if e.kind() != std::io::ErrorKind::NotFound => {
             return Err(e).context(FileSnafu { path: folder });
@@ -186,8 +186,8 @@
     std::fs::create_dir_all(folder).context(FileSnafu { path: folder })
 }
 
-/// Adds the reports of one scenario to the JSON lines, and draws them.
-fn keep(folder: &Path, reports: &[Report]) -> Result<(), Error> {
+/// Appends the reports of one scenario to `reports.jsonl`, and draws them.
+fn save_reports(folder: &Path, reports: &[Report]) -> Result<(), Error> {
     std::fs::create_dir_all(folder).context(FileSnafu { path: folder })?;
     let path = folder.join("reports.jsonl");
     let file = std::fs::File::options()
--- a/crates/anvil_standins/src/load.rs
+++ b/crates/anvil_standins/src/load.rs
@@ -1,13 +1,13 @@
 //! The load and experiment tool.
 //!
-//! A [`Scenario`] says who asks for what and what breaks when. [`arrivals`] turns it into the
-//! same requests for every run with the same seed, at times that do not depend on the answers,
-//! so that waiting is not hidden. [`drive`] sends them to routers; [`fleet`] starts the real
-//! processes that they go to. What came of them goes into a [`Recorder`], which ends as a
-//! [`Report`]; reports are printed by [`table`] and drawn by [`plot`].
+//! A [`Scenario`] describes the fleet, the load and the faults. [`arrivals`] derives the requests
+//! from it: the same for every run with the same seed, at times that don't depend on the
+//! responses, so that queueing delay is not hidden. [`drive`] sends them to routers; [`fleet`]
+//! starts the daemons that serve them as real processes. A [`Recorder`] collects the results and
+//! makes a [`Report`] of them, which [`table`] prints and [`plot`] draws.
 //!
-//! [`policy`] plays loads against a small [`fake`] in virtual time, for the decisions alone;
-//! [`experiment`] takes a scenario file there.
+//! [`policy`] simulates the routers' decisions against a [`fake`] engine in virtual time;
+//! [`experiment`] runs a scenario file in that simulation.
 
 pub mod arrivals;
 mod caller;
--- a/crates/anvil_standins/src/load/caller.rs
+++ b/crates/anvil_standins/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! One request, as a caller's client sends it and reads its answer.
+//! One request, as a caller's client sends it, and the check of its response.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,16 +11,16 @@
 
 use super::arrivals::Arrival;
 use super::prompt;
-use super::scenario::{Asking, Load};
+use super::scenario::{Load, RequestKind};
 use crate::client::Client;
 use crate::engine::prompt_tokens;
 use crate::error::Error;
 use crate::plain::ORDER_ID;
 
-/// Header that names a request across retries.
+/// Header with the key that identifies a request across retries.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// What is sent, each time it is tried.
+/// A request, which is the same in each attempt.
 #[derive(Debug, Clone)]
 pub(super) struct Call {
     method: Method,
@@ -29,53 +29,53 @@
     bearer: String,
     body: Bytes,
     expected: Expected,
-    /// Most that it can cost, in budget tokens.
-    pub bound: u64,
-    /// Whether it carries its key, so that it may be sent again.
+    /// Maximum cost, in budget tokens.
+    pub max_cost: u64,
+    /// Whether it carries its idempotency key, so that it may be sent again.
     pub keyed: bool,
 }
 
-/// What a right answer looks like.
+/// The correct response.
 #[derive(Debug, Clone)]
 enum Expected {
     Chat { text: String, prompt: u64 },
     Plain { order: Option<String> },
 }
 
-/// How one try went.
+/// Result of one attempt.
 #[derive(Debug, Clone)]
-pub(super) enum Tried {
-    /// The right answer; with its cost in budget tokens and its own tokens.
-    Right { cost: u64, tokens: u64 },
-    /// An answer that looked complete and was not the right one; with what was wrong.
-    Wrong(&'static str),
-    /// It did not run, for this reason.
+pub(super) enum AttemptResult {
+    /// The correct response, with its cost in budget tokens and its output tokens.
+    Correct { cost: u64, tokens: u64 },
+    /// A response that looked complete and was not the correct one, with the defect.
+    Incorrect(&'static str),
+    /// The request did not run, with the type of the refusal.
     NotRun(String),
-    /// It may have run.
-    InDoubt,
-    /// No answer, or one that broke off; with how.
-    Cut(String),
-    /// The router could not be reached, so nothing was sent.
-    Unsent,
+    /// The router reported that the request may have run.
+    Unknown,
+    /// No response, or one that ended early, with the cause.
+    Lost(String),
+    /// Connecting to the router failed, so nothing was sent.
+    NotSent,
 }
 
-/// When tokens came.
+/// Times at which tokens arrived.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Times {
+pub(super) struct TokenTimes {
     pub first: Option<Instant>,
     last: Option<Instant>,
-    /// Time since the token before, and how many came with it.
-    pub gaps: Vec<(Duration, u64)>,
+    /// Time for each token since the text before, and the number of tokens that arrived together.
+    pub token_gaps: Vec<(Duration, u64)>,
 }
 
-impl Times {
-    fn text(&mut self, text: &str) {
+impl TokenTimes {
+    fn record_text(&mut self, text: &str) {
         let now = Instant::now();
-        // Each token of the stand-in ends with a space.
+        // Each token of the stand-in engine ends with a space.
         let tokens = text.bytes().filter(|b| *b == b' ').count() as u64;
         if let Some(last) = self.last {
             let each = (now - last) / u32::try_from(tokens.max(1)).unwrap_or(u32::MAX);
-            self.gaps.push((each, tokens.max(1)));
+            self.token_gaps.push((each, tokens.max(1)));
         }
         self.first.get_or_insert(now);
         self.last = Some(now);
@@ -86,15 +86,15 @@
     pub fn new(run: &str, load: &Load, arrival: &Arrival, bearer: &str) -> Self {
         let key = format!("{run}-{}", arrival.number);
         match load.asking {
-            Asking::Chat => Self::chat(key, load, arrival, bearer),
-            Asking::Lookup => Self::lookup(key, load, arrival, bearer),
-            Asking::Order => Self::order(key, load, bearer),
+            RequestKind::Chat => Self::chat(key, load, arrival, bearer),
+            RequestKind::Lookup => Self::lookup(key, load, arrival, bearer),
+            RequestKind::Order => Self::order(key, load, bearer),
         }
     }
 
     fn chat(key: String, load: &Load, arrival: &Arrival, bearer: &str) -> Self {
         let messages = prompt::messages(arrival);
-        let text = prompt::answer(&load.model, &messages, arrival);
+        let text = prompt::expected_text(&load.model, &messages, arrival);
         let body = json!({
             "model": load.model,
             "messages": messages,
@@ -108,7 +108,7 @@
             path: "/v1/chat/completions".into(),
             key,
             bearer: bearer.into(),
-            bound: body.len() as u64 + arrival.output,
+            max_cost: body.len() as u64 + arrival.output,
             keyed: true,
             body,
             expected: Expected::Chat {
@@ -124,7 +124,7 @@
             path: format!("/services/{}/records/{}", load.service, arrival.number),
             key,
             bearer: bearer.into(),
-            bound: 1,
+            max_cost: 1,
             keyed: true,
             body: Bytes::new(),
             expected: Expected::Plain { order: None },
@@ -137,7 +137,7 @@
             method: Method::POST,
             path: format!("/services/{}/orders", load.service),
             bearer: bearer.into(),
-            bound: 1,
+            max_cost: 1,
             keyed: true,
             body: Bytes::from(body.to_string()),
             expected: Expected::Plain {
@@ -147,14 +147,19 @@
         }
     }
 
-    /// Whether it may not be repeated.
+    /// Whether it is an order, which must not run twice.
     pub fn is_order(&self) -> bool {
         matches!(self.expected, Expected::Plain { order: Some(_) })
     }
 
-    /// Sends it once and reads the answer to its end.
-    pub async fn send(&self, client: &Client, to: SocketAddr, times: &mut Times) -> Tried {
-        let url = format!("http://{to}{}", self.path);
+    /// Sends the request once and reads the complete response.
+    pub async fn send(
+        &self,
+        client: &Client,
+        router: SocketAddr,
+        times: &mut TokenTimes,
+    ) -> AttemptResult {
+        let url = format!("http://{router}{}", self.path);
         let mut req = Request::builder()
             .method(self.method.clone())
             .uri(&url)
@@ -167,84 +172,95 @@
             req = req.header(ORDER_ID, order);
         }
         let Ok(req) = req.body(Full::new(self.body.clone())) else {
-            return cut("no request");
+            return lost("no request");
         };
         let response = match client.send(&url, req).await {
             Ok(response) => response,
-            Err(Error::Request { source, .. }) if source.is_connect() => return Tried::Unsent,
-            Err(_) => return cut("connection"),
+            Err(Error::Request { source, .. }) if source.is_connect() => {
+                return AttemptResult::NotSent;
+            }
+            Err(_) => return lost("connection"),
         };
         let status = response.status();
         let body = response.into_body();
         match &self.expected {
-            _ if status != StatusCode::OK => refused(body).await,
-            Expected::Chat { text, prompt } => streamed(body, text, *prompt, times).await,
-            Expected::Plain { order } => whole(body, order.as_deref(), times).await,
+            _ if status != StatusCode::OK => read_refusal(body).await,
+            Expected::Chat { text, prompt } => read_stream(body, text, *prompt, times).await,
+            Expected::Plain { order } => read_plain(body, order.as_deref(), times).await,
         }
     }
 }
 
-async fn refused(body: Incoming) -> Tried {
+async fn read_refusal(body: Incoming) -> AttemptResult {
     let Ok(body) = body.collect().await else {
-        return cut("answer broke off");
+        return lost("answer broke off");
     };
-    let answer: Value = serde_json::from_slice(&body.to_bytes()).unwrap_or_default();
-    from_error(&answer["error"])
+    let response: Value = serde_json::from_slice(&body.to_bytes()).unwrap_or_default();
+    from_error(&response["error"])
 }
 
-fn from_error(error: &Value) -> Tried {
+fn from_error(error: &Value) -> AttemptResult {
     match error["outcome"].as_str() {
-        Some("not_run") => Tried::NotRun(error["type"].as_str().unwrap_or("untyped").into()),
-        Some("unknown") => Tried::InDoubt,
-        _ => cut(error["type"].as_str().unwrap_or("error without a type")),
+        Some("not_run") => {
+            AttemptResult::NotRun(error["type"].as_str().unwrap_or("untyped").into())
+        }
+        Some("unknown") => AttemptResult::Unknown,
+        _ => lost(error["type"].as_str().unwrap_or("error without a type")),
     }
 }
 
-fn cut(how: &str) -> Tried {
-    Tried::Cut(how.into())
+fn lost(cause: &str) -> AttemptResult {
+    AttemptResult::Lost(cause.into())
 }
 
-/// Reads server-sent events up to the end mark; without it the answer is not whole.
-async fn streamed(mut body: Incoming, expected: &str, prompt: u64, times: &mut Times) -> Tried {
+/// Reads server-sent events up to the end mark `[DONE]`; without it the response is incomplete.
+async fn read_stream(
+    mut body: Incoming,
+    expected: &str,
+    prompt: u64,
+    times: &mut TokenTimes,
+) -> AttemptResult {
     let mut buf = BytesMut::new();
-    let mut answer = Streamed::default();
+    let mut response = StreamedAnswer::default();
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
-            return cut("stream broke off");
+            return lost("stream broke off");
         };
         let Some(data) = frame.data_ref() else {
             continue;
         };
         buf.extend_from_slice(data);
         while let Some(event) = next_event(&mut buf) {
-            if let Some(tried) = answer.take(&event, times) {
-                return tried;
+            if let Some(result) = response.apply_event(&event, times) {
+                return result;
             }
         }
     }
-    if !answer.done {
-        return cut("stream without its end");
+    if !response.done {
+        return lost("stream without its end");
     }
-    let used = answer.usage["completion_tokens"].as_u64();
-    let (Some(tokens), Some(asked)) = (used, answer.usage["prompt_tokens"].as_u64()) else {
-        return Tried::Wrong("no usage");
+    let completion_tokens = response.usage["completion_tokens"].as_u64();
+    let (Some(tokens), Some(prompt_tokens_used)) =
+        (completion_tokens, response.usage["prompt_tokens"].as_u64())
+    else {
+        return AttemptResult::Incorrect("no usage");
     };
-    if answer.text != expected {
-        return Tried::Wrong(difference(&answer.text, expected));
+    if response.text != expected {
+        return AttemptResult::Incorrect(text_defect(&response.text, expected));
     }
-    if asked != prompt {
-        return Tried::Wrong("prompt tokens");
+    if prompt_tokens_used != prompt {
+        return AttemptResult::Incorrect("prompt tokens");
     }
     if tokens != expected.bytes().filter(|b| *b == b' ').count() as u64 {
-        return Tried::Wrong("completion tokens");
+        return AttemptResult::Incorrect("completion tokens");
     }
-    Tried::Right {
-        cost: asked + tokens,
+    AttemptResult::Correct {
+        cost: prompt_tokens_used + tokens,
         tokens,
     }
 }
 
-fn difference(text: &str, expected: &str) -> &'static str {
+fn text_defect(text: &str, expected: &str) -> &'static str {
     if expected.starts_with(text) {
         "text that ends early"
     } else if text.starts_with(expected) {
@@ -255,29 +271,29 @@
 }
 
 #[derive(Debug, Default)]
-struct Streamed {
+struct StreamedAnswer {
     text: String,
     usage: Value,
     done: bool,
 }
 
-impl Streamed {
-    /// Takes one event in; gives back how the try ended, where it ended early.
-    fn take(&mut self, event: &[u8], times: &mut Times) -> Option<Tried> {
+impl StreamedAnswer {
+    /// Applies one event; returns the result of the attempt when the event ends it early.
+    fn apply_event(&mut self, event: &[u8], times: &mut TokenTimes) -> Option<AttemptResult> {
         let data = event.strip_prefix(b"data: ")?;
         if data == b"[DONE]" {
             self.done = true;
             return None;
         }
         let Ok(chunk) = serde_json::from_slice::<Value>(data) else {
-            return Some(Tried::Wrong("an event that is no JSON"));
+            return Some(AttemptResult::Incorrect("an event that is no JSON"));
         };
         if !chunk["error"].is_null() {
             return Some(from_error(&chunk["error"]));
         }
         if let Some(text) = chunk["choices"][0]["delta"]["content"].as_str() {
             self.text.push_str(text);
-            times.text(text);
+            times.record_text(text);
         }
         if chunk["usage"].is_object() {
             self.usage = chunk["usage"].clone();
@@ -293,16 +309,16 @@
     Some(event)
 }
 
-async fn whole(body: Incoming, order: Option<&str>, times: &mut Times) -> Tried {
+async fn read_plain(body: Incoming, order: Option<&str>, times: &mut TokenTimes) -> AttemptResult {
     let Ok(body) = body.collect().await else {
-        return cut("answer broke off");
+        return lost("answer broke off");
     };
-    times.text("");
-    let Ok(answer) = serde_json::from_slice::<Value>(&body.to_bytes()) else {
-        return Tried::Wrong("an answer that is no JSON");
+    times.record_text("");
+    let Ok(response) = serde_json::from_slice::<Value>(&body.to_bytes()) else {
+        return AttemptResult::Incorrect("an answer that is no JSON");
     };
-    if answer["order_id"].as_str() != order {
-        return Tried::Wrong("another order's answer");
+    if response["order_id"].as_str() != order {
+        return AttemptResult::Incorrect("another order's answer");
     }
-    Tried::Right { cost: 1, tokens: 0 }
+    AttemptResult::Correct { cost: 1, tokens: 0 }
 }
--- a/crates/anvil_standins/src/load/driver.rs
+++ b/crates/anvil_standins/src/load/driver.rs
@@ -1,4 +1,4 @@
-//! Sends a scenario's requests to routers, each at its due time whatever the answers do.
+//! Sends a scenario's requests to routers, each at its due time, independent of the responses.
 
 use std::io::{IsTerminal, Write};
 use std::net::SocketAddr;
@@ -10,151 +10,167 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
 use super::arrivals::{Arrival, arrivals};
-use super::caller::{Call, Times, Tried};
+use super::caller::{AttemptResult, Call, TokenTimes};
 use super::recorder::{Ending, Recorder, Sample};
 use super::scenario::Scenario;
-use super::view::{Stake, View};
+use super::view::{GlobalView, OpenRequest};
 use crate::client::Client;
 use crate::engine::lock;
 
-/// Requests under way at most; one more is taken down as lost without being sent.
-const MOST_UNDER_WAY: u64 = 20_000;
-/// Time between the tries of a caller whose answer was cut off.
-const RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Time between two lines of progress.
-const PROGRESS: Duration = Duration::from_secs(1);
+/// Maximum number of requests in flight; a further one is recorded as lost without being sent.
+const MAX_IN_FLIGHT: u64 = 20_000;
+/// Delay before a caller retries a lost request.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Interval between updates of the progress line.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Where requests go.
+/// The system under load.
 #[derive(Debug, Clone)]
 pub struct Target {
-    /// Routers; callers take them in turn, and another one for a retry.
+    /// Addresses of the routers; requests go to them in turn, and a retry to the next one.
     pub routers: Vec<SocketAddr>,
-    /// Bearer key of each organisation; with fewer keys they are used in turn.
+    /// Bearer key of each organisation; with fewer keys than organisations, they are used in turn.
     pub keys: Vec<String>,
     /// The rule or system under load, for the report.
     pub rule: String,
-    /// Makes request keys differ between runs.
-    pub run: String,
+    /// Prefix of the request keys, which makes them differ between runs.
+    pub run_name: String,
 }
 
-/// What a run leaves.
-pub struct Driven {
-    /// What came of each request.
+/// Result of a run.
+pub struct DriveResult {
+    /// The recorded requests.
     pub recorder: Recorder,
-    /// Cost of all whole answers, for each organisation, in budget tokens.
+    /// Cost of all complete responses for each organisation, in budget tokens.
     pub spent: Vec<u64>,
-    /// Tries that had no clear end, each with what it may have cost at most, by organisation.
-    pub in_doubt: Vec<u64>,
+    /// Maximum cost of all requests without a definite outcome for each organisation, in budget
+    /// tokens.
+    pub unconfirmed: Vec<u64>,
 }
 
 struct Driver {
     scenario: Scenario,
     target: Target,
     clients: Vec<Client>,
-    view: Arc<View>,
+    view: Arc<GlobalView>,
     recorder: Mutex<Recorder>,
-    in_doubt: Vec<AtomicU64>,
-    under_way: AtomicU64,
+    unconfirmed: Vec<AtomicU64>,
+    in_flight: AtomicU64,
     start: Instant,
 }
 
-/// Sends all requests and waits for their ends.
-pub async fn drive(scenario: &Scenario, target: Target) -> Driven {
+/// Sends all requests and waits until they have ended.
+pub async fn drive(scenario: &Scenario, target: Target) -> DriveResult {
     let organisations = scenario.callers.organisations as usize;
     let driver = Arc::new(Driver {
-        view: Arc::new(View::new(scenario)),
+        view: Arc::new(GlobalView::new(scenario)),
         recorder: Mutex::new(Recorder::new(scenario, &target.rule)),
-        in_doubt: (0..organisations).map(|_| AtomicU64::new(0)).collect(),
-        under_way: AtomicU64::new(0),
+        unconfirmed: (0..organisations).map(|_| AtomicU64::new(0)).collect(),
+        in_flight: AtomicU64::new(0),
         clients: target.routers.iter().map(|_| Client::default()).collect(),
         start: Instant::now(),
         scenario: scenario.clone(),
         target,
     });
-    let progress = tokio::spawn(progress(driver.clone()));
+    let progress = tokio::spawn(show_progress(driver.clone()));
     let mut requests = JoinSet::new();
     for arrival in arrivals(scenario) {
         sleep_until(driver.start + arrival.at).await;
-        requests.spawn(request(driver.clone(), arrival));
+        requests.spawn(send_request(driver.clone(), arrival));
         while requests.try_join_next().is_some() {}
     }
     while requests.join_next().await.is_some() {}
     progress.abort();
-    Driven {
+    DriveResult {
         recorder: lock(&driver.recorder).clone(),
         spent: driver.view.spent(),
-        in_doubt: driver
-            .in_doubt
+        unconfirmed: driver
+            .unconfirmed
             .iter()
             .map(|t| t.load(Ordering::Relaxed))
             .collect(),
     }
 }
 
-async fn request(driver: Arc<Driver>, arrival: Arrival) {
+async fn send_request(driver: Arc<Driver>, arrival: Arrival) {
     let load = &driver.scenario.load[arrival.load];
     let keys = &driver.target.keys;
     let bearer = &keys[arrival.organisation as usize % keys.len()];
-    let mut call = Call::new(&driver.target.run, load, &arrival, bearer);
+    let mut call = Call::new(&driver.target.run_name, load, &arrival, bearer);
     call.keyed = driver.scenario.callers.keyed || call.is_order();
-    let stake = Stake {
+    let open_request = OpenRequest {
         organisation: arrival.organisation,
         service: load.service.clone(),
-        bound: call.bound,
+        max_cost: call.max_cost,
     };
-    let mut times = Times::default();
-    let tried = if driver.under_way.fetch_add(1, Ordering::Relaxed) < MOST_UNDER_WAY {
-        driver.view.enter(&stake);
-        driver.tries(&call, &arrival, &mut times).await
+    let mut times = TokenTimes::default();
+    let result = if driver.in_flight.fetch_add(1, Ordering::Relaxed) < MAX_IN_FLIGHT {
+        driver.view.request_started(&open_request);
+        driver.send_with_retries(&call, &arrival, &mut times).await
     } else {
-        Tried::Cut("too many under way".into())
+        AttemptResult::Lost("too many under way".into())
     };
-    driver.under_way.fetch_sub(1, Ordering::Relaxed);
-    driver.record(&arrival, &stake, &times, tried);
+    driver.in_flight.fetch_sub(1, Ordering::Relaxed);
+    driver.record(&arrival, &open_request, &times, result);
 }
 
 impl Driver {
-    /// Tries until there is an answer, the deadline is over or the tries are used up.
+    /// Sends attempts until there is a result, the deadline is over or the retries are used up.
     ///
-    /// A router that can't be reached is passed over, as the platform's balancer does it; that
-    /// is safe without a key too, for nothing was sent.
-    async fn tries(&self, call: &Call, arrival: &Arrival, times: &mut Times) -> Tried {
-        let end = self.start + arrival.at + arrival.deadline;
+    /// A router that can't be reached is skipped, as the platform's load balancer would do. That
+    /// is safe without an idempotency key too, because nothing was sent.
+    async fn send_with_retries(
+        &self,
+        call: &Call,
+        arrival: &Arrival,
+        times: &mut TokenTimes,
+    ) -> AttemptResult {
+        let deadline = self.start + arrival.at + arrival.deadline;
         let retries = u64::from(self.scenario.callers.retries);
-        let mut last = Tried::Unsent;
+        let mut last = AttemptResult::NotSent;
         for attempt in 0..=retries {
-            let at = usize::try_from(arrival.number + attempt).unwrap_or_default();
-            let at = at % self.target.routers.len();
-            let tried = call.send(&self.clients[at], self.target.routers[at], times);
-            last = match timeout_at(end, tried).await {
-                Ok(tried) => tried,
-                Err(_) => return Tried::Cut("late".into()),
+            let index = usize::try_from(arrival.number + attempt).unwrap_or_default();
+            let index = index % self.target.routers.len();
+            let result = call.send(&self.clients[index], self.target.routers[index], times);
+            last = match timeout_at(deadline, result).await {
+                Ok(result) => result,
+                Err(_) => return AttemptResult::Lost("late".into()),
             };
             match last {
-                Tried::Unsent => {}
-                Tried::Cut(_) if call.keyed => sleep(RETRY_AFTER).await,
+                AttemptResult::NotSent => {}
+                AttemptResult::Lost(_) if call.keyed => sleep(RETRY_DELAY).await,
                 _ => return last,
             }
         }
         last
     }
 
-    fn record(&self, arrival: &Arrival, stake: &Stake, times: &Times, tried: Tried) {
-        let due = self.start + arrival.at;
-        let (cost, tokens) = match tried {
-            Tried::Right { cost, tokens } => (cost, tokens),
+    fn record(
+        &self,
+        arrival: &Arrival,
+        open_request: &OpenRequest,
+        times: &TokenTimes,
+        result: AttemptResult,
+    ) {
+        let due_at = self.start + arrival.at;
+        let (cost, tokens) = match result {
+            AttemptResult::Correct { cost, tokens } => (cost, tokens),
             _ => (0, 0),
         };
-        let ending = match tried {
-            Tried::Right { .. } => Ending::Completed,
-            Tried::Wrong(what) => Ending::Broken { what: what.into() },
-            Tried::InDoubt => Ending::Unknown,
-            Tried::Cut(how) => Ending::Lost { how },
-            Tried::Unsent => Ending::Lost {
-                how: "no router".into(),
+        let ending = match result {
+            AttemptResult::Correct { .. } => Ending::Completed,
+            AttemptResult::Incorrect(defect) => Ending::Broken {
+                defect: defect.into(),
             },
-            Tried::NotRun(kind) => Ending::Refused {
-                wrongly: self.view.is_false(stake, &kind, self.start.elapsed()),
+            AttemptResult::Unknown => Ending::Unknown,
+            AttemptResult::Lost(cause) => Ending::Lost { cause },
+            AttemptResult::NotSent => Ending::Lost {
+                cause: "no router".into(),
+            },
+            AttemptResult::NotRun(kind) => Ending::Refused {
+                is_false: self
+                    .view
+                    .is_false_refusal(open_request, &kind, self.start.elapsed()),
                 kind,
             },
         };
@@ -162,49 +178,49 @@
             ending,
             Ending::Broken { .. } | Ending::Unknown | Ending::Lost { .. }
         ) {
-            let doubt = &self.in_doubt[arrival.organisation as usize];
-            doubt.fetch_add(stake.bound, Ordering::Relaxed);
+            let unconfirmed_cost = &self.unconfirmed[arrival.organisation as usize];
+            unconfirmed_cost.fetch_add(open_request.max_cost, Ordering::Relaxed);
         }
-        self.view.leave(stake, cost);
+        self.view.request_ended(open_request, cost);
         let first = times.first.map(Instant::from_std);
         let sample = Sample {
             at: arrival.at,
             organisation: arrival.organisation,
             class: arrival.class,
-            first_token: first.map(|first| first.saturating_duration_since(due)),
-            took: due.elapsed(),
+            first_token: first.map(|first| first.saturating_duration_since(due_at)),
+            took: due_at.elapsed(),
             deadline: arrival.deadline,
             tokens,
             ending,
         };
         let mut recorder = lock(&self.recorder);
-        for (each, count) in &times.gaps {
-            recorder.gaps(*each, *count);
+        for (gap, count) in &times.token_gaps {
+            recorder.record_token_gaps(*gap, *count);
         }
-        recorder.sample(&sample);
+        recorder.record(&sample);
     }
 }
 
-/// Shows on a terminal how far the run is.
-async fn progress(driver: Arc<Driver>) {
+/// Shows the progress of the run on a terminal.
+async fn show_progress(driver: Arc<Driver>) {
     if !std::io::stderr().is_terminal() {
         return;
     }
     loop {
-        sleep(PROGRESS).await;
+        sleep(PROGRESS_INTERVAL).await;
         let report = lock(&driver.recorder).report();
-        let under_way = driver.under_way.load(Ordering::Relaxed);
-        let at = driver.start.elapsed().as_secs();
-        let mut out = std::io::stderr();
-        // A terminal that went away is no reason to stop.
+        let in_flight = driver.in_flight.load(Ordering::Relaxed);
+        let elapsed = driver.start.elapsed().as_secs();
+        let mut stderr = std::io::stderr();
+        // The run continues when the terminal is gone.
         let _ = write!(
-            out,
-            "\r{}: {at} s, {} done, {under_way} under way, {} refused, {} lost   ",
+            stderr,
+            "\r{}: {elapsed} s, {} done, {in_flight} in flight, {} refused, {} lost   ",
             driver.scenario.name,
             report.completed,
             report.refusals(),
             report.lost,
         );
-        let _ = out.flush();
+        let _ = stderr.flush();
     }
 }
--- a/crates/anvil_standins/src/load/experiment.rs
+++ b/crates/anvil_standins/src/load/experiment.rs
@@ -1,8 +1,8 @@
-//! A scenario file under the decisions alone, in virtual time.
+//! Runs a scenario file in the policy simulation, in virtual time.
 //!
-//! Only its chats are played: plain calls take no part in the decisions that the fake answers.
-//! Faults of endpoints and zones are taken over; those of routers and replicas mean nothing
-//! where there is no process.
+//! Only its chats are simulated: the fake engine has no plain calls. Faults of endpoints and
+//! zones are simulated; those of routers and ledger replicas are ignored, because the simulation
+//! has no such processes.
 
 use anvil_world::ids::Tokens;
 
@@ -10,28 +10,33 @@
 use super::policy::scenario::{Burst, FaultAt, Kind};
 use super::policy::{PolicyScenario, Report as PolicyReport, Rule, run_policy};
 use super::report::{Quantiles, Report};
-use super::scenario::{Asking, Fault, FaultKind, Load, Scenario};
+use super::scenario::{Fault, FaultKind, Load, RequestKind, Scenario};
 
 /// Prompt tokens in a block of a scenario's prefix cache.
 const BLOCK_TOKENS: Tokens = 16;
 
-/// Plays a scenario under one rule.
-pub fn play(scenario: &Scenario, rule: &Rule) -> Report {
+/// Simulates a scenario under one rule.
+pub fn simulate(scenario: &Scenario, rule: &Rule) -> Report {
     let report = run_policy(&PolicyScenario::from(scenario), rule);
-    converted(scenario, &report)
+    to_load_report(scenario, &report)
 }
 
 impl From<&Scenario> for PolicyScenario {
     fn from(scenario: &Scenario) -> Self {
-        let chats = || scenario.load.iter().filter(|l| l.asking == Asking::Chat);
+        let chats = || {
+            scenario
+                .load
+                .iter()
+                .filter(|l| l.asking == RequestKind::Chat)
+        };
         let services: Vec<_> = chats().map(|load| &load.service).collect();
         let groups = scenario.endpoints.iter();
-        let serving: Vec<_> = groups.filter(|g| services.contains(&&g.service)).collect();
-        let first = serving.first();
+        let groups_with_chats: Vec<_> = groups.filter(|g| services.contains(&&g.service)).collect();
+        let first = groups_with_chats.first();
         let callers = &scenario.callers;
-        let part = f64::from(callers.large_percent) / 100.0;
+        let large_part = f64::from(callers.large_percent) / 100.0;
         let zones = scenario.fleet.zones.len();
-        let endpoints = serving.iter().map(|g| g.count as usize).sum();
+        let endpoints = groups_with_chats.iter().map(|g| g.count as usize).sum();
         let faults = scenario.faults.iter();
         Self {
             name: "scenario",
@@ -44,7 +49,7 @@
             cache: first.map_or(0, |g| g.cache_blocks as Tokens * BLOCK_TOKENS),
             rate: chats().map(|load| f64::from(load.rate)).sum(),
             organisations: callers.organisations as usize,
-            skew: (callers.large > 0).then_some((part, callers.large as usize)),
+            skew: (callers.large > 0).then_some((large_part, callers.large as usize)),
             prefixes: chats().map(|l| l.prefixes as usize).max().unwrap_or(0),
             kinds: chats().map(kind).collect(),
             bursts: bursts(scenario),
@@ -55,7 +60,7 @@
 }
 
 fn kind(load: &Load) -> Kind {
-    // A shared prefix is half of a prompt at least.
+    // A shared prefix is half of the minimum prompt length.
     let prefix = if load.prefixes > 0 {
         load.prompt.0 / 2
     } else {
@@ -117,7 +122,7 @@
     clippy::cast_sign_loss,
     reason = "rates and counts of one run, never negative"
 )]
-fn converted(scenario: &Scenario, r: &PolicyReport) -> Report {
+fn to_load_report(scenario: &Scenario, r: &PolicyReport) -> Report {
     let quantiles = |p50, p95| Quantiles {
         p50,
         p95,
@@ -136,7 +141,7 @@
         fairness: r.jain,
         prefix_hits: Some(r.prefix_hits),
         hot_spot: Some(r.hot_spot),
-        // The experiment counts by tens of seconds, the drawing by seconds.
+        // The simulation counts in intervals of ten seconds, the chart in seconds.
         goodput: r
             .over_time
             .iter()
--- a/crates/anvil_standins/src/load/fake.rs
+++ b/crates/anvil_standins/src/load/fake.rs
@@ -1,11 +1,11 @@
-//! A small fake of how a model runner answers load, in virtual time.
+//! A simulated model engine in virtual time.
 //!
-//! It knows continuous batching (prefill in chunks between decode steps), a waiting queue by
-//! priority, a prefix cache of limited memory and two faults: being slow and failing fast. It
-//! knows nothing of networks, money or the other endpoints.
+//! It models continuous batching (prefill in chunks between decode steps), a queue by priority,
+//! a prefix cache of limited memory and faults. It does not model networks, budgets or other
+//! endpoints.
 
 pub mod cache;
 pub mod engine;
 
 pub use cache::PrefixCache;
-pub use engine::{FakeEngine, FakeRun, Fault, Stepped};
+pub use engine::{FakeEngine, FakeRun, Fault, StepResult};
--- a/crates/anvil_standins/src/load/fake/cache.rs
+++ b/crates/anvil_standins/src/load/fake/cache.rs
@@ -1,55 +1,58 @@
-//! The prefix cache of a fake endpoint: least recently used goes first.
+//! The prefix cache of a fake endpoint; the least recently used prefix is evicted first.
 
 use std::collections::BTreeMap;
 
 use anvil_policy::prefix::{CacheChange, PrefixHash};
 use anvil_world::prelude::*;
 
-/// Prefixes held, bounded by their tokens in all.
+/// The cached prefixes, limited by their total tokens.
 #[derive(Debug, Clone, Default)]
 pub struct PrefixCache {
-    most_tokens: Tokens,
+    max_tokens: Tokens,
     tokens: Tokens,
-    used: u64,
-    held: BTreeMap<PrefixHash, (u64, Tokens)>,
+    clock: u64,
+    entries: BTreeMap<PrefixHash, (u64, Tokens)>,
 }
 
 impl PrefixCache {
-    /// An empty cache of this size.
-    pub fn new(most_tokens: Tokens) -> Self {
+    /// An empty cache of this capacity.
+    pub fn new(max_tokens: Tokens) -> Self {
         Self {
-            most_tokens,
+            max_tokens,
             ..Self::default()
         }
     }
 
-    /// Looks a prefix up, takes it in when it is missing, and says what changed. The first
-    /// value is whether it was held.
+    /// Looks a prefix up, and adds it when it is missing. Returns whether it was cached and the
+    /// changes of the cache.
     pub fn touch(&mut self, prefix: PrefixHash, tokens: Tokens) -> (bool, Vec<CacheChange>) {
-        self.used += 1;
-        if let Some((used, _)) = self.held.get_mut(&prefix) {
-            *used = self.used;
+        self.clock += 1;
+        if let Some((last_use, _)) = self.entries.get_mut(&prefix) {
+            *last_use = self.clock;
             return (true, Vec::new());
         }
         let mut changes = vec![CacheChange::Added(prefix)];
-        self.held.insert(prefix, (self.used, tokens));
+        self.entries.insert(prefix, (self.clock, tokens));
         self.tokens += tokens;
-        while self.tokens > self.most_tokens && self.held.len() > 1 {
+        while self.tokens > self.max_tokens && self.entries.len() > 1 {
             changes.extend(self.evict());
         }
         (false, changes)
     }
 
-    /// Drops everything.
+    /// Removes all prefixes.
     pub fn clear(&mut self) {
-        self.held.clear();
+        self.entries.clear();
         self.tokens = 0;
     }
 
     fn evict(&mut self) -> Option<CacheChange> {
-        let oldest = self.held.iter().min_by_key(|(_, (used, _))| *used);
+        let oldest = self
+            .entries
+            .iter()
+            .min_by_key(|(_, (last_use, _))| *last_use);
         let prefix = oldest.map(|(prefix, _)| *prefix)?;
-        let (_, tokens) = self.held.remove(&prefix)?;
+        let (_, tokens) = self.entries.remove(&prefix)?;
         self.tokens -= tokens;
         Some(CacheChange::Removed(prefix))
     }
--- a/crates/anvil_standins/src/load/fake/engine.rs
+++ b/crates/anvil_standins/src/load/fake/engine.rs
@@ -1,8 +1,8 @@
-//! One fake endpoint with continuous batching.
+//! A simulated endpoint with continuous batching.
 //!
-//! Work goes in steps. A step makes one token for every run that is past its prefill, and
-//! prefills a chunk of prompts beside. Its time grows with both, so a large batch makes every
-//! caller's tokens late, as on a real runner.
+//! It works in steps. A step generates one token for every run whose prefill is complete, and
+//! prefills a chunk of the other prompts. Its duration grows with both, so that a large batch
+//! delays every caller's tokens, as in a real engine.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,38 +12,38 @@
 
 use super::cache::PrefixCache;
 
-/// Time of a step beside its tokens.
-const STEP: Duration = Duration::from_millis(15);
-/// Time that each decoded token adds to a step.
-const PER_DECODE: Duration = Duration::from_micros(800);
-/// Time that each prefilled token adds to a step.
-const PER_PREFILL: Duration = Duration::from_micros(30);
-/// Prompt tokens prefilled in one step at most.
-const CHUNK: Tokens = 512;
+/// Base duration of a step.
+const STEP_BASE: Duration = Duration::from_millis(15);
+/// Duration that each decoded token adds to a step.
+const PER_DECODED_TOKEN: Duration = Duration::from_micros(800);
+/// Duration that each prefilled token adds to a step.
+const PER_PREFILLED_TOKEN: Duration = Duration::from_micros(30);
+/// Maximum prompt tokens that are prefilled in one step.
+const MAX_PREFILL: Tokens = 512;
 
-/// How an endpoint misbehaves.
+/// Fault of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
     /// Every step takes this many times as long.
     Slow(f64),
     /// Every run fails at once.
     FailsFast,
-    /// It is gone, and what it had is lost.
+    /// The endpoint is down; its runs and its cache are lost.
     Down,
 }
 
 /// A run in an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FakeRun {
-    /// Whose it is.
+    /// Index of the request.
     pub request: usize,
-    /// Lower is sooner.
+    /// Priority; lower numbers run first.
     pub priority: u8,
-    /// The prompt's shared prefix and its tokens.
+    /// The prompt's shared prefix and the prefix's tokens.
     pub prefix: (PrefixHash, Tokens),
-    /// All prompt tokens.
+    /// Prompt tokens, including the prefix.
     pub prompt: Tokens,
-    /// Output tokens that it will make.
+    /// Output tokens that it will generate.
     pub output: Tokens,
 }
 
@@ -52,28 +52,28 @@
     run: FakeRun,
     prefill_left: Tokens,
     prefilling: Tokens,
-    made: Tokens,
+    generated: Tokens,
 }
 
-/// What a step brought.
+/// Result of a step.
 #[derive(Debug, Clone, Default)]
-pub struct Stepped {
-    /// Requests that got a token; true for their first.
+pub struct StepResult {
+    /// Requests that got a token, and whether it was the run's first.
     pub tokens: Vec<(usize, bool)>,
-    /// Requests that got their last token.
+    /// Requests whose run got its last token.
     pub ended: Vec<usize>,
 }
 
-/// One fake endpoint.
+/// A simulated endpoint.
 #[derive(Debug, Clone)]
 pub struct FakeEngine {
-    /// Runs in the batch at most.
+    /// Maximum number of runs in the batch.
     pub slots: usize,
-    /// Its fault, if any.
+    /// The current fault, if any.
     pub fault: Option<Fault>,
-    /// Time spent in steps, as a measure of its work.
+    /// Total duration of all steps, as a measure of work.
     pub busy: Duration,
-    /// Prefix tokens asked for, and those that were held.
+    /// Prefix tokens requested, and those of them that were cached.
     pub prefix_tokens: (Tokens, Tokens),
     cache: PrefixCache,
     changes: Vec<CacheChange>,
@@ -102,17 +102,17 @@
         }
     }
 
-    /// Runs in the batch.
+    /// Number of runs in the batch.
     pub fn running(&self) -> usize {
         self.batch.len()
     }
 
-    /// Runs that wait.
+    /// Number of runs in the queue.
     pub fn queued(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Takes a run in.
+    /// Adds a run to the queue.
     pub fn push(&mut self, run: FakeRun) {
         self.arrivals += 1;
         self.waiting.insert((run.priority, self.arrivals), run);
@@ -123,13 +123,13 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// Tokens a second made since the last call, which was this long ago.
+    /// Tokens a second generated since the last call, which was this long ago.
     pub fn take_tokens_per_second(&mut self, since: Duration) -> u32 {
         let micros = u32::try_from(since.as_micros()).unwrap_or(u32::MAX).max(1);
         std::mem::take(&mut self.tokens).saturating_mul(1_000_000 / micros.min(1_000_000))
     }
 
-    /// Loses all runs and the cache. Gives the runs that were lost.
+    /// Drops all runs and the cache. Returns the requests of the lost runs.
     pub fn lose_all(&mut self) -> Vec<usize> {
         self.cache.clear();
         self.changes.push(CacheChange::Cleared);
@@ -140,12 +140,12 @@
         lost.map(|run| run.request).collect()
     }
 
-    /// Starts a step unless one is going or there is nothing to do. Gives its length.
+    /// Starts a step, unless one is in progress or there is no work. Returns its duration.
     pub fn start_step(&mut self) -> Option<Duration> {
         if self.stepping || self.fault == Some(Fault::Down) {
             return None;
         }
-        self.fill();
+        self.fill_batch();
         if self.batch.is_empty() {
             return None;
         }
@@ -156,75 +156,77 @@
             .iter()
             .filter(|run| run.prefill_left == 0)
             .count();
-        let mut length = STEP + PER_DECODE * small(decoded as u64) + PER_PREFILL * small(prefilled);
-        if let Some(Fault::Slow(times)) = self.fault {
-            length = length.mul_f64(times);
+        let mut length = STEP_BASE
+            + PER_DECODED_TOKEN * saturating_u32(decoded as u64)
+            + PER_PREFILLED_TOKEN * saturating_u32(prefilled);
+        if let Some(Fault::Slow(factor)) = self.fault {
+            length = length.mul_f64(factor);
         }
         self.busy += length;
         Some(length)
     }
 
-    /// Ends the step that [`FakeEngine::start_step`] began.
-    pub fn end_step(&mut self) -> Stepped {
+    /// Ends the step that [`FakeEngine::start_step`] started.
+    pub fn end_step(&mut self) -> StepResult {
         self.stepping = false;
-        let mut stepped = Stepped::default();
+        let mut result = StepResult::default();
         self.batch
-            .retain_mut(|running| running.advance(&mut stepped));
-        self.tokens += u32::try_from(stepped.tokens.len()).unwrap_or(u32::MAX);
-        stepped
+            .retain_mut(|running| running.advance(&mut result));
+        self.tokens += u32::try_from(result.tokens.len()).unwrap_or(u32::MAX);
+        result
     }
 
-    fn fill(&mut self) {
+    fn fill_batch(&mut self) {
         while self.batch.len() < self.slots {
             let Some((_, run)) = self.waiting.pop_first() else {
                 return;
             };
             let (prefix, tokens) = run.prefix;
-            let (held, changes) = self.cache.touch(prefix, tokens);
+            let (cached, changes) = self.cache.touch(prefix, tokens);
             self.changes.extend(changes);
-            let saved = if held { tokens } else { 0 };
+            let saved = if cached { tokens } else { 0 };
             self.prefix_tokens.0 += tokens;
             self.prefix_tokens.1 += saved;
             self.batch.push(Running {
                 prefill_left: run.prompt.saturating_sub(saved).max(1),
                 prefilling: 0,
-                made: 0,
+                generated: 0,
                 run,
             });
         }
     }
 
     fn plan_prefill(&mut self) -> Tokens {
-        // Engines honour priorities, in the batch as well as before it.
+        // Engines honour priorities in the batch as well as in the queue.
         self.batch.sort_by_key(|running| running.run.priority);
-        let mut left = CHUNK;
+        let mut left = MAX_PREFILL;
         for running in &mut self.batch {
             running.prefilling = running.prefill_left.min(left);
             left -= running.prefilling;
         }
-        CHUNK - left
+        MAX_PREFILL - left
     }
 }
 
 impl Running {
-    /// Applies a step; false when the run has ended.
-    fn advance(&mut self, stepped: &mut Stepped) -> bool {
+    /// Applies a step; returns false when the run has ended.
+    fn advance(&mut self, result: &mut StepResult) -> bool {
         if self.prefill_left > 0 {
             self.prefill_left -= self.prefilling;
             if self.prefill_left > 0 {
                 return true;
             }
         }
-        self.made += 1;
-        stepped.tokens.push((self.run.request, self.made == 1));
-        if self.made < self.run.output {
+        self.generated += 1;
+        result.tokens.push((self.run.request, self.generated == 1));
+        if self.generated < self.run.output {
             return true;
         }
-        stepped.ended.push(self.run.request);
+        result.ended.push(self.run.request);
         false
     }
 }
 
-fn small(count: u64) -> u32 {
+fn saturating_u32(count: u64) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
--- a/crates/anvil_standins/src/load/fleet.rs
+++ b/crates/anvil_standins/src/load/fleet.rs
@@ -1,7 +1,7 @@
-//! A fleet of real processes on loopback, with stand-in endpoints.
+//! A fleet of daemons as real processes on loopback, with stand-in endpoints.
 //!
-//! The tool starts each daemon as a process of its own, with its settings file, and kills it
-//! as hard as a lost instance. Endpoints live in the tool, so that it can slow them and count
+//! Each daemon is a separate process with its own settings file; a lost instance is simulated by
+//! killing the process. The endpoints run inside the tool, so that it can slow them down and count
 //! their runs.
 
 mod documents;
@@ -23,7 +23,7 @@
 use tokio::process::Command;
 use tokio::time::{Instant, sleep};
 
-use super::driver::{Driven, Target, drive};
+use super::driver::{DriveResult, Target, drive};
 use super::report::Report;
 use super::scenario::{EndpointGroup, Scenario};
 use super::usage::ProcessUsage;
@@ -32,16 +32,16 @@
 use endpoints::Endpoint;
 use process::Process;
 
-/// Longest time for the fleet to serve.
-const START_TIME: Duration = Duration::from_secs(30);
-/// Time for the sidecars to join and be seen by the routers.
+/// Maximum time until the fleet serves requests.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time for the sidecars to join and for the routers to learn of them.
 const JOIN_TIME: Duration = Duration::from_secs(3);
-/// Time between two looks at something that is awaited.
-const LOOK: Duration = Duration::from_millis(100);
-/// Time for the last reports of money to reach the ledger after a run.
-const SETTLE_TIME: Duration = Duration::from_secs(4);
+/// Interval of polling for a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Time for the last settlements to reach the ledger after a run.
+const SETTLEMENT_TIME: Duration = Duration::from_secs(4);
 
-/// Running processes and endpoints.
+/// The running processes and endpoints of a scenario.
 pub struct Fleet {
     scenario: Scenario,
     programs: PathBuf,
@@ -54,13 +54,14 @@
     router_addrs: Vec<SocketAddr>,
 }
 
-/// A budget as the operators' client reports it.
+/// Credited tokens of a budget, as reported by the operators' client.
 type Credited = Tokens;
-type Billed = Tokens;
+/// Charged tokens of a budget, as reported by the operators' client.
+type Charged = Tokens;
 
 impl Fleet {
-    /// Starts everything and waits until it serves. `programs` holds the daemons, `folder` gets
-    /// settings, data and logs.
+    /// Starts everything and waits until it serves requests. `programs` contains the daemons;
+    /// settings, data and logs are written to `folder`.
     pub async fn start(scenario: &Scenario, programs: &Path, folder: &Path) -> Result<Self, Error> {
         let mut fleet = Self {
             scenario: scenario.clone(),
@@ -74,41 +75,41 @@
             router_addrs: Vec::new(),
         };
         fleet.start_ledgers()?;
-        // Before anybody follows, so that no change waits to be in force everywhere.
+        // Before any router or sidecar follows the ledger, so that no change waits for its rollout.
         fleet.write_documents().await?;
-        for (at, (group, zone)) in scenario.endpoint_list().into_iter().enumerate() {
-            fleet.start_endpoint(at, group, zone).await?;
+        for (index, (group, zone)) in scenario.endpoint_list().into_iter().enumerate() {
+            fleet.start_endpoint(index, group, zone).await?;
         }
-        for at in 0..scenario.fleet.routers {
-            fleet.start_router(at)?;
+        for index in 0..scenario.fleet.routers {
+            fleet.start_router(index)?;
         }
-        fleet.until_ready().await?;
+        fleet.wait_until_ready().await?;
         sleep(JOIN_TIME).await;
         Ok(fleet)
     }
 
-    /// Runs the scenario's load and faults against it.
+    /// Runs the scenario's load and faults against the fleet.
     pub async fn run(&mut self) -> Result<Report, Error> {
         let scenario = self.scenario.clone();
         let start = Instant::now();
         let load = drive(&scenario, self.target());
         tokio::pin!(load);
-        let mut due = faults::changes(&scenario);
-        let driven = loop {
-            let next = due.first().map_or(Duration::MAX, |change| change.at);
+        let mut pending = faults::changes(&scenario);
+        let drive_result = loop {
+            let next = pending.first().map_or(Duration::MAX, |change| change.at);
             tokio::select! {
-                driven = &mut load => break driven,
-                () = sleep(next.saturating_sub(start.elapsed())), if !due.is_empty() => {
-                    let change = due.remove(0);
-                    self.change(&change).await?;
+                drive_result = &mut load => break drive_result,
+                () = sleep(next.saturating_sub(start.elapsed())), if !pending.is_empty() => {
+                    let change = pending.remove(0);
+                    self.apply_change(&change).await?;
                 }
             }
         };
-        sleep(SETTLE_TIME).await;
-        self.report(&driven).await
+        sleep(SETTLEMENT_TIME).await;
+        self.report(&drive_result).await
     }
 
-    /// What each process has used, by its name.
+    /// Resource usage of each running process, by its name.
     pub fn usage(&self) -> BTreeMap<String, ProcessUsage> {
         let processes = self.ledgers.iter().chain(&self.routers);
         let processes = processes.chain(&self.sidecars);
@@ -117,33 +118,33 @@
             .collect()
     }
 
-    /// Where callers connect, with the keys of the scenario's organisations.
+    /// The routers' addresses and the keys of the scenario's organisations.
     pub fn target(&self) -> Target {
         Target {
             routers: self.router_addrs.clone(),
-            keys: documents::keys(&self.scenario),
+            keys: documents::bearer_keys(&self.scenario),
             rule: "anvilreel".into(),
-            run: self.scenario.name.to_string(),
+            run_name: self.scenario.name.to_string(),
         }
     }
 
-    async fn report(&self, driven: &Driven) -> Result<Report, Error> {
-        let mut report = driven.recorder.report();
-        report.doubled_runs = Some(self.endpoints.iter().map(Endpoint::doubled).sum());
+    async fn report(&self, drive_result: &DriveResult) -> Result<Report, Error> {
+        let mut report = drive_result.recorder.report();
+        report.doubled_runs = Some(self.endpoints.iter().map(Endpoint::duplicate_runs).sum());
         let budgets = self.budgets().await?;
-        let (mut overspend, mut doubled) = (0, 0);
-        for at in 0..self.scenario.callers.organisations {
-            let name = documents::organisation(at);
-            let Some((credited, billed)) = budgets.get(name.as_str()) else {
+        let (mut overspend, mut excess_charges) = (0, 0);
+        for index in 0..self.scenario.callers.organisations {
+            let name = documents::organisation_name(index);
+            let Some((credited, charged)) = budgets.get(name.as_str()) else {
                 continue;
             };
-            let at = at as usize;
-            let due = driven.spent[at] + driven.in_doubt[at];
-            overspend += billed.saturating_sub(*credited);
-            doubled += billed.saturating_sub(due);
+            let index = index as usize;
+            let max_charge = drive_result.spent[index] + drive_result.unconfirmed[index];
+            overspend += charged.saturating_sub(*credited);
+            excess_charges += charged.saturating_sub(max_charge);
         }
         report.overspend = Some(overspend);
-        report.doubled_bills = Some(doubled);
+        report.doubled_bills = Some(excess_charges);
         Ok(report)
     }
 
@@ -154,15 +155,15 @@
             .ledger_addrs
             .iter()
             .enumerate()
-            .map(|(at, addr)| Peer {
-                id: format!("ledger-{at}").into(),
+            .map(|(index, addr)| Peer {
+                id: format!("ledger-{index}").into(),
                 addr: *addr,
             })
             .collect();
-        for (at, peer) in founders.iter().enumerate() {
+        for (index, peer) in founders.iter().enumerate() {
             let settings = LedgerSettings {
                 id: peer.id.clone(),
-                zone: self.scenario.zone(at),
+                zone: self.scenario.zone(index),
                 wire_listen: peer.addr,
                 bind: None,
                 data: self.folder.join(peer.id.as_ref()),
@@ -177,10 +178,10 @@
         Ok(())
     }
 
-    fn start_router(&mut self, at: u32) -> Result<(), Error> {
+    fn start_router(&mut self, index: u32) -> Result<(), Error> {
         let settings = RouterSettings {
-            id: format!("router-{at}").into(),
-            zone: self.scenario.zone(at as usize),
+            id: format!("router-{index}").into(),
+            zone: self.scenario.zone(index as usize),
             listen: free_addr()?,
             wire_listen: free_addr()?,
             ledgers: self.ledger_addrs.clone(),
@@ -196,14 +197,14 @@
 
     async fn start_endpoint(
         &mut self,
-        at: usize,
+        index: usize,
         group: &EndpointGroup,
         zone: Zone,
     ) -> Result<(), Error> {
         let endpoint = Endpoint::start(group).await?;
         let settings = SidecarSettings {
             platform: None,
-            id: format!("{}-{at}", group.service).into(),
+            id: format!("{}-{index}", group.service).into(),
             zone,
             wire_listen: free_addr()?,
             ledgers: self.ledger_addrs.clone(),
@@ -213,7 +214,7 @@
                 kind: group.kind,
                 models: group.models.clone(),
                 slots: group.slots,
-                checks_fencing: at.is_multiple_of(2),
+                checks_fencing: index.is_multiple_of(2),
             },
             buffer_bytes: 8 << 20,
             log_json: true,
@@ -226,35 +227,35 @@
     }
 
     fn spawn(&self, program: &str, id: &str, settings: &impl Serialize) -> Result<Process, Error> {
-        // Settings are written by the same types that read them.
+        // Can't fail: the daemons read their settings with the same types.
         let text = toml::to_string(settings).unwrap_or_default();
         let path = self.folder.join(format!("{id}.toml"));
         std::fs::write(&path, text).context(FileSnafu { path: &path })?;
         Process::start(&self.programs.join(program), id, &path)
     }
 
-    /// Waits until every router says that it is ready.
-    async fn until_ready(&self) -> Result<(), Error> {
+    /// Waits until every router reports that it is ready.
+    async fn wait_until_ready(&self) -> Result<(), Error> {
         let client = Client::default();
-        let end = Instant::now() + START_TIME;
+        let deadline = Instant::now() + START_TIMEOUT;
         for addr in &self.router_addrs {
             let url = format!("http://{addr}/readyz");
             loop {
-                let answer = client.get(&url).await;
-                if answer.is_ok_and(|answer| answer.status.is_success()) {
+                let response = client.get(&url).await;
+                if response.is_ok_and(|response| response.status.is_success()) {
                     break;
                 }
-                if Instant::now() > end {
+                if Instant::now() > deadline {
                     return Err(Error::NotReady { url });
                 }
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// The operators' client, as an operator would start it.
-    fn operator(&self) -> Command {
+    /// A command line of the operators' client, without a subcommand.
+    fn operator_command(&self) -> Command {
         let mut command = Command::new(self.programs.join("anvilreel"));
         for addr in &self.ledger_addrs {
             command.arg("--ledger").arg(addr.to_string());
@@ -265,7 +266,7 @@
     }
 }
 
-/// An address on loopback that was free a moment ago.
+/// An address on loopback that was free at the time of the call.
 pub fn free_addr() -> Result<SocketAddr, Error> {
     let addr = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = TcpListener::bind(addr).context(ListenSnafu { addr })?;
--- a/crates/anvil_standins/src/load/fleet/documents.rs
+++ b/crates/anvil_standins/src/load/fleet/documents.rs
@@ -1,4 +1,4 @@
-//! The settings tree of a scenario, and its prepaid budgets.
+//! The settings documents of a scenario and its prepaid budgets.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -13,47 +13,48 @@
 use tokio::process::Command;
 use tokio::time::{Instant, sleep};
 
-use super::{Billed, Credited, Fleet, LOOK, START_TIME};
+use super::{Charged, Credited, Fleet, POLL_INTERVAL, START_TIMEOUT};
 use crate::error::{Error, FileSnafu, JsonSnafu};
 use crate::load::scenario::Scenario;
 
-/// Name of an organisation, of its team and of its budget.
-pub(super) fn organisation(at: u32) -> String {
-    format!("organisation-{at}")
+/// Name of an organisation, and of its team and budget.
+pub(super) fn organisation_name(index: u32) -> String {
+    format!("organisation-{index}")
 }
 
 /// Bearer key of each organisation's team.
-pub(super) fn keys(scenario: &Scenario) -> Vec<String> {
+pub(super) fn bearer_keys(scenario: &Scenario) -> Vec<String> {
     let organisations = 0..scenario.callers.organisations;
-    organisations.map(|at| format!("key-{at}")).collect()
+    organisations.map(|index| format!("key-{index}")).collect()
 }
 
 impl Fleet {
-    /// Puts the tree and the budgets into the ledger, through the operators' client.
+    /// Writes the settings tree and the budgets to the ledger, with the operators' client.
     pub(super) async fn write_documents(&self) -> Result<(), Error> {
         let tree = self.folder.join("tree");
         write(&tree, "fleet", "")?;
-        for (path, text) in documents(&self.scenario) {
+        for (path, text) in settings_documents(&self.scenario) {
             write(&tree, &path, &text)?;
         }
-        let mut apply = self.operator();
-        self.until_done(apply.arg("apply").arg(&tree)).await?;
-        for at in 0..self.scenario.callers.organisations {
-            let name = organisation(at);
+        let mut apply = self.operator_command();
+        self.run_until_success(apply.arg("apply").arg(&tree))
+            .await?;
+        for index in 0..self.scenario.callers.organisations {
+            let name = organisation_name(index);
             let amount = self.scenario.callers.budget.to_string();
-            let mut top_up = self.operator();
+            let mut top_up = self.operator_command();
             let top_up = top_up.args(["top-up", &name, &amount]);
             let id = change_id(SystemTime::now(), &format!("load-{name}"));
-            self.until_done(top_up.args(["--id", &id])).await?;
+            self.run_until_success(top_up.args(["--id", &id])).await?;
         }
         Ok(())
     }
 
-    /// Credited and billed tokens of each budget.
-    pub(super) async fn budgets(&self) -> Result<BTreeMap<String, (Credited, Billed)>, Error> {
-        let mut command = self.operator();
+    /// Credited and charged tokens of each budget.
+    pub(super) async fn budgets(&self) -> Result<BTreeMap<String, (Credited, Charged)>, Error> {
+        let mut command = self.operator_command();
         command.arg("budget");
-        let text = self.until_done(&mut command).await?;
+        let text = self.run_until_success(&mut command).await?;
         let report: Value = serde_json::from_slice(&text).context(JsonSnafu)?;
         let lines = report.as_array().into_iter().flatten();
         Ok(lines
@@ -65,60 +66,60 @@
             .collect())
     }
 
-    /// Runs the operators' client until it says that it is done. A change keeps its id, so a
-    /// second try makes it once.
-    async fn until_done(&self, command: &mut Command) -> Result<Vec<u8>, Error> {
-        let end = Instant::now() + START_TIME;
+    /// Runs the operators' client until it reports success. A change keeps its id, so that a
+    /// retry does not apply it twice.
+    async fn run_until_success(&self, command: &mut Command) -> Result<Vec<u8>, Error> {
+        let deadline = Instant::now() + START_TIMEOUT;
         let path = &self.programs.join("anvilreel");
         loop {
             let output = command.output().await.context(FileSnafu { path })?;
-            // Not in force everywhere yet is good enough here: routers are waited for.
+            // Status 6: not in force everywhere yet. That suffices, because the start waits for the routers.
             if matches!(output.status.code(), Some(0 | 6)) {
                 return Ok(output.stdout);
             }
-            if Instant::now() > end {
+            if Instant::now() > deadline {
                 return Err(Error::Operator {
                     stderr: String::from_utf8_lossy(&output.stderr).into_owned(),
                 });
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-fn documents(scenario: &Scenario) -> BTreeMap<String, String> {
-    let mut found = BTreeMap::new();
+fn settings_documents(scenario: &Scenario) -> BTreeMap<String, String> {
+    let mut documents = BTreeMap::new();
     for group in &scenario.endpoints {
         let service = &group.service;
         let kind = match group.kind {
             EndpointKind::Engine => "models",
             EndpointKind::Plain => "plain",
         };
-        found.insert(
+        documents.insert(
             format!("services/{service}"),
             format!("kind = \"{kind}\"\n"),
         );
         for model in &group.models {
             let text = format!("service = \"{service}\"\nreplicas = {}\n", group.count);
-            found.insert(format!("models/{model}"), text);
+            documents.insert(format!("models/{model}"), text);
         }
     }
-    for (at, key) in keys(scenario).iter().enumerate() {
-        let name = organisation(u32::try_from(at).unwrap_or(u32::MAX));
-        found.insert(format!("organisations/{name}"), String::new());
-        found.insert(
+    for (index, key) in bearer_keys(scenario).iter().enumerate() {
+        let name = organisation_name(u32::try_from(index).unwrap_or(u32::MAX));
+        documents.insert(format!("organisations/{name}"), String::new());
+        documents.insert(
             format!("budgets/{name}"),
             format!("organisation = \"{name}\"\n"),
         );
-        found.insert(format!("teams/{name}"), team(&name, key));
+        documents.insert(format!("teams/{name}"), team_document(&name, key));
     }
-    found
+    documents
 }
 
-fn team(name: &str, key: &str) -> String {
+fn team_document(name: &str, key: &str) -> String {
     let mut text = String::new();
     let hash = key_hash(key.as_bytes());
-    // Writing to a `String` has no failure.
+    // Writing to a `String` can't fail.
     let _ = write!(
         text,
         "organisation = \"{name}\"\nkeys = [\"{hash}\"]\n[split]\n\"{name}\" = 1\n"
--- a/crates/anvil_standins/src/load/fleet/endpoints.rs
+++ b/crates/anvil_standins/src/load/fleet/endpoints.rs
@@ -9,13 +9,13 @@
 use crate::load::scenario::EndpointGroup;
 use crate::{engine, plain};
 
-/// A stand-in endpoint that can be lost and brought back at the same address.
+/// A stand-in endpoint that can be stopped and restarted at the same address.
 pub(super) struct Endpoint {
     group: EndpointGroup,
     addr: SocketAddr,
     running: Option<Running>,
-    /// Second and later runs of orders that were counted before the endpoint was lost.
-    doubled: u64,
+    /// Second and later runs of orders before the last stop.
+    duplicate_runs: u64,
 }
 
 enum Running {
@@ -24,10 +24,10 @@
 }
 
 impl Endpoint {
-    /// Starts one of its group.
+    /// Starts an endpoint of this group.
     pub async fn start(group: &EndpointGroup) -> Result<Self, Error> {
         let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-        let running = run(group, listen).await?;
+        let running = start_stand_in(group, listen).await?;
         let addr = match &running {
             Running::Engine(engine) => engine.addr(),
             Running::Plain(plain) => plain.addr(),
@@ -36,18 +36,18 @@
             group: group.clone(),
             addr,
             running: Some(running),
-            doubled: 0,
+            duplicate_runs: 0,
         })
     }
 
-    /// Where it listens.
+    /// The address it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Loses it.
+    /// Stops it abruptly, like a lost endpoint.
     pub async fn stop(&mut self) {
-        self.doubled = self.doubled();
+        self.duplicate_runs = self.duplicate_runs();
         match self.running.take() {
             Some(Running::Engine(engine)) => engine.stop().await,
             Some(Running::Plain(plain)) => plain.stop().await,
@@ -55,15 +55,15 @@
         }
     }
 
-    /// Brings it back with nothing in its cache.
+    /// Restarts it with an empty cache.
     pub async fn restart(&mut self) -> Result<(), Error> {
         if self.running.is_none() {
-            self.running = Some(run(&self.group, self.addr).await?);
+            self.running = Some(start_stand_in(&self.group, self.addr).await?);
         }
         Ok(())
     }
 
-    /// Makes it so many times slower; 1 is its own pace.
+    /// Multiplies all times by this factor; 1 is the configured speed.
     pub fn set_slowdown(&self, factor: u32) {
         match &self.running {
             Some(Running::Engine(engine)) => engine.set_slowdown(factor),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Whether it answers everything with an error at once.
+    /// Sets whether it responds to every request with an error at once.
     pub fn set_failing(&self, failing: bool) {
         match &self.running {
             Some(Running::Engine(engine)) => engine.set_failing(failing),
@@ -81,17 +81,17 @@
         }
     }
 
-    /// Second and later runs of its orders.
-    pub fn doubled(&self) -> u64 {
+    /// Number of second and later runs of its orders.
+    pub fn duplicate_runs(&self) -> u64 {
         let now = match &self.running {
             Some(Running::Plain(plain)) => plain.runs().values().map(|runs| runs - 1).sum(),
             _ => 0,
         };
-        self.doubled + now
+        self.duplicate_runs + now
     }
 }
 
-async fn run(group: &EndpointGroup, listen: SocketAddr) -> Result<Running, Error> {
+async fn start_stand_in(group: &EndpointGroup, listen: SocketAddr) -> Result<Running, Error> {
     if group.kind == EndpointKind::Plain {
         let cfg = plain::Config {
             listen,
--- a/crates/anvil_standins/src/load/fleet/faults.rs
+++ b/crates/anvil_standins/src/load/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! What breaks, and what comes back.
+//! Applies the beginnings and ends of a scenario's faults to the fleet.
 
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
     begins: bool,
 }
 
-/// All beginnings and ends of a scenario's faults, in the order of their times.
+/// All beginnings and ends of a scenario's faults, ordered by time.
 pub(super) fn changes(scenario: &Scenario) -> Vec<Change> {
-    let mut found: Vec<_> = scenario
+    let mut changes_by_time: Vec<_> = scenario
         .faults
         .iter()
         .flat_map(|fault| {
@@ -27,14 +27,14 @@
             })
         })
         .collect();
-    found.sort_by_key(|change| change.at);
-    found
+    changes_by_time.sort_by_key(|change| change.at);
+    changes_by_time
 }
 
 impl Fleet {
-    /// Lets a fault begin or end. An index beyond the list means nothing.
-    pub(super) async fn change(&mut self, change: &Change) -> Result<(), Error> {
-        let at = change.fault.index as usize;
+    /// Applies the beginning or end of a fault. An index beyond the list is ignored.
+    pub(super) async fn apply_change(&mut self, change: &Change) -> Result<(), Error> {
+        let index = change.fault.index as usize;
         match change.fault.kind {
             FaultKind::Slow => {
                 let factor = if change.begins {
@@ -42,27 +42,27 @@
                 } else {
                     1
                 };
-                if let Some(endpoint) = self.endpoints.get(at) {
+                if let Some(endpoint) = self.endpoints.get(index) {
                     endpoint.set_slowdown(factor);
                 }
                 Ok(())
             }
             FaultKind::Failing => {
-                if let Some(endpoint) = self.endpoints.get(at) {
+                if let Some(endpoint) = self.endpoints.get(index) {
                     endpoint.set_failing(change.begins);
                 }
                 Ok(())
             }
-            FaultKind::EndpointLost => self.endpoint(at, change.begins).await,
-            FaultKind::RouterLost => self.router(at, change.begins).await,
-            FaultKind::LedgerLost => self.ledger(at, change.begins).await,
-            FaultKind::ZoneLost => self.zone(at, change.begins).await,
+            FaultKind::EndpointLost => self.set_endpoint_lost(index, change.begins).await,
+            FaultKind::RouterLost => self.set_router_lost(index, change.begins).await,
+            FaultKind::LedgerLost => self.set_ledger_lost(index, change.begins).await,
+            FaultKind::ZoneLost => self.set_zone_lost(index, change.begins).await,
         }
     }
 
-    async fn endpoint(&mut self, at: usize, lost: bool) -> Result<(), Error> {
+    async fn set_endpoint_lost(&mut self, index: usize, lost: bool) -> Result<(), Error> {
         let (Some(endpoint), Some(sidecar)) =
-            (self.endpoints.get_mut(at), self.sidecars.get_mut(at))
+            (self.endpoints.get_mut(index), self.sidecars.get_mut(index))
         else {
             return Ok(());
         };
@@ -75,8 +75,8 @@
         sidecar.restart()
     }
 
-    async fn router(&mut self, at: usize, lost: bool) -> Result<(), Error> {
-        match self.routers.get_mut(at) {
+    async fn set_router_lost(&mut self, index: usize, lost: bool) -> Result<(), Error> {
+        match self.routers.get_mut(index) {
             Some(router) if lost => {
                 router.kill().await;
                 Ok(())
@@ -86,8 +86,8 @@
         }
     }
 
-    async fn ledger(&mut self, at: usize, lost: bool) -> Result<(), Error> {
-        match self.ledgers.get_mut(at) {
+    async fn set_ledger_lost(&mut self, index: usize, lost: bool) -> Result<(), Error> {
+        match self.ledgers.get_mut(index) {
             Some(ledger) if lost => {
                 ledger.kill().await;
                 Ok(())
@@ -97,17 +97,17 @@
         }
     }
 
-    /// Instances stand in the zones in turn.
-    async fn zone(&mut self, zone: usize, lost: bool) -> Result<(), Error> {
+    /// Applies the loss or the return of a zone. Instances are assigned to the zones in turn.
+    async fn set_zone_lost(&mut self, zone: usize, lost: bool) -> Result<(), Error> {
         let zones = self.scenario.fleet.zones.len();
-        for at in (zone..self.endpoints.len()).step_by(zones) {
-            self.endpoint(at, lost).await?;
+        for index in (zone..self.endpoints.len()).step_by(zones) {
+            self.set_endpoint_lost(index, lost).await?;
         }
-        for at in (zone..self.routers.len()).step_by(zones) {
-            self.router(at, lost).await?;
+        for index in (zone..self.routers.len()).step_by(zones) {
+            self.set_router_lost(index, lost).await?;
         }
-        for at in (zone..self.ledgers.len()).step_by(zones) {
-            self.ledger(at, lost).await?;
+        for index in (zone..self.ledgers.len()).step_by(zones) {
+            self.set_ledger_lost(index, lost).await?;
         }
         Ok(())
     }
--- a/crates/anvil_standins/src/load/fleet/process.rs
+++ b/crates/anvil_standins/src/load/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One daemon as a process.
+//! A daemon as a child process.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -9,9 +9,9 @@
 
 use crate::error::{Error, FileSnafu};
 
-/// A daemon that is killed when it is dropped.
+/// A daemon process; it is killed on drop.
 pub struct Process {
-    /// Its name.
+    /// Name of the process.
     pub name: String,
     program: PathBuf,
     settings: PathBuf,
@@ -19,7 +19,7 @@
 }
 
 impl Process {
-    /// Starts a program with its settings file; what it writes goes beside that file.
+    /// Starts a program with its settings file; its output is appended to a log beside that file.
     pub fn start(program: &Path, name: &str, settings: &Path) -> Result<Self, Error> {
         let mut process = Self {
             name: name.into(),
@@ -31,7 +31,7 @@
         Ok(process)
     }
 
-    /// Starts it again, unless it runs.
+    /// Starts the process, unless it is running.
     pub fn restart(&mut self) -> Result<(), Error> {
         if self.child.is_some() {
             return Ok(());
@@ -39,29 +39,29 @@
         let path = self.settings.with_extension("log");
         let log = File::options().append(true).create(true).open(&path);
         let log = log.context(FileSnafu { path: &path })?;
-        let errors = log.try_clone().context(FileSnafu { path: &path })?;
+        let stderr_log = log.try_clone().context(FileSnafu { path: &path })?;
         let path = &self.program;
         let child = Command::new(path)
             .arg("--settings")
             .arg(&self.settings)
             .stdin(Stdio::null())
             .stdout(log)
-            .stderr(errors)
+            .stderr(stderr_log)
             .kill_on_drop(true)
             .spawn();
         self.child = Some(child.context(FileSnafu { path })?);
         Ok(())
     }
 
-    /// Kills it as hard as a lost instance.
+    /// Kills the process.
     pub async fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // Fails only when it has ended by itself.
+            // Fails only when the process has ended already.
             let _ = child.kill().await;
         }
     }
 
-    /// Its number, while it runs.
+    /// The process id, while the process runs.
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref()?.id()
     }
--- a/crates/anvil_standins/src/load/policy/simulation.rs
+++ b/crates/anvil_standins/src/load/policy/simulation.rs
@@ -199,11 +199,11 @@
     }
 
     fn step(&mut self, endpoint: usize) {
-        let stepped = self.engines[endpoint].end_step();
-        for (at, first) in stepped.tokens {
+        let result = self.engines[endpoint].end_step();
+        for (at, first) in result.tokens {
             self.token(at, first);
         }
-        for at in stepped.ended {
+        for at in result.ended {
             self.completed(at);
         }
         self.start_step(endpoint);
--- a/crates/anvil_standins/src/load/recorder.rs
+++ b/crates/anvil_standins/src/load/recorder.rs
@@ -1,4 +1,4 @@
-//! Takes down what came of each request.
+//! Records the result of each request and makes a report of all.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,59 +9,59 @@
 use super::report::{Quantiles, Report};
 use super::scenario::Scenario;
 
-/// Longest time a histogram tells apart, in microseconds: an hour.
-const LONGEST_US: u64 = 3_600_000_000;
-/// Digits that a histogram keeps.
-const DIGITS: u8 = 3;
+/// Greatest value of a histogram, in microseconds: an hour.
+const MAX_TIME_US: u64 = 3_600_000_000;
+/// Significant digits of a histogram.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// How a request ended, as its caller saw it.
+/// Result of a request from its caller's point of view.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ending {
-    /// The whole expected answer came.
+    /// The complete expected response arrived.
     Completed,
-    /// It was told that it did not run.
+    /// The router reported that the request did not run.
     Refused {
         /// The refusal's type, such as `budget_exhausted`.
         kind: String,
-        /// Whether budget and capacity were there, by the tool's own view of the whole.
-        wrongly: bool,
+        /// Whether budget and capacity were available, by the load tool's global view.
+        is_false: bool,
     },
-    /// It was told that it may have run.
+    /// The router reported that the request may have run.
     Unknown,
-    /// An answer that looked complete was not the expected one.
+    /// A response that looked complete was not the expected one.
     Broken {
-        /// What was wrong with it.
-        what: String,
+        /// The defect, such as `other text`.
+        defect: String,
     },
-    /// The connection ended before an answer did, or nothing came in time.
+    /// The connection ended before the response did, or the deadline passed.
     Lost {
-        /// How, such as `late` or `connection`.
-        how: String,
+        /// The cause, such as `late` or `connection`.
+        cause: String,
     },
 }
 
-/// One request and what came of it.
+/// A request and its result.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Sample {
-    /// When it was due to be sent, since the start.
+    /// Time since the start at which it was due to be sent.
     pub at: Duration,
-    /// Who asked.
+    /// Index of the sending organisation.
     pub organisation: u32,
-    /// How it waits.
+    /// Priority class.
     pub class: WorkClass,
-    /// From the due time to the first token, where one came.
+    /// Time from the due time to the first token, if any.
     pub first_token: Option<Duration>,
-    /// From the due time to the end.
+    /// Time from the due time to the end of the request.
     pub took: Duration,
-    /// Longest time that is of use.
+    /// Maximum useful value of `took`.
     pub deadline: Duration,
-    /// Tokens of the answer.
+    /// Output tokens.
     pub tokens: u64,
-    /// How it ended.
+    /// The result.
     pub ending: Ending,
 }
 
-/// Takes samples in and makes a report of them.
+/// Collects samples and makes a report of them.
 #[derive(Debug, Clone)]
 pub struct Recorder {
     first: Histogram<u64>,
@@ -74,7 +74,7 @@
 }
 
 impl Recorder {
-    /// For a scenario and the rule or system that is under load.
+    /// An empty recorder for a scenario and the rule or system under load.
     pub fn new(scenario: &Scenario, rule: &str) -> Self {
         Self {
             first: histogram(),
@@ -87,22 +87,22 @@
         }
     }
 
-    /// A time between two tokens.
-    pub fn gap(&mut self, gap: Duration) {
+    /// Records the time between two tokens.
+    pub fn record_token_gap(&mut self, gap: Duration) {
         self.between.saturating_record(micros(gap));
     }
 
-    /// Times between tokens, as many as the run made in this time.
-    pub fn gaps(&mut self, each: Duration, count: u64) {
-        self.between.saturating_record_n(micros(each), count);
+    /// Records the same time between tokens `count` times.
+    pub fn record_token_gaps(&mut self, gap: Duration, count: u64) {
+        self.between.saturating_record_n(micros(gap), count);
     }
 
-    /// One request.
-    pub fn sample(&mut self, sample: &Sample) {
+    /// Records a request.
+    pub fn record(&mut self, sample: &Sample) {
         let report = &mut self.report;
         report.offered += 1;
-        let asked = self.served.entry(sample.organisation).or_default();
-        asked.0 += 1;
+        let counts = self.served.entry(sample.organisation).or_default();
+        counts.0 += 1;
         if let Some(first) = sample.first_token {
             self.first.saturating_record(micros(first));
             if sample.class == WorkClass::Interactive {
@@ -116,45 +116,45 @@
                 self.took.saturating_record(micros(sample.took));
                 if sample.took <= sample.deadline {
                     report.in_deadline += 1;
-                    asked.1 += 1;
-                    *second(&mut report.goodput, sample.at + sample.took) += 1;
+                    counts.1 += 1;
+                    *count_at_second(&mut report.goodput, sample.at + sample.took) += 1;
                 }
             }
-            Ending::Refused { kind, wrongly } => {
+            Ending::Refused { kind, is_false } => {
                 *report.refused.entry(kind.clone()).or_default() += 1;
                 self.refused_after.saturating_record(micros(sample.took));
-                if *wrongly {
+                if *is_false {
                     report.false_refusals += 1;
-                    *second(&mut report.false_refusals_over_time, sample.at) += 1;
+                    *count_at_second(&mut report.false_refusals_over_time, sample.at) += 1;
                 }
             }
             Ending::Unknown => report.unknown += 1,
-            Ending::Broken { what } => {
+            Ending::Broken { defect } => {
                 report.broken += 1;
-                *report.broken_by.entry(what.clone()).or_default() += 1;
+                *report.broken_by.entry(defect.clone()).or_default() += 1;
             }
-            Ending::Lost { how } => {
+            Ending::Lost { cause } => {
                 report.lost += 1;
-                *report.lost_by.entry(how.clone()).or_default() += 1;
+                *report.lost_by.entry(cause.clone()).or_default() += 1;
             }
         }
     }
 
-    /// The report so far; what only the caller knows is set on it afterwards.
+    /// The report so far, without the values that only the ledger and the endpoints know.
     pub fn report(&self) -> Report {
         let mut report = self.report.clone();
-        report.first_token = Quantiles::of(&self.first);
-        report.first_token_interactive = Quantiles::of(&self.first_interactive);
-        report.between = Quantiles::of(&self.between);
-        report.took = Quantiles::of(&self.took);
-        report.refused_after = Quantiles::of(&self.refused_after);
+        report.first_token = Quantiles::from_histogram(&self.first);
+        report.first_token_interactive = Quantiles::from_histogram(&self.first_interactive);
+        report.between = Quantiles::from_histogram(&self.between);
+        report.took = Quantiles::from_histogram(&self.took);
+        report.refused_after = Quantiles::from_histogram(&self.refused_after);
         report.fairness = jain(self.served.values());
         report.first_token_curve = curve(&self.first);
         report
     }
 }
 
-fn second(series: &mut Vec<u64>, at: Duration) -> &mut u64 {
+fn count_at_second(series: &mut Vec<u64>, at: Duration) -> &mut u64 {
     let at = usize::try_from(at.as_secs())
         .unwrap_or(usize::MAX)
         .min(7_200);
@@ -165,8 +165,8 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST_US, DIGITS)
-        .unwrap_or_else(|_| unreachable!("the bounds are constants that the library takes"))
+    Histogram::new_with_bounds(1, MAX_TIME_US, SIGNIFICANT_DIGITS)
+        .unwrap_or_else(|_| unreachable!("the bounds are valid constants"))
 }
 
 fn micros(time: Duration) -> u64 {
@@ -174,11 +174,11 @@
 }
 
 /// Jain's index over the share of each organisation's requests that were served in time: 1 when
-/// all get the same share, 1/n when one gets everything.
+/// all shares are equal, 1/n when only one of n organisations is served.
 #[allow(clippy::cast_precision_loss, reason = "counts of one run")]
 fn jain<'a>(served: impl Iterator<Item = &'a (u64, u64)>) -> f64 {
     let shares: Vec<f64> = served
-        .map(|(asked, served)| *served as f64 / (*asked).max(1) as f64)
+        .map(|(requested, served)| *served as f64 / (*requested).max(1) as f64)
         .collect();
     let sum: f64 = shares.iter().sum();
     let squares: f64 = shares.iter().map(|share| share * share).sum();
@@ -188,7 +188,7 @@
     sum * sum / (shares.len() as f64 * squares)
 }
 
-/// Percent of requests and the time that they stayed under, in milliseconds.
+/// Points of a percentile curve: percent of requests, and their maximum time in milliseconds.
 #[allow(
     clippy::cast_precision_loss,
     reason = "microseconds of an hour at most"
@@ -197,7 +197,7 @@
     if times.is_empty() {
         return Vec::new();
     }
-    let percents = (0..1_000).map(|at| f64::from(at) / 10.0);
+    let percents = (0..1_000).map(|tenth| f64::from(tenth) / 10.0);
     percents
         .map(|percent| {
             let time = times.value_at_quantile(percent / 100.0);
--- a/crates/anvil_standins/src/load/report.rs
+++ b/crates/anvil_standins/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What a run showed.
+//! The report of a run.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,26 +8,26 @@
 
 use super::scenario::Scenario;
 
-/// Times in milliseconds that so many percent stayed under.
+/// Percentiles of a time, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Quantiles {
-    /// Half.
+    /// The 50th percentile.
     pub p50: f64,
-    /// 95 in 100.
+    /// The 95th percentile.
     pub p95: f64,
-    /// 99 in 100.
+    /// The 99th percentile.
     pub p99: f64,
-    /// All.
+    /// The maximum.
     pub max: f64,
 }
 
 impl Quantiles {
-    /// Of a histogram in microseconds.
+    /// Percentiles of a histogram in microseconds.
     #[allow(
         clippy::cast_precision_loss,
         reason = "microseconds of an hour at most"
     )]
-    pub fn of(times: &Histogram<u64>) -> Self {
+    pub fn from_histogram(times: &Histogram<u64>) -> Self {
         let at = |quantile| times.value_at_quantile(quantile) as f64 / 1_000.0;
         Self {
             p50: at(0.5),
@@ -38,68 +38,68 @@
     }
 }
 
-/// What a run showed. Times are in milliseconds.
+/// Results of a run. Times are in milliseconds.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: Arc<str>,
     /// The rule or system under load.
     pub rule: String,
     /// The scenario's seed.
     pub seed: u64,
-    /// How long requests arrived, in seconds.
+    /// Time during which requests arrived, in seconds.
     pub seconds: f64,
-    /// Requests sent.
+    /// Number of requests.
     pub offered: u64,
-    /// Whole answers.
+    /// Complete responses.
     pub completed: u64,
-    /// Whole answers within their deadline.
+    /// Complete responses within their deadline.
     pub in_deadline: u64,
-    /// Tokens of whole answers.
+    /// Output tokens of complete responses.
     pub tokens: u64,
     /// Refusals by type.
     pub refused: BTreeMap<String, u64>,
-    /// Refused although budget and capacity were there.
+    /// Requests refused although budget and capacity were available.
     pub false_refusals: u64,
-    /// Told that it may have run.
+    /// Requests that may have run, as reported by the router.
     pub unknown: u64,
-    /// Answers that looked complete and were not the expected ones.
+    /// Responses that looked complete and were not the expected ones.
     pub broken: u64,
-    /// The same by what was wrong with them.
+    /// The same by defect.
     pub broken_by: BTreeMap<String, u64>,
-    /// Connections that ended before the answer did.
+    /// Requests whose connection ended before the response did, or that exceeded their deadline.
     pub lost: u64,
-    /// The same by how it happened.
+    /// The same by cause.
     pub lost_by: BTreeMap<String, u64>,
-    /// Second and later runs of orders at the endpoints, where they were asked. Must be 0.
+    /// Second and later runs of orders at the endpoints, when the tool runs them. Must be 0.
     pub doubled_runs: Option<u64>,
-    /// Tokens billed beyond what the answers can have cost, where the ledger was asked.
+    /// Tokens charged beyond the maximum cost of the responses, when the ledger was queried.
     pub doubled_bills: Option<u64>,
-    /// Tokens spent beyond what was prepaid, where the ledger was asked. Must be 0.
+    /// Tokens charged beyond the prepaid credit, when the ledger was queried. Must be 0.
     pub overspend: Option<u64>,
-    /// To the first token.
+    /// Time to the first token.
     pub first_token: Quantiles,
-    /// To the first token, of work that a person waits for.
+    /// Time to the first token of interactive work.
     pub first_token_interactive: Quantiles,
-    /// Between tokens.
+    /// Time between tokens.
     pub between: Quantiles,
-    /// To the end of whole answers.
+    /// Time to the end of complete responses.
     pub took: Quantiles,
-    /// To a refusal.
+    /// Time to a refusal.
     pub refused_after: Quantiles,
-    /// Jain's index over organisations, of the shares served in time.
+    /// Jain's index over the organisations' shares of requests served in time.
     pub fairness: f64,
-    /// Share of prompt tokens that were cached, where known.
+    /// Share of prompt tokens that were cached, if known.
     pub prefix_hits: Option<f64>,
-    /// Work of the busiest endpoint by the mean of all, where known.
+    /// Work of the busiest endpoint divided by the mean of all, if known.
     pub hot_spot: Option<f64>,
-    /// Bytes a second between processes for control, where known.
+    /// Control traffic between processes, in bytes a second, if known.
     pub control_bytes: Option<f64>,
-    /// Answers in time, for each second.
+    /// Responses within their deadline in each second.
     pub goodput: Vec<u64>,
-    /// False refusals, for each second.
+    /// False refusals in each second.
     pub false_refusals_over_time: Vec<u64>,
-    /// Percent of requests, and the time to the first token that they stayed under.
+    /// Percentile curve of the time to the first token: percent of requests, and their maximum.
     #[serde(skip)]
     pub first_token_curve: Vec<(f64, f64)>,
 }
@@ -116,13 +116,13 @@
         }
     }
 
-    /// Answers in time a second.
+    /// Responses within their deadline, a second.
     #[allow(clippy::cast_precision_loss, reason = "counts of one run")]
-    pub fn goodput_a_second(&self) -> f64 {
+    pub fn goodput_per_second(&self) -> f64 {
         self.in_deadline as f64 / self.seconds.max(f64::MIN_POSITIVE)
     }
 
-    /// Refusals in all.
+    /// Total number of refusals.
     pub fn refusals(&self) -> u64 {
         self.refused.values().sum()
     }
--- a/crates/anvil_standins/src/load/scenario.rs
+++ b/crates/anvil_standins/src/load/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: who asks for what, what serves it, and what breaks when.
+//! Scenario files: the fleet, the endpoints, the load and the faults of a run.
 
 mod check;
 
@@ -15,38 +15,38 @@
 
 use crate::error::{Error, FileSnafu, ScenarioSnafu};
 
-/// A scenario, as its TOML file has it.
+/// A scenario, in the form of its TOML file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name, for files and tables.
+    /// Name, used for files and tables.
     pub name: Arc<str>,
-    /// The same seed gives the same requests at the same times.
+    /// Seed of the arrivals; the same seed gives the same requests at the same times.
     pub seed: u64,
-    /// How long requests arrive.
+    /// Time during which requests arrive.
     #[serde(with = "humantime_serde")]
     pub run_for: Duration,
-    /// Instances and where they stand.
+    /// The instances and their availability zones.
     pub fleet: Fleet,
-    /// Groups of endpoints alike.
+    /// Groups of identical endpoints.
     pub endpoints: Vec<EndpointGroup>,
-    /// Who asks.
+    /// The callers.
     #[serde(default)]
     pub callers: Callers,
-    /// What they ask for.
+    /// The kinds of requests and their rates.
     pub load: Vec<Load>,
-    /// Times at which all rates change.
+    /// Times at which all rates are scaled.
     #[serde(default)]
     pub steps: Vec<Step>,
-    /// What breaks when.
+    /// Faults and their times.
     #[serde(default)]
     pub faults: Vec<Fault>,
-    /// What callers should get.
+    /// Latency targets for callers.
     #[serde(default)]
     pub goal: Goal,
 }
 
-/// Instances and where they stand.
+/// The instances and their availability zones.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
@@ -54,10 +54,10 @@
     pub region: RegionId,
     /// Its availability zones; instances are spread over them in turn.
     pub zones: Vec<ZoneId>,
-    /// Routers.
+    /// Number of routers.
     #[serde(default = "three")]
     pub routers: u32,
-    /// Replicas of the ledger.
+    /// Number of ledger replicas.
     #[serde(default = "three")]
     pub ledgers: u32,
 }
@@ -66,7 +66,7 @@
     3
 }
 
-/// Endpoints alike.
+/// A group of identical endpoints.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointGroup {
@@ -75,27 +75,28 @@
     /// Engines or plain services.
     #[serde(default)]
     pub kind: EndpointKind,
-    /// How many.
+    /// Number of endpoints.
     pub count: u32,
-    /// Runs side by side in each.
+    /// Maximum number of concurrent runs of an endpoint.
     #[serde(default = "sixteen")]
     pub slots: u32,
-    /// Models held; empty for plain services.
+    /// Models that are loaded; empty for plain services.
     #[serde(default)]
     pub models: BTreeSet<ModelId>,
-    /// Time for each prompt token that is not cached.
+    /// Prefill time for each prompt token that is not cached.
     #[serde(default, with = "humantime_serde")]
     pub prefill: Duration,
-    /// Time for each token of an answer when a run is alone; time of a call for plain services.
+    /// Time for each output token when the batch has a single run; for plain services, the time of
+    /// a call.
     #[serde(default, with = "humantime_serde")]
     pub token_time: Duration,
-    /// What every further run in the batch adds to the time of a token.
+    /// Time that each further run in the batch adds to an output token.
     #[serde(default, with = "humantime_serde")]
     pub token_time_per_run: Duration,
-    /// Blocks of 64 bytes that each prefix cache holds.
+    /// Capacity of each prefix cache, in blocks of 64 bytes.
     #[serde(default = "cache_blocks")]
     pub cache_blocks: usize,
-    /// How old the load report may be.
+    /// Maximum age of the load report.
     #[serde(default = "load_lag", with = "humantime_serde")]
     pub load_lag: Duration,
 }
@@ -112,22 +113,22 @@
     Duration::from_millis(500)
 }
 
-/// Who asks.
+/// The organisations that send requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Callers {
-    /// Organisations; each has one team, one key and one budget.
+    /// Number of organisations; each has one team, one key and one budget.
     pub organisations: u32,
-    /// How many of them are large.
+    /// Number of large organisations among them.
     pub large: u32,
-    /// Percent of all requests that come from the large ones.
+    /// Percentage of all requests that come from large organisations.
     pub large_percent: u32,
     /// Prepaid tokens of each organisation.
     pub budget: Tokens,
-    /// How often a caller whose answer was cut off sends the request again, under its key.
+    /// Maximum number of retries of a lost request, with its idempotency key.
     pub retries: u32,
-    /// Whether chats and lookups carry an `Idempotency-Key`. Without one they are never sent
-    /// again, for that would be another request. Orders always carry one.
+    /// Whether chats and lookups carry an `Idempotency-Key`. Without one they are never retried,
+    /// because the retry would count as another request. Orders always carry one.
     pub keyed: bool,
 }
 
@@ -144,48 +145,48 @@
     }
 }
 
-/// What is asked for.
+/// The kind of a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Asking {
+pub enum RequestKind {
     /// A chat completion, streamed.
     #[default]
     Chat,
-    /// A plain call that may be repeated, such as a ticket lookup.
+    /// A plain call that may run more than once, such as a ticket lookup.
     Lookup,
-    /// A plain call that may not be repeated, such as a swatch-book order or a deposit.
+    /// A plain call that must not run twice, such as a swatch-book order or a deposit.
     Order,
 }
 
-/// One kind of request and how often it comes.
+/// Requests of one kind and their rate.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Its name, for tables.
+    /// Name, used for tables.
     pub name: Arc<str>,
-    /// What is asked for.
+    /// Kind of the requests.
     #[serde(default)]
-    pub asking: Asking,
+    pub asking: RequestKind,
     /// The service whose endpoints serve it.
     pub service: ServiceId,
     /// The model; empty for plain calls.
     #[serde(default = "no_model")]
     pub model: ModelId,
-    /// How it waits.
+    /// Priority class.
     #[serde(default)]
     pub class: WorkClass,
     /// Requests a second.
     pub rate: u32,
-    /// Fewest and most tokens of a prompt; between them evenly spread by size class.
+    /// Minimum and maximum prompt tokens; the logarithm of the length is uniformly distributed.
     #[serde(default = "short_prompt")]
     pub prompt: (Tokens, Tokens),
-    /// Fewest and most tokens of an answer.
+    /// Minimum and maximum output tokens.
     #[serde(default = "short_answer")]
     pub output: (Tokens, Tokens),
-    /// Prompts begin with one of so many shared prefixes; 0 means none is shared.
+    /// Number of shared prefixes; each prompt begins with one of them. 0 means no shared prefix.
     #[serde(default)]
     pub prefixes: u32,
-    /// Longest time from the request to the end of its answer.
+    /// Maximum time from the request to the end of its response.
     #[serde(default = "deadline", with = "humantime_serde")]
     pub deadline: Duration,
 }
@@ -206,51 +207,51 @@
     Duration::from_secs(30)
 }
 
-/// From this time on, all rates are multiplied.
+/// A scaling of all rates from a time on.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
     /// Time since the start.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
-    /// Percent of the rates as they were written.
+    /// Percentage of the rates in the file.
     pub percent: u32,
 }
 
-/// What breaks.
+/// Kind of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
     /// The endpoint takes `factor` times as long for everything.
     Slow,
-    /// The endpoint answers every request with an error at once.
+    /// The endpoint responds to every request with an error at once.
     Failing,
-    /// The endpoint is lost and comes back with an empty cache.
+    /// The endpoint is lost and returns with an empty cache.
     EndpointLost,
     /// The router's process is killed and started again.
     RouterLost,
     /// The ledger replica's process is killed and started again.
     LedgerLost,
-    /// Everything in the availability zone is lost and comes back.
+    /// All instances in the availability zone are lost and return.
     ZoneLost,
 }
 
-/// A fault and its time.
+/// A fault and its duration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     /// Time since the start.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
-    /// When it is over.
+    /// End of the fault, since the start.
     #[serde(with = "humantime_serde")]
     pub until: Duration,
-    /// What breaks.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Which one, counted from 0: endpoint over all groups, router, replica or zone.
+    /// Index from 0 of the endpoint (over all groups), router, replica or zone.
     #[serde(default)]
     pub index: u32,
-    /// For `slow`: how many times slower.
+    /// For `slow`: factor by which the endpoint is slower.
     #[serde(default = "ten")]
     pub factor: u32,
 }
@@ -259,14 +260,14 @@
     10
 }
 
-/// What callers should get.
+/// Latency targets for callers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Goal {
-    /// Time to the first token, for 95 in 100.
+    /// 95th percentile of the time to the first token.
     #[serde(with = "humantime_serde")]
     pub first_token: Duration,
-    /// Time between tokens, for 95 in 100.
+    /// 95th percentile of the time between tokens.
     #[serde(with = "humantime_serde")]
     pub between: Duration,
 }
@@ -281,46 +282,46 @@
 }
 
 impl Scenario {
-    /// Reads a scenario file and checks it whole.
+    /// Reads a scenario file and validates it.
     pub fn load(path: &Path) -> Result<Self, Error> {
         let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
         let name = path.display().to_string();
         parse_settings(&name, &text).context(ScenarioSnafu { path })
     }
 
-    /// Each endpoint, in order, with its group and its zone.
+    /// All endpoints in order, each with its group and zone.
     pub fn endpoint_list(&self) -> Vec<(&EndpointGroup, Zone)> {
         let groups = self.endpoints.iter();
         let endpoints = groups.flat_map(|g| std::iter::repeat_n(g, g.count as usize));
         endpoints
             .enumerate()
-            .map(|(at, group)| (group, self.zone(at)))
+            .map(|(index, group)| (group, self.zone(index)))
             .collect()
     }
 
-    /// The zone of the instance at this place in its list.
-    pub fn zone(&self, at: usize) -> Zone {
-        let zone = &self.fleet.zones[at % self.fleet.zones.len()];
+    /// The zone of the instance with this index.
+    pub fn zone(&self, index: usize) -> Zone {
+        let zone = &self.fleet.zones[index % self.fleet.zones.len()];
         Zone {
             region: self.fleet.region.clone(),
             id: zone.clone(),
         }
     }
 
-    /// Percent of the written rates at a time.
+    /// Percentage of the rates in the file that applies at a time.
     pub fn percent_at(&self, at: Duration) -> u32 {
-        let before = self.steps.iter().filter(|step| step.at <= at);
-        let latest = before.max_by_key(|step| step.at);
+        let past = self.steps.iter().filter(|step| step.at <= at);
+        let latest = past.max_by_key(|step| step.at);
         latest.map_or(100, |step| step.percent)
     }
 
-    /// With chats and lookups that carry no key.
+    /// Removes the idempotency keys of chats and lookups.
     pub fn without_keys(mut self) -> Self {
         self.callers.keyed = false;
         self
     }
 
-    /// With another number of percent on all rates from the start.
+    /// Scales the rates of all loads to this percentage.
     pub fn with_percent(mut self, percent: u32) -> Self {
         for load in &mut self.load {
             load.rate = load.rate * percent / 100;
--- a/crates/anvil_standins/tests/scenarios.rs
+++ b/crates/anvil_standins/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenarios, their requests and the report.
+//! Tests of the scenario files, their arrivals and the report.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn every_scenario_is_accepted_and_asks_for_something() {
+fn every_scenario_file_is_valid_and_has_arrivals() {
     let files = std::fs::read_dir(folder()).unwrap();
     for file in files {
         let path = file.unwrap().path();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn both_deployments_have_the_sizes_of_today() {
+fn the_deployment_scenarios_have_the_expected_sizes() {
     let cooperative = scenario("cooperative");
     assert_eq!(cooperative.fleet.zones.len(), 4);
     assert_eq!(cooperative.endpoint_list().len(), 9 + 4);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn an_unknown_key_is_an_error_with_its_line() {
+fn an_unknown_key_is_an_error_with_its_line_number() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("bad.toml");
     std::fs::write(&path, "name = \"bad\"\nsneed = 3\n").unwrap();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_burst_comes_at_ten_times_the_rate() {
+fn a_burst_has_ten_times_the_rate() {
     let burst = scenario("burst");
     let within = |from, to| {
         let span = Duration::from_secs(from)..Duration::from_secs(to);
@@ -69,14 +69,14 @@
 }
 
 #[test]
-fn one_organisation_sends_nine_of_ten() {
+fn the_large_organisation_sends_ninety_percent() {
     let all = arrivals(&scenario("skew"));
     let large = all.iter().filter(|a| a.organisation == 0).count();
     assert!((88..92).contains(&(large * 100 / all.len())));
 }
 
 #[test]
-fn a_report_tells_endings_apart() {
+fn a_report_counts_each_kind_of_ending() {
     let scenario = scenario("burst");
     let mut recorder = Recorder::new(&scenario, "test");
     let sample = |ending| Sample {
@@ -89,19 +89,19 @@
         tokens: 10,
         ending,
     };
-    let refused = |wrongly| Ending::Refused {
+    let refused = |is_false| Ending::Refused {
         kind: "overloaded".into(),
-        wrongly,
+        is_false,
     };
     for ending in [
         Ending::Completed,
         refused(true),
         refused(false),
         Ending::Broken {
-            what: "other text".into(),
+            defect: "other text".into(),
         },
     ] {
-        recorder.sample(&sample(ending));
+        recorder.record(&sample(ending));
     }
     let report = recorder.report();
     assert_eq!(
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn drawings_are_written() {
+fn the_three_charts_are_written() {
     let folder = tempfile::tempdir().unwrap();
     let scenario = scenario("burst");
     let report = Recorder::new(&scenario, "test").report();
@@ -126,14 +126,14 @@
 }
 
 #[test]
-fn every_scenario_plays_under_the_decisions_alone() {
+fn every_scenario_runs_in_the_policy_simulation() {
     let files = std::fs::read_dir(folder()).unwrap();
     for file in files {
         let scenario = Scenario::load(&file.unwrap().path()).unwrap();
-        // Short, so that the faults of a long scenario are taken over and not reached.
+        // Short: the faults of a long scenario are converted, but their time is not reached.
         let mut short = scenario.with_percent(20);
         short.run_for = Duration::from_secs(2);
-        let report = experiment::play(&short, &Rule::ours());
+        let report = experiment::simulate(&short, &Rule::ours());
         assert_eq!(report.scenario, short.name);
         let ended = report.completed + report.refusals() + report.lost;
         assert_eq!(report.offered, ended, "{}", short.name);
