--- a/crates/anvil_standins/examples/policy_table.rs
+++ b/crates/anvil_standins/examples/policy_table.rs
@@ -1,4 +1,4 @@
-//! Prints the table of the policy experiment.
+//! Prints the results of the policy simulation as a Markdown table.
 //!
 //! `cargo run --release -p anvil_standins --example policy_table [SEED] [SCENARIO|all] [ablations]`
 
@@ -7,7 +7,7 @@
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
     let seed = args.first().and_then(|seed| seed.parse().ok()).unwrap_or(1);
-    let wanted = args.get(1).map_or("all", String::as_str);
+    let selected = args.get(1).map_or("all", String::as_str);
     let mut rules = vec![Rule::ours()];
     if args.iter().any(|arg| arg == "ablations") {
         rules.extend(Rule::ablations());
@@ -21,7 +21,7 @@
     );
     println!("|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|");
     for scenario in PolicyScenario::all() {
-        if wanted != "all" && wanted != scenario.name {
+        if selected != "all" && selected != scenario.name {
             continue;
         }
         let scenario = scenario.with_seed(seed);
--- a/crates/anvil_standins/src/load/caller.rs
+++ b/crates/anvil_standins/src/load/caller.rs
@@ -44,7 +44,7 @@
 
 /// Result of one attempt.
 #[derive(Debug, Clone)]
-pub(super) enum AttemptResult {
+pub(super) enum Outcome {
     /// The correct response, with its cost in budget tokens and its output tokens.
     Correct { cost: u64, tokens: u64 },
     /// A response that looked complete and was not the correct one, with the defect.
@@ -158,7 +158,7 @@
         client: &Client,
         router: SocketAddr,
         times: &mut TokenTimes,
-    ) -> AttemptResult {
+    ) -> Outcome {
         let url = format!("http://{router}{}", self.path);
         let mut req = Request::builder()
             .method(self.method.clone())
@@ -177,7 +177,7 @@
         let response = match client.send(&url, req).await {
             Ok(response) => response,
             Err(Error::Request { source, .. }) if source.is_connect() => {
-                return AttemptResult::NotSent;
+                return Outcome::NotSent;
             }
             Err(_) => return lost("connection"),
         };
@@ -191,7 +191,7 @@
     }
 }
 
-async fn read_refusal(body: Incoming) -> AttemptResult {
+async fn read_refusal(body: Incoming) -> Outcome {
     let Ok(body) = body.collect().await else {
         return lost("answer broke off");
     };
@@ -199,18 +199,16 @@
     from_error(&response["error"])
 }
 
-fn from_error(error: &Value) -> AttemptResult {
+fn from_error(error: &Value) -> Outcome {
     match error["outcome"].as_str() {
-        Some("not_run") => {
-            AttemptResult::NotRun(error["type"].as_str().unwrap_or("untyped").into())
-        }
-        Some("unknown") => AttemptResult::Unknown,
+        Some("not_run") => Outcome::NotRun(error["type"].as_str().unwrap_or("untyped").into()),
+        Some("unknown") => Outcome::Unknown,
         _ => lost(error["type"].as_str().unwrap_or("error without a type")),
     }
 }
 
-fn lost(cause: &str) -> AttemptResult {
-    AttemptResult::Lost(cause.into())
+fn lost(cause: &str) -> Outcome {
+    Outcome::Lost(cause.into())
 }
 
 /// Reads server-sent events up to the end mark `[DONE]`; without it the response is incomplete.
@@ -219,7 +217,7 @@
     expected: &str,
     prompt: u64,
     times: &mut TokenTimes,
-) -> AttemptResult {
+) -> Outcome {
     let mut buf = BytesMut::new();
     let mut response = StreamedAnswer::default();
     while let Some(frame) = body.frame().await {
@@ -243,18 +241,18 @@
     let (Some(tokens), Some(prompt_tokens_used)) =
         (completion_tokens, response.usage["prompt_tokens"].as_u64())
     else {
-        return AttemptResult::Incorrect("no usage");
+        return Outcome::Incorrect("no usage");
     };
     if response.text != expected {
-        return AttemptResult::Incorrect(text_defect(&response.text, expected));
+        return Outcome::Incorrect(text_defect(&response.text, expected));
     }
     if prompt_tokens_used != prompt {
-        return AttemptResult::Incorrect("prompt tokens");
+        return Outcome::Incorrect("prompt tokens");
     }
     if tokens != expected.bytes().filter(|b| *b == b' ').count() as u64 {
-        return AttemptResult::Incorrect("completion tokens");
+        return Outcome::Incorrect("completion tokens");
     }
-    AttemptResult::Correct {
+    Outcome::Correct {
         cost: prompt_tokens_used + tokens,
         tokens,
     }
@@ -279,14 +277,14 @@
 
 impl StreamedAnswer {
     /// Applies one event; returns the result of the attempt when the event ends it early.
-    fn apply_event(&mut self, event: &[u8], times: &mut TokenTimes) -> Option<AttemptResult> {
+    fn apply_event(&mut self, event: &[u8], times: &mut TokenTimes) -> Option<Outcome> {
         let data = event.strip_prefix(b"data: ")?;
         if data == b"[DONE]" {
             self.done = true;
             return None;
         }
         let Ok(chunk) = serde_json::from_slice::<Value>(data) else {
-            return Some(AttemptResult::Incorrect("an event that is no JSON"));
+            return Some(Outcome::Incorrect("an event that is no JSON"));
         };
         if !chunk["error"].is_null() {
             return Some(from_error(&chunk["error"]));
@@ -309,16 +307,16 @@
     Some(event)
 }
 
-async fn read_plain(body: Incoming, order: Option<&str>, times: &mut TokenTimes) -> AttemptResult {
+async fn read_plain(body: Incoming, order: Option<&str>, times: &mut TokenTimes) -> Outcome {
     let Ok(body) = body.collect().await else {
         return lost("answer broke off");
     };
     times.record_text("");
     let Ok(response) = serde_json::from_slice::<Value>(&body.to_bytes()) else {
-        return AttemptResult::Incorrect("an answer that is no JSON");
+        return Outcome::Incorrect("an answer that is no JSON");
     };
     if response["order_id"].as_str() != order {
-        return AttemptResult::Incorrect("another order's answer");
+        return Outcome::Incorrect("another order's answer");
     }
-    AttemptResult::Correct { cost: 1, tokens: 0 }
+    Outcome::Correct { cost: 1, tokens: 0 }
 }
--- a/crates/anvil_standins/src/load/driver.rs
+++ b/crates/anvil_standins/src/load/driver.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
 use super::arrivals::{Arrival, arrivals};
-use super::caller::{AttemptResult, Call, TokenTimes};
+use super::caller::{Call, Outcome, TokenTimes};
 use super::recorder::{Ending, Recorder, Sample};
 use super::scenario::Scenario;
 use super::view::{GlobalView, OpenRequest};
@@ -108,7 +108,7 @@
         driver.view.request_started(&open_request);
         driver.send_with_retries(&call, &arrival, &mut times).await
     } else {
-        AttemptResult::Lost("too many under way".into())
+        Outcome::Lost("too many under way".into())
     };
     driver.in_flight.fetch_sub(1, Ordering::Relaxed);
     driver.record(&arrival, &open_request, &times, result);
@@ -124,21 +124,21 @@
         call: &Call,
         arrival: &Arrival,
         times: &mut TokenTimes,
-    ) -> AttemptResult {
+    ) -> Outcome {
         let deadline = self.start + arrival.at + arrival.deadline;
         let retries = u64::from(self.scenario.callers.retries);
-        let mut last = AttemptResult::NotSent;
+        let mut last = Outcome::NotSent;
         for attempt in 0..=retries {
             let index = usize::try_from(arrival.number + attempt).unwrap_or_default();
             let index = index % self.target.routers.len();
             let result = call.send(&self.clients[index], self.target.routers[index], times);
             last = match timeout_at(deadline, result).await {
                 Ok(result) => result,
-                Err(_) => return AttemptResult::Lost("late".into()),
+                Err(_) => return Outcome::Lost("late".into()),
             };
             match last {
-                AttemptResult::NotSent => {}
-                AttemptResult::Lost(_) if call.keyed => sleep(RETRY_DELAY).await,
+                Outcome::NotSent => {}
+                Outcome::Lost(_) if call.keyed => sleep(RETRY_DELAY).await,
                 _ => return last,
             }
         }
@@ -150,24 +150,24 @@
         arrival: &Arrival,
         open_request: &OpenRequest,
         times: &TokenTimes,
-        result: AttemptResult,
+        result: Outcome,
     ) {
         let due_at = self.start + arrival.at;
         let (cost, tokens) = match result {
-            AttemptResult::Correct { cost, tokens } => (cost, tokens),
+            Outcome::Correct { cost, tokens } => (cost, tokens),
             _ => (0, 0),
         };
         let ending = match result {
-            AttemptResult::Correct { .. } => Ending::Completed,
-            AttemptResult::Incorrect(defect) => Ending::Broken {
+            Outcome::Correct { .. } => Ending::Completed,
+            Outcome::Incorrect(defect) => Ending::Broken {
                 defect: defect.into(),
             },
-            AttemptResult::Unknown => Ending::Unknown,
-            AttemptResult::Lost(cause) => Ending::Lost { cause },
-            AttemptResult::NotSent => Ending::Lost {
+            Outcome::Unknown => Ending::Unknown,
+            Outcome::Lost(cause) => Ending::Lost { cause },
+            Outcome::NotSent => Ending::Lost {
                 cause: "no router".into(),
             },
-            AttemptResult::NotRun(kind) => Ending::Refused {
+            Outcome::NotRun(kind) => Ending::Refused {
                 is_false: self
                     .view
                     .is_false_refusal(open_request, &kind, self.start.elapsed()),
--- a/crates/anvil_standins/src/load/experiment.rs
+++ b/crates/anvil_standins/src/load/experiment.rs
@@ -68,7 +68,7 @@
     };
     Kind {
         name: "load",
-        part: load.rate,
+        weight: load.rate,
         class: load.class,
         prefix,
         prompt: (load.prompt.0 - prefix, load.prompt.1 - prefix),
@@ -88,7 +88,7 @@
         .map(|(step, until)| Burst {
             from: step.at,
             until,
-            times: f64::from(step.percent) / 100.0,
+            factor: f64::from(step.percent) / 100.0,
         })
         .collect()
 }
--- a/crates/anvil_standins/src/load/policy.rs
+++ b/crates/anvil_standins/src/load/policy.rs
@@ -1,8 +1,8 @@
-//! The policy experiment: decisions under load against [`super::fake`], in virtual time.
+//! The policy simulation: routers' decisions under load, against [`super::fake`], in virtual time.
 //!
-//! The same seed gives the same arrivals to every [`Rule`], so that rules are compared on one
-//! and the same load. Arrivals are open-loop: a late answer holds no later request back, so
-//! waiting is not hidden.
+//! Every [`Rule`] gets the same arrivals for the same seed, so that rules are compared under the
+//! same load. Arrivals are open-loop: a late response does not delay later requests, so that
+//! queueing delay is not hidden.
 
 mod draw;
 pub mod kind;
@@ -17,9 +17,9 @@
 pub use rule::Rule;
 pub use scenario::PolicyScenario;
 
-/// Plays one scenario under one rule.
+/// Simulates one scenario under one rule.
 pub fn run_policy(scenario: &PolicyScenario, rule: &Rule) -> Report {
-    let mut world = simulation::World::new(scenario, rule);
-    world.play();
-    world.report()
+    let mut simulation = simulation::Simulation::new(scenario, rule);
+    simulation.run();
+    simulation.report()
 }
--- a/crates/anvil_standins/src/load/policy/draw.rs
+++ b/crates/anvil_standins/src/load/policy/draw.rs
@@ -1,4 +1,4 @@
-//! Draws the arrivals of a scenario. They depend on the seed alone, never on a rule's answers.
+//! Draws the arrivals of a scenario. They depend on the seed only, never on a rule's decisions.
 
 use std::time::Duration;
 
@@ -11,27 +11,27 @@
 use super::scenario::{Burst, Kind, PolicyScenario};
 
 impl PolicyScenario {
-    /// The zone of the endpoint or router at a place.
-    pub fn zone(&self, at: usize) -> Zone {
-        Zone::new("region", &format!("zone-{}", at % self.zones))
+    /// The zone of the endpoint or router with this index.
+    pub fn zone(&self, index: usize) -> Zone {
+        Zone::new("region", &format!("zone-{}", index % self.zones))
     }
 
-    /// Time until the next arrival.
-    pub fn gap(&self, now: Now, rng: &mut ChaCha8Rng) -> Duration {
+    /// Time until the next arrival, exponentially distributed.
+    pub fn arrival_gap(&self, now: Now, rng: &mut ChaCha8Rng) -> Duration {
         let burst = |burst: &&Burst| burst.from <= now && now < burst.until;
-        let times = self
+        let factor = self
             .bursts
             .iter()
             .find(burst)
-            .map_or(1.0, |burst| burst.times);
-        let even: f64 = rng.random_range(f64::EPSILON..1.0);
-        Duration::from_secs_f64(-even.ln() / (self.rate * times))
+            .map_or(1.0, |burst| burst.factor);
+        let uniform: f64 = rng.random_range(f64::EPSILON..1.0);
+        Duration::from_secs_f64(-uniform.ln() / (self.rate * factor))
     }
 
-    /// A request that arrives now.
-    pub fn draw(&self, now: Now, rng: &mut ChaCha8Rng) -> Request {
-        let kind = self.kind(rng);
-        let organisation = self.organisation(rng);
+    /// Draws a request that arrives now.
+    pub fn draw_request(&self, now: Now, rng: &mut ChaCha8Rng) -> Request {
+        let kind = self.draw_kind(rng);
+        let organisation = self.draw_organisation(rng);
         let prefix = rng.random_range(0..self.prefixes.max(1));
         let prefix = (organisation * self.prefixes + prefix) as PrefixHash;
         Request {
@@ -46,30 +46,32 @@
             deadline: now + kind.timeout,
             router: rng.random_range(0..self.routers),
             avoid: Vec::new(),
-            made: 0,
+            received: 0,
             first_token: None,
-            newest_token: now,
-            tries: 0,
-            going: None,
+            last_token: now,
+            attempts: 0,
+            attempt: None,
         }
     }
 
-    fn kind(&self, rng: &mut ChaCha8Rng) -> &Kind {
-        let all: u32 = self.kinds.iter().map(|kind| kind.part).sum();
-        let mut drawn = rng.random_range(0..all);
+    fn draw_kind(&self, rng: &mut ChaCha8Rng) -> &Kind {
+        let total: u32 = self.kinds.iter().map(|kind| kind.weight).sum();
+        let mut remaining = rng.random_range(0..total);
         for kind in &self.kinds {
-            if drawn < kind.part {
+            if remaining < kind.weight {
                 return kind;
             }
-            drawn -= kind.part;
+            remaining -= kind.weight;
         }
         &self.kinds[0]
     }
 
-    fn organisation(&self, rng: &mut ChaCha8Rng) -> usize {
+    fn draw_organisation(&self, rng: &mut ChaCha8Rng) -> usize {
         match self.skew {
-            Some((part, few)) if rng.random_bool(part) => rng.random_range(0..few),
-            Some((_, few)) => rng.random_range(few..self.organisations),
+            Some((large_part, large_count)) if rng.random_bool(large_part) => {
+                rng.random_range(0..large_count)
+            }
+            Some((_, large_count)) => rng.random_range(large_count..self.organisations),
             None => rng.random_range(0..self.organisations),
         }
     }
--- a/crates/anvil_standins/src/load/policy/kind.rs
+++ b/crates/anvil_standins/src/load/policy/kind.rs
@@ -1,4 +1,4 @@
-//! Kinds of requests: what clerks, buyers, counter staff and watchmakers send.
+//! Kinds of requests, modelled on the applications of the users.
 
 use std::time::Duration;
 
@@ -8,30 +8,30 @@
 /// A kind of request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Kind {
-    /// Its name.
+    /// Name of the kind.
     pub name: &'static str,
-    /// Its part of the arrivals, against the other kinds.
-    pub part: u32,
-    /// How it waits.
+    /// Relative share of the arrivals.
+    pub weight: u32,
+    /// Priority class.
     pub class: WorkClass,
     /// Tokens of the shared prefix.
     pub prefix: Tokens,
-    /// Least and most prompt tokens after the prefix.
+    /// Minimum and maximum prompt tokens after the prefix.
     pub prompt: (Tokens, Tokens),
-    /// Least and most output tokens.
+    /// Minimum and maximum output tokens.
     pub output: (Tokens, Tokens),
-    /// Output limit that the caller names.
+    /// Output limit in the request.
     pub output_bound: Tokens,
     /// Time from arrival to the deadline.
     pub timeout: Duration,
 }
 
 impl Kind {
-    /// A short question of counter staff.
+    /// A short question from counter staff.
     pub fn question() -> Self {
         Self {
             name: "question",
-            part: 80,
+            weight: 80,
             class: WorkClass::Interactive,
             prefix: 1_200,
             prompt: (40, 400),
@@ -41,11 +41,11 @@
         }
     }
 
-    /// A counter question of few words, which ends before the next load report tells of it.
+    /// A very short question, which ends before the next load report includes it.
     pub fn counter() -> Self {
         Self {
             name: "counter",
-            part: 93,
+            weight: 93,
             prefix: 200,
             prompt: (16, 128),
             output: (8, 64),
@@ -55,11 +55,11 @@
         }
     }
 
-    /// A ticket lookup: one short answer of a service that says nothing of tokens.
+    /// A ticket lookup: a short response from a service that does not report tokens.
     pub fn lookup() -> Self {
         Self {
             name: "lookup",
-            part: 1,
+            weight: 1,
             class: WorkClass::Interactive,
             prefix: 0,
             prompt: (10, 30),
@@ -73,7 +73,7 @@
     pub fn summary() -> Self {
         Self {
             name: "summary",
-            part: 17,
+            weight: 17,
             class: WorkClass::Interactive,
             prefix: 1_200,
             prompt: (800, 3_000),
@@ -87,7 +87,7 @@
     pub fn history() -> Self {
         Self {
             name: "history",
-            part: 3,
+            weight: 3,
             class: WorkClass::Batch,
             prefix: 1_200,
             prompt: (6_000, 14_000),
--- a/crates/anvil_standins/src/load/policy/report.rs
+++ b/crates/anvil_standins/src/load/policy/report.rs
@@ -1,4 +1,4 @@
-//! What an experiment measured, and how it is counted.
+//! The report of a simulation and the counters behind it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,95 +13,97 @@
 use super::scenario::PolicyScenario;
 use crate::load::fake::FakeEngine;
 
-/// Longest time that histograms tell apart, in microseconds.
-const LONGEST: u64 = 3_600_000_000;
+/// Greatest value of the histograms, in microseconds.
+const MAX_TIME_US: u64 = 3_600_000_000;
 
-/// Time before the rates are counted; a sixth of a shorter run.
+/// Time at the start that rates don't include; at most a sixth of the run.
 const WARM_UP: Duration = Duration::from_secs(20);
 
 fn warm_up(length: Duration) -> Duration {
     WARM_UP.min(length / 6)
 }
 
-/// Promised time between tokens.
-const PROMISED_GAP: Duration = Duration::from_millis(59);
+/// Target for the time between tokens.
+const MAX_TOKEN_GAP: Duration = Duration::from_millis(59);
 
-/// How a request ended.
+/// Result of a request.
 #[derive(Debug, Clone)]
-pub enum End {
-    /// Its caller has the whole answer.
+pub enum RequestEnd {
+    /// The caller received the complete response.
     Completed,
-    /// Turned away at once; whether capacity was there.
+    /// Refused, and whether capacity was available.
     Refused(Refusal, bool),
-    /// Let in and then given up on.
+    /// Admitted, and dropped before it started.
     GivenUp,
-    /// Every try failed.
+    /// All attempts failed.
     Failed,
 }
 
-/// What one experiment measured.
+/// Results of a simulation.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The rule.
+    /// Name of the rule.
     pub rule: String,
     /// The seed.
     pub seed: u64,
     /// Requests that arrived.
     pub offered: u64,
-    /// Answers that were whole.
+    /// Complete responses.
     pub completed: u64,
-    /// Answers within the deadline, whenever they ended.
+    /// Responses within the deadline, whenever they ended.
     pub in_deadline: u64,
-    /// Answers within the deadline, a second, from the end of the warm-up to the last arrival.
-    /// What ends later is not counted, or a long queue would look like a high rate.
+    /// Responses within the deadline, a second, from the end of the warm-up to the last arrival.
+    /// Later ones are not counted, because a long queue would look like a high rate.
     pub goodput: f64,
-    /// Of these, the answers whose tokens came no more than 59 ms apart in the mean.
+    /// Those of them whose mean time between tokens is at most 59 ms.
     pub kept: f64,
-    /// Output tokens of answers within the deadline, a second.
+    /// Output tokens of responses within the deadline, a second.
     pub good_tokens: f64,
-    /// Turned away.
+    /// Refused.
     pub refused: u64,
-    /// Turned away although capacity was there.
+    /// Refused although capacity was available.
     pub false_refused: u64,
-    /// Turned away without a time to come back.
+    /// Refused without a time to retry.
     pub refused_without_time: u64,
-    /// Let in and given up on.
+    /// Admitted, and dropped before they started.
     pub given_up: u64,
-    /// Failed after all tries.
+    /// Failed after all attempts.
     pub failed: u64,
     /// Batch work that did not complete.
     pub batch_lost: u64,
-    /// First token of interactive work, 50th in 100, in milliseconds.
+    /// Time to the first token of interactive work: 50th percentile, in milliseconds.
     pub first_p50: f64,
-    /// First token of interactive work, 95th in 100, in milliseconds.
+    /// Time to the first token of interactive work: 95th percentile, in milliseconds.
     pub first_p95: f64,
-    /// The same in the worst five seconds of arrivals.
+    /// The same for the arrivals of the worst five seconds.
     pub worst_first_p95: f64,
-    /// First token of batch work, 95th in 100, in milliseconds.
+    /// Time to the first token of batch work: 95th percentile, in milliseconds.
     pub batch_first_p95: f64,
-    /// Between tokens, 95th in 100, in milliseconds.
+    /// Time between tokens: 95th percentile, in milliseconds.
     pub between_p95: f64,
-    /// Jain's index of what organisations got against a max-min fair division.
+    /// Jain's index of the organisations' work relative to a max-min fair division.
     pub jain: f64,
-    /// Prefix tokens that were held where they were needed.
+    /// Share of prefix tokens that were cached at the chosen endpoint.
     pub prefix_hits: f64,
-    /// Work of the busiest endpoint against the mean.
+    /// Work of the busiest endpoint divided by the mean.
     pub hot_spot: f64,
-    /// Longest time that a refused caller waited to be told, in milliseconds.
+    /// Maximum time from arrival to refusal, in milliseconds.
     pub refusal_p100: f64,
-    /// Longest time to come back that was named, in milliseconds.
+    /// Maximum time to retry in a refusal, in milliseconds.
     pub longest_retry_after: f64,
-    /// Goodput in each ten seconds, by when answers ended.
+    /// Goodput in each interval of ten seconds, by the end of the responses.
     pub over_time: Vec<f64>,
-    /// The middle of the next: what most organisations see, however few send most of the load.
+    /// Median of `organisations_p95`: what a typical organisation sees, even if a few others send
+    /// most of the load.
     pub median_organisation_p95: f64,
-    /// Time of the first token of each organisation's interactive work, 95th in 100.
+    /// Time to the first token of each organisation's interactive work: 95th percentile, in
+    /// milliseconds.
     pub organisations_p95: BTreeMap<String, f64>,
 }
 
-/// Counts while the experiment goes.
+/// Counters of a running simulation.
 #[derive(Debug)]
 pub struct Tally {
     report: Report,
@@ -110,38 +112,38 @@
     first_over_time: BTreeMap<u64, Histogram<u64>>,
     batch_first: Histogram<u64>,
     between: Histogram<u64>,
-    good: u64,
+    in_time: u64,
     kept: u64,
     good_tokens: u64,
-    windows: BTreeMap<u64, u64>,
+    in_deadline_by_window: BTreeMap<u64, u64>,
     served: BTreeMap<OrganisationId, f64>,
-    wanted: BTreeMap<OrganisationId, f64>,
+    requested: BTreeMap<OrganisationId, f64>,
     by_organisation: BTreeMap<OrganisationId, Histogram<u64>>,
-    seconds: Vec<(usize, usize)>,
+    load_by_second: Vec<(usize, usize)>,
 }
 
 fn histogram() -> Histogram<u64> {
-    // The bounds are constants that the library accepts.
-    Histogram::new_with_bounds(1, LONGEST, 3).expect("constant bounds")
+    // Can't fail: the bounds are valid constants.
+    Histogram::new_with_bounds(1, MAX_TIME_US, 3).expect("constant bounds")
 }
 
 fn micros(time: Duration) -> u64 {
     u64::try_from(time.as_micros())
-        .unwrap_or(LONGEST)
-        .min(LONGEST)
+        .unwrap_or(MAX_TIME_US)
+        .min(MAX_TIME_US)
 }
 
 fn millis(histogram: &Histogram<u64>, quantile: f64) -> f64 {
-    real(histogram.value_at_quantile(quantile)) / 1_000.0
+    as_f64(histogram.value_at_quantile(quantile)) / 1_000.0
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^52")]
-fn real(count: u64) -> f64 {
+fn as_f64(count: u64) -> f64 {
     count as f64
 }
 
 impl Tally {
-    /// Nothing counted yet.
+    /// Counters at zero.
     pub fn new(scenario: &PolicyScenario, rule: &Rule) -> Self {
         Self {
             report: Report {
@@ -155,54 +157,54 @@
             first_over_time: BTreeMap::new(),
             batch_first: histogram(),
             between: histogram(),
-            good: 0,
+            in_time: 0,
             kept: 0,
             good_tokens: 0,
-            windows: BTreeMap::new(),
+            in_deadline_by_window: BTreeMap::new(),
             served: BTreeMap::new(),
-            wanted: BTreeMap::new(),
+            requested: BTreeMap::new(),
             by_organisation: BTreeMap::new(),
-            seconds: Vec::new(),
+            load_by_second: Vec::new(),
         }
     }
 
-    /// A request arrived.
+    /// Counts an arrival.
     pub fn arrived(&mut self, req: &Request) {
         self.report.offered += 1;
-        *self.wanted.entry(req.organisation.clone()).or_default() += work(req);
+        *self.requested.entry(req.organisation.clone()).or_default() += work_of(req);
     }
 
-    /// Two tokens came this far apart.
-    pub fn gap(&mut self, gap: Duration) {
+    /// Records the time between two tokens.
+    pub fn record_token_gap(&mut self, gap: Duration) {
         self.between.saturating_record(micros(gap).max(1));
     }
 
-    /// A second has passed, with so many running and waiting.
-    pub fn second(&mut self, now: Now, running: usize, waiting: usize) {
+    /// Records the running and waiting requests, once a second.
+    pub fn record_second(&mut self, now: Now, running: usize, waiting: usize) {
         if now <= self.length {
-            self.seconds.push((running, waiting));
+            self.load_by_second.push((running, waiting));
         }
     }
 
-    /// A request ended.
-    pub fn ended(&mut self, now: Now, req: &Request, end: &End) {
-        if req.class == WorkClass::Batch && !matches!(end, End::Completed) {
+    /// Counts the end of a request.
+    pub fn ended(&mut self, now: Now, req: &Request, end: &RequestEnd) {
+        if req.class == WorkClass::Batch && !matches!(end, RequestEnd::Completed) {
             self.report.batch_lost += 1;
         }
         match end {
-            End::Completed => self.completed(now, req),
-            End::Refused(refusal, capacity_there) => {
+            RequestEnd::Completed => self.completed(now, req),
+            RequestEnd::Refused(refusal, had_capacity) => {
                 self.report.refused += 1;
-                self.report.false_refused += u64::from(*capacity_there);
+                self.report.false_refused += u64::from(*had_capacity);
                 self.report.refused_without_time += u64::from(refusal.retry_after.is_none());
                 let after = refusal.retry_after.unwrap_or_default();
-                let after = real(micros(after)) / 1_000.0;
+                let after = as_f64(micros(after)) / 1_000.0;
                 self.report.longest_retry_after = self.report.longest_retry_after.max(after);
-                let told = real(micros(now.saturating_sub(req.arrived))) / 1_000.0;
-                self.report.refusal_p100 = self.report.refusal_p100.max(told);
+                let refused_after = as_f64(micros(now.saturating_sub(req.arrived))) / 1_000.0;
+                self.report.refusal_p100 = self.report.refusal_p100.max(refused_after);
             }
-            End::GivenUp => self.report.given_up += 1,
-            End::Failed => self.report.failed += 1,
+            RequestEnd::GivenUp => self.report.given_up += 1,
+            RequestEnd::Failed => self.report.failed += 1,
         }
     }
 
@@ -221,22 +223,25 @@
             own.or_insert_with(histogram).saturating_record(first);
         }
         if now <= req.deadline {
-            self.good(now, req);
-            *self.served.entry(req.organisation.clone()).or_default() += work(req);
+            self.in_time(now, req);
+            *self.served.entry(req.organisation.clone()).or_default() += work_of(req);
         }
     }
 
-    fn good(&mut self, now: Now, req: &Request) {
+    fn in_time(&mut self, now: Now, req: &Request) {
         self.report.in_deadline += 1;
-        *self.windows.entry(now.as_secs() / 10).or_default() += 1;
+        *self
+            .in_deadline_by_window
+            .entry(now.as_secs() / 10)
+            .or_default() += 1;
         if now > warm_up(self.length) && now <= self.length {
-            self.good += 1;
-            self.kept += u64::from(mean_gap(req) <= PROMISED_GAP);
+            self.in_time += 1;
+            self.kept += u64::from(mean_gap(req) <= MAX_TOKEN_GAP);
             self.good_tokens += req.output;
         }
     }
 
-    /// Adds everything up.
+    /// Makes the report.
     pub fn report(self, engines: &[FakeEngine], requests: &[Request]) -> Report {
         let secs = self
             .length
@@ -248,9 +253,9 @@
             .map(|(name, first)| (name.to_string(), millis(first, 0.95)))
             .collect();
         Report {
-            goodput: real(self.good) / secs,
-            kept: real(self.kept) / secs,
-            good_tokens: real(self.good_tokens) / secs,
+            goodput: as_f64(self.in_time) / secs,
+            kept: as_f64(self.kept) / secs,
+            good_tokens: as_f64(self.good_tokens) / secs,
             first_p50: millis(&self.first, 0.5),
             first_p95: millis(&self.first, 0.95),
             worst_first_p95: self
@@ -260,13 +265,13 @@
                 .fold(0.0, f64::max),
             batch_first_p95: millis(&self.batch_first, 0.95),
             between_p95: millis(&self.between, 0.95),
-            jain: jain(&self.served, &self.wanted),
+            jain: jain(&self.served, &self.requested),
             prefix_hits: prefix_hits(engines),
             hot_spot: hot_spot(engines),
             over_time: self
-                .windows
+                .in_deadline_by_window
                 .values()
-                .map(|good| real(*good) / 10.0)
+                .map(|in_time| as_f64(*in_time) / 10.0)
                 .collect(),
             median_organisation_p95: median(organisations_p95.values().copied().collect()),
             organisations_p95,
@@ -281,53 +286,57 @@
 }
 
 fn mean_gap(req: &Request) -> Duration {
-    let first = req.first_token.unwrap_or(req.newest_token);
+    let first = req.first_token.unwrap_or(req.last_token);
     let gaps = u32::try_from(req.output.saturating_sub(1)).unwrap_or(u32::MAX);
-    let whole = req.newest_token.saturating_sub(first);
+    let whole = req.last_token.saturating_sub(first);
     whole.checked_div(gaps).unwrap_or_default()
 }
 
-/// Work of a request in tokens, a prompt token as a tenth: about what it costs the fake.
-fn work(req: &Request) -> f64 {
-    real(req.prompt) / 10.0 + real(req.output)
+/// Work of a request in output tokens. A prompt token counts as a tenth, which is about its cost
+/// in the fake engine.
+fn work_of(req: &Request) -> f64 {
+    as_f64(req.prompt) / 10.0 + as_f64(req.output)
 }
 
 fn prefix_hits(engines: &[FakeEngine]) -> f64 {
-    let asked: Tokens = engines.iter().map(|engine| engine.prefix_tokens.0).sum();
-    let held: Tokens = engines.iter().map(|engine| engine.prefix_tokens.1).sum();
-    real(held) / real(asked.max(1))
+    let requested: Tokens = engines.iter().map(|engine| engine.prefix_tokens.0).sum();
+    let cached: Tokens = engines.iter().map(|engine| engine.prefix_tokens.1).sum();
+    as_f64(cached) / as_f64(requested.max(1))
 }
 
 fn hot_spot(engines: &[FakeEngine]) -> f64 {
     let busy = engines.iter().map(|engine| engine.busy.as_secs_f64());
-    let most = busy.clone().fold(0.0, f64::max);
-    let mean = busy.sum::<f64>() / real(engines.len() as u64);
-    most / mean.max(f64::MIN_POSITIVE)
+    let max = busy.clone().fold(0.0, f64::max);
+    let mean = busy.sum::<f64>() / as_f64(engines.len() as u64);
+    max / mean.max(f64::MIN_POSITIVE)
 }
 
-/// Jain's index over what each organisation got as a part of its max-min fair share.
-fn jain(served: &BTreeMap<OrganisationId, f64>, wanted: &BTreeMap<OrganisationId, f64>) -> f64 {
-    let fair = max_min(served.values().sum(), wanted);
-    let parts = fair.iter().map(|(name, fair)| {
-        let got = served.get(name).copied().unwrap_or_default();
-        (got / fair.max(f64::MIN_POSITIVE)).min(1.0)
+/// Jain's index over each organisation's served work, relative to its max-min fair share.
+fn jain(served: &BTreeMap<OrganisationId, f64>, requested: &BTreeMap<OrganisationId, f64>) -> f64 {
+    let fair = max_min(served.values().sum(), requested);
+    let ratios = fair.iter().map(|(name, fair)| {
+        let served_work = served.get(name).copied().unwrap_or_default();
+        (served_work / fair.max(f64::MIN_POSITIVE)).min(1.0)
     });
-    let (sum, squares) = parts.fold((0.0, 0.0), |(sum, squares), x| (sum + x, squares + x * x));
-    sum * sum / (real(fair.len() as u64) * squares).max(f64::MIN_POSITIVE)
+    let (sum, squares) = ratios.fold((0.0, 0.0), |(sum, squares), x| (sum + x, squares + x * x));
+    sum * sum / (as_f64(fair.len() as u64) * squares).max(f64::MIN_POSITIVE)
 }
 
-/// Divides what there is: nobody gets more than wanted, and nobody could get more without
-/// another who has less getting even less.
-fn max_min(mut left: f64, wanted: &BTreeMap<OrganisationId, f64>) -> BTreeMap<OrganisationId, f64> {
-    let mut by_want: Vec<_> = wanted.iter().collect();
-    by_want.sort_by(|a, b| a.1.total_cmp(b.1));
+/// Max-min fair division of `left`: no organisation gets more than it requested, and none could
+/// get more without reducing the share of one that has less.
+fn max_min(
+    mut left: f64,
+    requested: &BTreeMap<OrganisationId, f64>,
+) -> BTreeMap<OrganisationId, f64> {
+    let mut by_request: Vec<_> = requested.iter().collect();
+    by_request.sort_by(|a, b| a.1.total_cmp(b.1));
     let mut fair = BTreeMap::new();
-    let count = by_want.len();
-    for (nth, (name, want)) in by_want.into_iter().enumerate() {
-        let share = left / real((count - nth) as u64);
-        let got = share.min(*want);
-        left -= got;
-        fair.insert(name.clone(), got);
+    let count = by_request.len();
+    for (nth, (name, request)) in by_request.into_iter().enumerate() {
+        let share = left / as_f64((count - nth) as u64);
+        let allotted = share.min(*request);
+        left -= allotted;
+        fair.insert(name.clone(), allotted);
     }
     fair
 }
--- a/crates/anvil_standins/src/load/policy/request.rs
+++ b/crates/anvil_standins/src/load/policy/request.rs
@@ -1,4 +1,4 @@
-//! One request of the experiment, and its tries.
+//! A request of the simulation and its attempts.
 
 use anvil_policy::prefix::PrefixHash;
 use anvil_world::document::WorkClass;
@@ -6,73 +6,73 @@
 
 use crate::load::fake::FakeRun;
 
-/// One request.
+/// A request.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Who sends it.
+    /// The sending organisation.
     pub organisation: OrganisationId,
-    /// How it waits.
+    /// Priority class.
     pub class: WorkClass,
-    /// Its prefix.
+    /// Shared prefix of the prompt.
     pub prefix: PrefixHash,
     /// Tokens of the prefix.
     pub prefix_tokens: Tokens,
-    /// All prompt tokens.
+    /// Prompt tokens, including the prefix.
     pub prompt: Tokens,
-    /// Output tokens that it will make.
+    /// Output tokens of the complete response.
     pub output: Tokens,
-    /// Output limit that the caller names.
+    /// Output limit in the request.
     pub output_bound: Tokens,
-    /// When it arrived.
+    /// Time of arrival.
     pub arrived: Now,
-    /// When its caller leaves.
+    /// Time at which the caller gives up.
     pub deadline: Now,
-    /// The router it came to.
+    /// Index of the router that received it.
     pub router: usize,
-    /// Endpoints where it failed.
+    /// Endpoints at which it failed.
     pub avoid: Vec<InstanceId>,
-    /// Output tokens that its caller has.
-    pub made: Tokens,
-    /// When it got its first and its newest token.
+    /// Output tokens that the caller has received.
+    pub received: Tokens,
+    /// Time of the first token.
     pub first_token: Option<Now>,
-    /// When its newest token came.
-    pub newest_token: Now,
-    /// Tries so far.
-    pub tries: u32,
-    /// The try that is going: where, since when, from which token on, its first token.
-    pub going: Option<Going>,
+    /// Time of the most recent token.
+    pub last_token: Now,
+    /// Number of attempts so far.
+    pub attempts: u32,
+    /// The attempt in flight.
+    pub attempt: Option<Attempt>,
 }
 
-/// A try.
+/// An attempt.
 #[derive(Debug, Clone, Copy)]
-pub struct Going {
-    /// Where.
+pub struct Attempt {
+    /// Index of the endpoint.
     pub endpoint: usize,
-    /// Since when.
-    pub since: Now,
-    /// When its first token came.
+    /// Time of the start.
+    pub started: Now,
+    /// Time of the attempt's first token.
     pub first_token: Option<Now>,
-    /// Tokens that the caller had before it.
-    pub made_before: Tokens,
+    /// Output tokens that the caller had received before the attempt.
+    pub received_before: Tokens,
 }
 
 impl Request {
-    /// Begins a try at an endpoint, as request number `at`. What the caller has already is
-    /// prefilled again and not made again.
-    pub fn begin(&mut self, now: Now, at: usize, endpoint: usize) -> FakeRun {
-        self.tries += 1;
-        self.going = Some(Going {
+    /// Starts an attempt at an endpoint, for the request with this index. Output that the caller
+    /// has already received is prefilled and not generated again.
+    pub fn start_attempt(&mut self, now: Now, index: usize, endpoint: usize) -> FakeRun {
+        self.attempts += 1;
+        self.attempt = Some(Attempt {
             endpoint,
-            since: now,
+            started: now,
             first_token: None,
-            made_before: self.made,
+            received_before: self.received,
         });
         FakeRun {
-            request: at,
+            request: index,
             priority: u8::from(self.class == WorkClass::Batch),
             prefix: (self.prefix, self.prefix_tokens),
-            prompt: self.prompt + self.made,
-            output: self.output - self.made,
+            prompt: self.prompt + self.received,
+            output: self.output - self.received,
         }
     }
 }
--- a/crates/anvil_standins/src/load/policy/router.rs
+++ b/crates/anvil_standins/src/load/policy/router.rs
@@ -1,4 +1,4 @@
-//! One router of the experiment: the decisions of `anvil_policy`, joined as a router joins them.
+//! A simulated router, which combines the decisions of `anvil_policy` as the real router does.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -10,31 +10,31 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::request::Request;
-use super::rule::{ChoiceRule, EntryRule, Part, Rule};
+use super::rule::{AdmissionKind, ChoiceRule, Component, Rule};
 use super::scenario::PolicyScenario;
 
-/// Most requests that wait in the first-in-first-out baseline.
-const FIFO_LENGTH: usize = 4_096;
+/// Maximum queue length of the first-in-first-out baseline.
+const FIFO_CAPACITY: usize = 4_096;
 
-/// What becomes of a newcomer.
+/// Admission decision for a new request.
 #[derive(Debug)]
-pub enum Entry {
-    /// To be dispatched now.
-    Go,
-    /// It waits.
+pub enum Admission {
+    /// It is dispatched now.
+    Run,
+    /// It waits in the queue.
     Wait,
-    /// Turned away.
+    /// It is refused.
     Refuse(Refusal),
 }
 
-/// One router.
+/// A simulated router.
 #[derive(Debug)]
 pub struct SimRouter {
-    /// Where it stands.
+    /// Its availability zone.
     pub zone: Zone,
     /// Its retry budget.
     pub retries: RetryBudget,
-    /// Its random numbers.
+    /// Random numbers of its decisions.
     pub rng: ChaCha8Rng,
     rule: Rule,
     pool: Pool,
@@ -45,29 +45,29 @@
     chooser: Chooser,
     waiters: BTreeMap<WaiterId, usize>,
     fifo: VecDeque<usize>,
-    turn: usize,
+    next_turn: usize,
 }
 
 impl SimRouter {
-    /// A router that knows all endpoints.
-    pub fn new(at: usize, scenario: &PolicyScenario, rule: &Rule) -> Self {
+    /// A router with all endpoints of the scenario.
+    pub fn new(index: usize, scenario: &PolicyScenario, rule: &Rule) -> Self {
         let slots = u32::try_from(scenario.slots).unwrap_or(u32::MAX);
-        let state = |at| {
+        let state = |index| {
             Arc::new(EndpointState::new(
-                endpoint_id(at),
-                scenario.zone(at),
+                endpoint_id(index),
+                scenario.zone(index),
                 slots,
             ))
         };
         let pool = Pool::new((0..scenario.endpoints).map(state).collect());
         let admission = AdmissionRule {
-            max_wait: scenario.longest_wait,
+            max_wait: scenario.max_wait,
             ..AdmissionRule::default()
         };
-        let zone = scenario.zone(at);
+        let zone = scenario.zone(index);
         let mut router = Self {
             retries: RetryBudget::default(),
-            rng: ChaCha8Rng::seed_from_u64(scenario.seed.wrapping_mul(1_000) + at as u64),
+            rng: ChaCha8Rng::seed_from_u64(scenario.seed.wrapping_mul(1_000) + index as u64),
             rule: rule.clone(),
             gate: AdmissionGate::new(admission).with_limit(pool.headroom()),
             health: Health::new(health_rule(scenario, rule)),
@@ -76,7 +76,7 @@
             chooser: Chooser::default().with_zone(zone.clone()),
             waiters: BTreeMap::new(),
             fifo: VecDeque::new(),
-            turn: at,
+            next_turn: index,
             zone,
             pool,
         };
@@ -84,38 +84,38 @@
         router
     }
 
-    /// One endpoint as this router sees it.
-    pub fn endpoint(&self, at: usize) -> &Arc<EndpointState> {
-        &self.pool.endpoints()[at]
+    /// This router's state of an endpoint.
+    pub fn endpoint(&self, index: usize) -> &Arc<EndpointState> {
+        &self.pool.endpoints()[index]
     }
 
-    /// Requests that wait here.
+    /// Number of requests in the queue.
     pub fn waiting(&self) -> usize {
         self.gate.waiting() + self.fifo.len()
     }
 
-    /// Decides on a newcomer.
-    pub fn offer(&mut self, now: Now, at: usize, req: &Request) -> Entry {
+    /// Decides on the admission of a new request.
+    pub fn admit(&mut self, now: Now, index: usize, req: &Request) -> Admission {
         self.retries.record_first_attempt(now);
-        match self.rule.entry {
-            EntryRule::NoLimit => Entry::Go,
-            EntryRule::Fifo => self.offer_fifo(at),
-            EntryRule::Ours => self.offer_gate(now, at, req),
+        match self.rule.admission {
+            AdmissionKind::NoLimit => Admission::Run,
+            AdmissionKind::Fifo => self.admit_fifo(index),
+            AdmissionKind::Ours => self.admit_through_gate(now, index, req),
         }
     }
 
-    fn offer_fifo(&mut self, at: usize) -> Entry {
+    fn admit_fifo(&mut self, index: usize) -> Admission {
         if self.fifo.is_empty() && self.pool.headroom() > 0 {
-            return Entry::Go;
+            return Admission::Run;
         }
-        if self.fifo.len() >= FIFO_LENGTH {
-            return Entry::Refuse(Refusal::new(Reason::Overloaded));
+        if self.fifo.len() >= FIFO_CAPACITY {
+            return Admission::Refuse(Refusal::new(Reason::Overloaded));
         }
-        self.fifo.push_back(at);
-        Entry::Wait
+        self.fifo.push_back(index);
+        Admission::Wait
     }
 
-    fn offer_gate(&mut self, now: Now, at: usize, req: &Request) -> Entry {
+    fn admit_through_gate(&mut self, now: Now, index: usize, req: &Request) -> Admission {
         let ticket = Ticket {
             organisation: req.organisation.clone(),
             weight: 1,
@@ -125,38 +125,38 @@
             deadline: req.deadline,
         };
         match self.gate.offer(now, ticket) {
-            AdmissionDecision::Run => Entry::Go,
-            AdmissionDecision::Refuse(refusal) => Entry::Refuse(refusal),
+            AdmissionDecision::Run => Admission::Run,
+            AdmissionDecision::Refuse(refusal) => Admission::Refuse(refusal),
             AdmissionDecision::Wait(id) => {
-                self.waiters.insert(id, at);
-                Entry::Wait
+                self.waiters.insert(id, index);
+                Admission::Wait
             }
         }
     }
 
-    /// The next waiting request that may go, with its place to go back to.
+    /// Takes the next queued request that may run; its waiter is needed to requeue it.
     pub fn next(&mut self, now: Now) -> Option<(usize, Option<Waiter>)> {
-        if self.rule.entry == EntryRule::Fifo {
+        if self.rule.admission == AdmissionKind::Fifo {
             let free = self.pool.headroom() > 0;
             return free
                 .then(|| self.fifo.pop_front())
                 .flatten()
-                .map(|at| (at, None));
+                .map(|index| (index, None));
         }
         let waiter = self.gate.next(now)?;
-        let at = self.waiters.remove(&waiter.id)?;
-        Some((at, Some(waiter)))
+        let index = self.waiters.remove(&waiter.id)?;
+        Some((index, Some(waiter)))
     }
 
-    /// Puts back a request that found every endpoint full.
-    pub fn put_back(&mut self, now: Now, at: usize, waiter: Option<Waiter>, req: &Request) {
-        if self.rule.entry == EntryRule::Fifo {
-            self.fifo.push_front(at);
+    /// Requeues a request that found every endpoint full.
+    pub fn requeue(&mut self, now: Now, index: usize, waiter: Option<Waiter>, req: &Request) {
+        if self.rule.admission == AdmissionKind::Fifo {
+            self.fifo.push_front(index);
             return;
         }
         let waiter = waiter.unwrap_or_else(|| self.as_waiter(now, req));
         let id = self.gate.requeue(now, &waiter);
-        self.waiters.insert(id, at);
+        self.waiters.insert(id, index);
     }
 
     fn as_waiter(&self, now: Now, req: &Request) -> Waiter {
@@ -176,21 +176,23 @@
         }
     }
 
-    /// A request that was let in and is given up on now.
+    /// Takes a queued request that can no longer be started in time.
     pub fn expired(&mut self, now: Now) -> Option<usize> {
         let (waiter, _) = self.gate.expired(now)?;
         self.waiters.remove(&waiter.id)
     }
 
-    /// Where a request goes; nothing when all are full.
+    /// Chooses the endpoint for a request; `None` when all are full.
     pub fn choose(&mut self, now: Now, req: &Request) -> Option<usize> {
         let chosen = match self.rule.choice {
             ChoiceRule::Ours => self.choose_ours(now, req),
-            ChoiceRule::RoundRobin => self.one_after_the_other(),
-            ChoiceRule::LeastReported => self.by_least(EndpointState::reported),
+            ChoiceRule::RoundRobin => self.round_robin(),
+            ChoiceRule::LeastReported => self.least_loaded(EndpointState::reported),
             ChoiceRule::Random => {
-                let open = self.open();
-                (!open.is_empty()).then(|| open[self.rng.random_range(0..open.len())])
+                let accepting_endpoints = self.accepting_endpoints();
+                (!accepting_endpoints.is_empty()).then(|| {
+                    accepting_endpoints[self.rng.random_range(0..accepting_endpoints.len())]
+                })
             }
         }?;
         self.endpoint(chosen).start();
@@ -201,79 +203,80 @@
 
     fn choose_ours(&mut self, now: Now, req: &Request) -> Option<usize> {
         let mut cached = Vec::new();
-        if self.rule.without != Some(Part::Prefix) {
+        if self.rule.without != Some(Component::Prefix) {
             let holders = self.prefix.holders(now, &[req.prefix]).into_iter();
             cached.extend(holders.map(|(id, _)| (id, req.prefix_tokens)));
         }
-        let ask = ChoiceRequest {
+        let request = ChoiceRequest {
             prompt: req.prompt,
             cached: &cached,
             avoid: &req.avoid,
         };
-        match self.chooser.choose(&self.pool, &ask, &mut self.rng) {
+        match self.chooser.choose(&self.pool, &request, &mut self.rng) {
             Choice::Endpoint(endpoint) => endpoint_at(&endpoint.id),
-            Choice::Full if self.rule.entry == EntryRule::NoLimit => {
-                self.by_least(EndpointState::estimated_load)
+            Choice::Full if self.rule.admission == AdmissionKind::NoLimit => {
+                self.least_loaded(EndpointState::estimated_load)
             }
             Choice::Full | Choice::Unserved => None,
         }
     }
 
-    fn open(&self) -> Vec<usize> {
+    fn accepting_endpoints(&self) -> Vec<usize> {
         let all = self.pool.endpoints().iter().enumerate();
-        let open = all.filter(|(_, endpoint)| !endpoint.is_leaving());
-        open.map(|(at, _)| at).collect()
+        let accepting_endpoints = all.filter(|(_, endpoint)| !endpoint.is_leaving());
+        accepting_endpoints.map(|(index, _)| index).collect()
     }
 
-    fn one_after_the_other(&mut self) -> Option<usize> {
-        let open = self.open();
-        self.turn += 1;
-        (!open.is_empty()).then(|| open[self.turn % open.len()])
+    fn round_robin(&mut self) -> Option<usize> {
+        let accepting_endpoints = self.accepting_endpoints();
+        self.next_turn += 1;
+        (!accepting_endpoints.is_empty())
+            .then(|| accepting_endpoints[self.next_turn % accepting_endpoints.len()])
     }
 
-    fn by_least(&self, load: impl Fn(&EndpointState) -> u32) -> Option<usize> {
-        let open = self.open().into_iter();
-        open.min_by_key(|at| load(self.endpoint(*at)))
+    fn least_loaded(&self, load: impl Fn(&EndpointState) -> u32) -> Option<usize> {
+        let accepting_endpoints = self.accepting_endpoints().into_iter();
+        accepting_endpoints.min_by_key(|index| load(self.endpoint(*index)))
     }
 
-    /// A try has ended; `answered` is nothing when the endpoint failed.
-    pub fn ended(&mut self, now: Now, endpoint: usize, answered: Option<FinishedRequest>) {
+    /// Records the end of an attempt; `finished_request` is `None` when the endpoint failed.
+    pub fn ended(&mut self, now: Now, endpoint: usize, finished_request: Option<FinishedRequest>) {
         let state = Arc::clone(self.endpoint(endpoint));
         state.finish();
-        let Some(finished) = answered else {
+        let Some(finished) = finished_request else {
             self.health.observe(now, &state, &AttemptResult::Failed);
             return;
         };
-        let latency = latency_of(&self.estimate, &finished);
+        let latency = observed_latency(&self.estimate, &finished);
         let ended = AttemptResult::Answered(latency);
         self.health.observe(now, &state, &ended);
         self.estimate.learn(&finished);
     }
 
-    /// A request no longer holds its place.
+    /// Releases the request's place at admission.
     pub fn finished(&mut self) {
         self.gate.finished();
     }
 
-    /// Looks at room; often.
+    /// Updates the admission limit from the endpoints' headroom.
     pub fn tick(&mut self) {
         let limit = self.gate.running().saturating_add(self.pool.headroom());
         self.gate.set_limit(limit);
     }
 
-    /// Judges endpoints; once a second.
-    pub fn judge(&mut self, now: Now) {
+    /// Evaluates the health of all endpoints.
+    pub fn evaluate_health(&mut self, now: Now) {
         self.health.tick(now, &self.pool);
     }
 
-    /// Takes in a report.
+    /// Applies a load report.
     pub fn report(&mut self, now: Now, endpoint: usize, load: &LoadReport) {
         let state = &self.pool.endpoints()[endpoint];
         self.health.report(now, state, load);
     }
 
-    /// Takes in a cache event.
-    pub fn heard(&mut self, now: Now, endpoint: usize, event: &CacheEvent) {
+    /// Applies a cache event.
+    pub fn apply_cache_event(&mut self, now: Now, endpoint: usize, event: &CacheEvent) {
         let id = self.endpoint(endpoint).id.clone();
         self.prefix.apply_event(now, &id, event);
     }
@@ -286,20 +289,21 @@
         ..HealthRule::default()
     };
     match rule.without {
-        Some(Part::Limit) => {
+        Some(Component::Limit) => {
             health.limit.min_kept = 1.0;
             health.limit.initial_part = 1.0;
             health.limit.max_token_gap = Duration::MAX;
         }
-        Some(Part::Ejection) => health.ejection.max_ejected = 0.0,
-        Some(Part::LimitStart) => health.limit.initial_part = 1.0,
-        Some(Part::Prefix) | None => {}
+        Some(Component::Ejection) => health.ejection.max_ejected = 0.0,
+        Some(Component::LimitStart) => health.limit.initial_part = 1.0,
+        Some(Component::Prefix) | None => {}
     }
     health
 }
 
-/// What a finished try says of its endpoint: its prompt's own prefill is not its fault.
-fn latency_of(estimate: &Estimate, finished: &FinishedRequest) -> Latency {
+/// Latency that a finished attempt shows of its endpoint, without the expected prefill of its own
+/// prompt.
+fn observed_latency(estimate: &Estimate, finished: &FinishedRequest) -> Latency {
     let prefill = estimate.prefill_time(finished.prompt);
     let rest = finished.total.saturating_sub(finished.first_token);
     let gaps = u32::try_from(finished.output.saturating_sub(1)).unwrap_or(u32::MAX);
@@ -309,8 +313,8 @@
     }
 }
 
-fn endpoint_id(at: usize) -> InstanceId {
-    format!("{at}").into()
+fn endpoint_id(index: usize) -> InstanceId {
+    format!("{index}").into()
 }
 
 fn endpoint_at(id: &str) -> Option<usize> {
--- a/crates/anvil_standins/src/load/policy/rule.rs
+++ b/crates/anvil_standins/src/load/policy/rule.rs
@@ -1,110 +1,110 @@
-//! The rules that are compared: ours and the named baselines.
+//! The rules that are compared: ours, baselines and ablations.
 
 /// How an endpoint is chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChoiceRule {
     /// [`anvil_policy::choice`].
     Ours,
-    /// One after the other.
+    /// All endpoints in turn.
     RoundRobin,
-    /// The least of all reported load, without one's own count.
+    /// The endpoint with the least reported load, without the router's own count of requests.
     LeastReported,
-    /// Any.
+    /// A random endpoint.
     Random,
 }
 
-/// How requests are let in and wait.
+/// How requests are admitted and queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EntryRule {
+pub enum AdmissionKind {
     /// [`anvil_policy::admission`].
     Ours,
-    /// Everything is sent on at once.
+    /// All requests are dispatched at once.
     NoLimit,
-    /// In order of arrival, refused only when the queue is full.
+    /// First in, first out; requests are refused only when the queue is full.
     Fifo,
 }
 
-/// A part of ours that can be taken out, to see what it is worth.
+/// A component of our rule that can be removed to measure its effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
-    /// Limits that follow latency.
+pub enum Component {
+    /// Concurrency limits that adapt to latency.
     Limit,
     /// Ejection of slow and failing endpoints.
     Ejection,
-    /// Limits that begin at half of the slots.
+    /// Limits that start at half of the slots.
     LimitStart,
-    /// Affinity to cached prefixes.
+    /// Preference for endpoints with the cached prefix.
     Prefix,
 }
 
-/// One rule of the experiment.
+/// A rule of the simulation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rule {
-    /// Its name in tables.
+    /// Name, used in tables.
     pub name: &'static str,
     /// How an endpoint is chosen.
     pub choice: ChoiceRule,
-    /// How requests are let in.
-    pub entry: EntryRule,
-    /// What is taken out of it.
-    pub without: Option<Part>,
+    /// How requests are admitted.
+    pub admission: AdmissionKind,
+    /// The component that is removed, if any.
+    pub without: Option<Component>,
 }
 
 impl Rule {
-    /// Ours.
+    /// Our rule.
     pub fn ours() -> Self {
         Self {
             name: "anvilreel",
             choice: ChoiceRule::Ours,
-            entry: EntryRule::Ours,
+            admission: AdmissionKind::Ours,
             without: None,
         }
     }
 
-    /// With another name.
+    /// Replaces the name.
     pub fn named(mut self, name: &'static str) -> Self {
         self.name = name;
         self
     }
 
-    /// With another choice of endpoint, which looks at nothing else.
+    /// Replaces the choice of the endpoint by one without further criteria.
     pub fn with_choice(mut self, choice: ChoiceRule) -> Self {
         self.choice = choice;
         self
     }
 
-    /// With another door.
-    pub fn with_entry(mut self, entry: EntryRule) -> Self {
-        self.entry = entry;
+    /// Replaces the admission.
+    pub fn with_admission(mut self, admission: AdmissionKind) -> Self {
+        self.admission = admission;
         self
     }
 
-    /// Without a part.
-    pub fn without(mut self, part: Part) -> Self {
-        self.without = Some(part);
+    /// Removes a component.
+    pub fn without(mut self, component: Component) -> Self {
+        self.without = Some(component);
         self
     }
 
-    /// The named baselines. The first three change only the choice, the last two only the door.
+    /// The baselines. The first three change only the choice, the last two only the admission.
     pub fn baselines() -> Vec<Self> {
         let ours = |name| Self::ours().named(name);
         vec![
             ours("round-robin").with_choice(ChoiceRule::RoundRobin),
             ours("least-reported").with_choice(ChoiceRule::LeastReported),
             ours("random").with_choice(ChoiceRule::Random),
-            ours("no-limit").with_entry(EntryRule::NoLimit),
-            ours("fifo").with_entry(EntryRule::Fifo),
+            ours("no-limit").with_admission(AdmissionKind::NoLimit),
+            ours("fifo").with_admission(AdmissionKind::Fifo),
         ]
     }
 
-    /// Ours with one part taken out each.
+    /// Our rule with one component removed in each.
     pub fn ablations() -> Vec<Self> {
         let ours = |name| Self::ours().named(name);
         vec![
-            ours("without-limit").without(Part::Limit),
-            ours("without-ejection").without(Part::Ejection),
-            ours("without-limit-start").without(Part::LimitStart),
-            ours("without-prefix").without(Part::Prefix),
+            ours("without-limit").without(Component::Limit),
+            ours("without-ejection").without(Component::Ejection),
+            ours("without-limit-start").without(Component::LimitStart),
+            ours("without-prefix").without(Component::Prefix),
         ]
     }
 }
--- a/crates/anvil_standins/src/load/policy/scenario.rs
+++ b/crates/anvil_standins/src/load/policy/scenario.rs
@@ -1,4 +1,4 @@
-//! A load to be played: who sends what, how often, and what goes wrong.
+//! Scenarios of the policy simulation: load, bursts and faults.
 
 use std::time::Duration;
 
@@ -7,60 +7,62 @@
 pub use super::kind::Kind;
 use crate::load::fake::Fault;
 
-/// From when to when the rate is multiplied.
+/// A time during which the arrival rate is multiplied.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Burst {
-    /// Begin.
+    /// Start.
     pub from: Duration,
     /// End.
     pub until: Duration,
-    /// Times the rate.
-    pub times: f64,
+    /// Factor of the rate.
+    pub factor: f64,
 }
 
-/// A fault of some endpoints for some time.
+/// A fault of some endpoints, and its duration.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FaultAt {
-    /// Begin.
+    /// Start.
     pub from: Duration,
     /// End.
     pub until: Duration,
-    /// First endpoint.
+    /// Index of the first endpoint.
     pub first: usize,
-    /// How many endpoints, every `step`-th from the first.
+    /// Number of endpoints, every `step`-th from the first.
     pub count: usize,
-    /// Distance between them; zones alternate, so the number of zones takes one zone whole.
+    /// Distance between them. Endpoints are assigned to zones in turn, so that a distance of the
+    /// number of zones selects one whole zone.
     pub step: usize,
-    /// What is wrong.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// One experiment.
+/// A scenario of the simulation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PolicyScenario {
-    /// Its name.
+    /// Name of the scenario.
     pub name: &'static str,
-    /// Seed of arrivals, lengths and draws.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// How long requests arrive. The run goes on until all have ended.
+    /// Time during which requests arrive. The run continues until all have ended.
     pub length: Duration,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Endpoints.
+    /// Number of endpoints.
     pub endpoints: usize,
-    /// Availability zones; endpoints and routers take turns over them.
+    /// Number of availability zones; endpoints and routers are assigned to them in turn.
     pub zones: usize,
-    /// Slots of an endpoint.
+    /// Number of slots of an endpoint.
     pub slots: usize,
-    /// Prefix cache of an endpoint, in tokens.
+    /// Capacity of an endpoint's prefix cache, in tokens.
     pub cache: Tokens,
-    /// Arrivals a second over the fleet.
+    /// Total arrivals a second.
     pub rate: f64,
-    /// Organisations.
+    /// Number of organisations.
     pub organisations: usize,
-    /// Part of the arrivals that the first organisations send, and how many they are.
+    /// Share of the arrivals that the first organisations send, and the number of these
+    /// organisations.
     pub skew: Option<(f64, usize)>,
-    /// Prefixes in use for each organisation.
+    /// Number of prefixes of each organisation.
     pub prefixes: usize,
     /// Kinds of requests.
     pub kinds: Vec<Kind>,
@@ -68,18 +70,19 @@
     pub bursts: Vec<Burst>,
     /// Faults.
     pub faults: Vec<FaultAt>,
-    /// Time between reports of an endpoint.
+    /// Interval of an endpoint's load reports.
     pub report_every: Duration,
     /// Age of a report when it arrives.
     pub report_lag: Duration,
-    /// Part of the cache events that is lost.
+    /// Share of cache events that are lost.
     pub events_lost: f64,
-    /// Longest wait of interactive work.
-    pub longest_wait: Duration,
+    /// Maximum wait of interactive work.
+    pub max_wait: Duration,
 }
 
-/// Arrivals a second that nine endpoints carry with the kinds of [`PolicyScenario::default`].
-/// Measured: see the table "where 100% is" in `docs/design/04-decisions.md`.
+/// Arrivals a second that nine endpoints can serve with the kinds of
+/// [`PolicyScenario::default`]. Measured: see the table "where 100% is" in
+/// `docs/design/04-decisions.md`.
 pub const FULL_RATE: f64 = 40.0;
 
 impl Default for PolicyScenario {
@@ -103,32 +106,32 @@
             report_every: Duration::from_millis(500),
             report_lag: Duration::from_millis(500),
             events_lost: 0.05,
-            longest_wait: Duration::from_secs(30),
+            max_wait: Duration::from_secs(30),
         }
     }
 }
 
 impl PolicyScenario {
-    /// With another name.
+    /// Replaces the name.
     pub fn named(mut self, name: &'static str) -> Self {
         self.name = name;
         self
     }
 
-    /// At this part of the full rate.
-    pub fn at(mut self, load: f64) -> Self {
+    /// Sets the rate to this fraction of the full rate.
+    pub fn at_load(mut self, load: f64) -> Self {
         let endpoints = u32::try_from(self.endpoints).unwrap_or(u32::MAX);
         self.rate = FULL_RATE * load * f64::from(endpoints) / 9.0;
         self
     }
 
-    /// With this seed.
+    /// Replaces the seed.
     pub fn with_seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// With a fault of one endpoint from 30 s to 75 s.
+    /// Adds a fault of one endpoint from 30 s to 75 s.
     pub fn with_fault(mut self, fault: Fault) -> Self {
         self.faults.push(FaultAt {
             from: Duration::from_secs(30),
@@ -141,13 +144,13 @@
         self
     }
 
-    /// The loads of the users' letter, at the sizes of today.
+    /// The loads that the users require, at the sizes of the current deployments.
     pub fn all() -> Vec<Self> {
         let base = Self::default;
         let burst = Burst {
             from: Duration::from_secs(30),
             until: Duration::from_secs(36),
-            times: 10.0,
+            factor: 10.0,
         };
         let zone = FaultAt {
             from: Duration::from_secs(30),
@@ -165,7 +168,7 @@
             step: 1,
             fault: Fault::Down,
         };
-        // A service that has just started fills its caches and pools first.
+        // A service is slow after its start, until its caches and pools are filled.
         let cold = FaultAt {
             from: Duration::from_secs(50),
             until: Duration::from_secs(58),
@@ -173,33 +176,33 @@
             ..lost
         };
         vec![
-            base().named("steady-50").at(0.5),
-            base().named("steady-90").at(0.9),
-            base().named("full-100").at(1.0),
-            base().named("saturation-150").at(1.5),
+            base().named("steady-50").at_load(0.5),
+            base().named("steady-90").at_load(0.9),
+            base().named("full-100").at_load(1.0),
+            base().named("saturation-150").at_load(1.5),
             Self {
                 bursts: vec![burst],
-                ..base().named("burst-10x").at(0.4)
+                ..base().named("burst-10x").at_load(0.4)
             },
             Self {
                 skew: Some((0.9, 2)),
-                ..base().named("skew-two-90").at(1.3)
+                ..base().named("skew-two-90").at_load(1.3)
             },
             Self {
                 kinds: vec![
                     Kind::question(),
                     Kind {
-                        part: 20,
+                        weight: 20,
                         ..Kind::history()
                     },
                 ],
-                ..base().named("long-among-short").at(0.6)
+                ..base().named("long-among-short").at_load(0.6)
             },
             Self {
                 kinds: vec![
                     Kind::counter(),
                     Kind {
-                        part: 7,
+                        weight: 7,
                         ..Kind::history()
                     },
                 ],
@@ -209,7 +212,7 @@
             },
             base()
                 .named("slow-10x")
-                .at(0.7)
+                .at_load(0.7)
                 .with_fault(Fault::Slow(10.0)),
             Self {
                 kinds: vec![Kind::lookup()],
@@ -219,9 +222,12 @@
             .with_fault(Fault::Slow(10.0)),
             base()
                 .named("fails-fast")
-                .at(0.7)
+                .at_load(0.7)
                 .with_fault(Fault::FailsFast),
-            base().named("cold-return").at(0.8).with_fault(Fault::Down),
+            base()
+                .named("cold-return")
+                .at_load(0.8)
+                .with_fault(Fault::Down),
             Self {
                 kinds: vec![Kind::lookup()],
                 rate: 1_500.0,
@@ -232,12 +238,12 @@
             },
             Self {
                 faults: vec![zone],
-                ..base().named("zone-lost").at(0.6)
+                ..base().named("zone-lost").at_load(0.6)
             },
             Self {
                 faults: vec![zone],
                 routers: 30,
-                ..base().named("zone-lost-30-routers").at(0.6)
+                ..base().named("zone-lost-30-routers").at_load(0.6)
             },
         ]
     }
--- a/crates/anvil_standins/src/load/policy/simulation.rs
+++ b/crates/anvil_standins/src/load/policy/simulation.rs
@@ -1,4 +1,7 @@
-//! The world of one experiment: arrivals, endpoints, routers and the order of events.
+//! The discrete event simulation of one scenario: arrivals, endpoints, routers and faults.
+//!
+//! Events are processed in the order of their times, and events of the same time in the order in
+//! which they were scheduled, so that a run is repeatable.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,42 +12,42 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::report::{End, Report, Tally};
+use super::report::{Report, RequestEnd, Tally};
 use super::request::Request;
-use super::router::{Entry, SimRouter};
+use super::router::{Admission, SimRouter};
 use super::rule::Rule;
 use super::scenario::PolicyScenario;
 use crate::load::fake::{FakeEngine, Fault};
 
-/// Time between looks at room.
-const TICK: Duration = Duration::from_millis(50);
-/// Time between judgements of endpoints.
-const JUDGE: Duration = Duration::from_secs(1);
-/// After this time beyond the last arrival the run is cut off, as a bound.
-const LONGEST_TAIL: Duration = Duration::from_mins(10);
-/// Time until a failing endpoint has failed a run.
+/// Interval at which routers update their limits and dispatch queued requests.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which routers evaluate the health of endpoints.
+const HEALTH_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum time from the last arrival to the end of the run.
+const MAX_DRAIN_TIME: Duration = Duration::from_mins(10);
+/// Time in which a failing endpoint fails a run.
 const FAIL_TIME: Duration = Duration::from_millis(3);
-/// Time until the platform's list says that an endpoint is gone or back.
+/// Delay until the platform's list shows that an endpoint is gone or back.
 const LIST_LAG: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Clone)]
 enum Event {
     Arrive,
-    Step { endpoint: usize, life: u64 },
-    Measure(usize),
-    Heard(usize, LoadReport, Vec<CacheEvent>),
+    Step { endpoint: usize, incarnation: u64 },
+    MakeReport(usize),
+    DeliverReport(usize, LoadReport, Vec<CacheEvent>),
     Tick,
-    Judge,
+    EvaluateHealth,
     FaultFrom(usize),
     FaultUntil(usize),
-    Listed { endpoint: usize, leaving: bool },
+    UpdateListing { endpoint: usize, leaving: bool },
     Failed(usize),
-    Again(usize),
+    Retry(usize),
 }
 
-/// All of one experiment.
+/// State of one simulation.
 #[derive(Debug)]
-pub struct World<'a> {
+pub struct Simulation<'a> {
     scenario: &'a PolicyScenario,
     now: Now,
     seq: u64,
@@ -53,17 +56,17 @@
     requests: Vec<Request>,
     routers: Vec<SimRouter>,
     engines: Vec<FakeEngine>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     cache_seqs: Vec<u64>,
-    open: usize,
+    open_requests: usize,
     tally: Tally,
 }
 
-impl<'a> World<'a> {
-    /// The world at its begin.
+impl<'a> Simulation<'a> {
+    /// A simulation at its start.
     pub fn new(scenario: &'a PolicyScenario, rule: &Rule) -> Self {
         let routers = 0..scenario.routers;
-        let mut world = Self {
+        let mut simulation = Self {
             scenario,
             now: Duration::ZERO,
             seq: 0,
@@ -71,54 +74,56 @@
             rng: ChaCha8Rng::seed_from_u64(scenario.seed),
             requests: Vec::new(),
             routers: routers
-                .map(|at| SimRouter::new(at, scenario, rule))
+                .map(|index| SimRouter::new(index, scenario, rule))
                 .collect(),
             engines: vec![FakeEngine::new(scenario.slots, scenario.cache); scenario.endpoints],
-            lives: vec![0; scenario.endpoints],
+            incarnations: vec![0; scenario.endpoints],
             cache_seqs: vec![0; scenario.endpoints],
-            open: 0,
+            open_requests: 0,
             tally: Tally::new(scenario, rule),
         };
-        world.plan();
-        world
+        simulation.schedule_initial_events();
+        simulation
     }
 
-    fn plan(&mut self) {
-        self.at(Duration::ZERO, Event::Arrive);
-        self.at(TICK, Event::Tick);
-        self.at(JUDGE, Event::Judge);
+    fn schedule_initial_events(&mut self) {
+        self.schedule(Duration::ZERO, Event::Arrive);
+        self.schedule(TICK_INTERVAL, Event::Tick);
+        self.schedule(HEALTH_INTERVAL, Event::EvaluateHealth);
         for endpoint in 0..self.engines.len() {
-            // Reports come at different times, as they do in life.
+            // Endpoints report at different times, as real ones do.
             let share = u32::try_from(endpoint).unwrap_or(0) % 16;
-            self.at(
+            self.schedule(
                 self.scenario.report_every * share / 16,
-                Event::Measure(endpoint),
+                Event::MakeReport(endpoint),
             );
         }
-        for (at, fault) in self.scenario.faults.iter().enumerate() {
-            self.at(fault.from, Event::FaultFrom(at));
-            self.at(fault.until, Event::FaultUntil(at));
+        for (index, fault) in self.scenario.faults.iter().enumerate() {
+            self.schedule(fault.from, Event::FaultFrom(index));
+            self.schedule(fault.until, Event::FaultUntil(index));
         }
     }
 
-    fn at(&mut self, time: Now, event: Event) {
+    fn schedule(&mut self, time: Now, event: Event) {
         self.seq += 1;
         self.events.insert((time, self.seq), event);
     }
 
-    /// Plays until all requests have ended.
-    pub fn play(&mut self) {
+    /// Runs until all requests have ended.
+    pub fn run(&mut self) {
         while let Some(((time, _), event)) = self.events.pop_first() {
             self.now = time;
-            let over = time > self.scenario.length;
-            if over && self.open == 0 || time > self.scenario.length + LONGEST_TAIL {
+            let arrivals_over = time > self.scenario.length;
+            if arrivals_over && self.open_requests == 0
+                || time > self.scenario.length + MAX_DRAIN_TIME
+            {
                 break;
             }
             self.handle(event);
         }
     }
 
-    /// What was measured.
+    /// The report of the run.
     pub fn report(self) -> Report {
         self.tally.report(&self.engines, &self.requests)
     }
@@ -126,17 +131,22 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive => self.arrive(),
-            Event::Step { endpoint, life } if life == self.lives[endpoint] => self.step(endpoint),
+            Event::Step {
+                endpoint,
+                incarnation,
+            } if incarnation == self.incarnations[endpoint] => self.step(endpoint),
             Event::Step { .. } => {}
-            Event::Measure(endpoint) => self.measure(endpoint),
-            Event::Heard(endpoint, load, events) => self.heard(endpoint, &load, &events),
+            Event::MakeReport(endpoint) => self.make_report(endpoint),
+            Event::DeliverReport(endpoint, load, events) => {
+                self.deliver_report(endpoint, &load, &events)
+            }
             Event::Tick => self.tick(),
-            Event::Judge => self.judge(),
-            Event::FaultFrom(at) => self.fault(at, true),
-            Event::FaultUntil(at) => self.fault(at, false),
-            Event::Listed { endpoint, leaving } => self.listed(endpoint, leaving),
+            Event::EvaluateHealth => self.evaluate_health(),
+            Event::FaultFrom(index) => self.fault(index, true),
+            Event::FaultUntil(index) => self.fault(index, false),
+            Event::UpdateListing { endpoint, leaving } => self.update_listing(endpoint, leaving),
             Event::Failed(request) => self.failed(request),
-            Event::Again(request) => self.again(request),
+            Event::Retry(request) => self.retry(request),
         }
     }
 
@@ -144,46 +154,46 @@
         if self.now > self.scenario.length {
             return;
         }
-        let gap = self.scenario.gap(self.now, &mut self.rng);
-        self.at(self.now + gap, Event::Arrive);
-        let req = self.scenario.draw(self.now, &mut self.rng);
-        let at = self.requests.len();
-        self.open += 1;
+        let arrival_gap = self.scenario.arrival_gap(self.now, &mut self.rng);
+        self.schedule(self.now + arrival_gap, Event::Arrive);
+        let req = self.scenario.draw_request(self.now, &mut self.rng);
+        let index = self.requests.len();
+        self.open_requests += 1;
         self.tally.arrived(&req);
-        match self.routers[req.router].offer(self.now, at, &req) {
-            Entry::Go => {
+        match self.routers[req.router].admit(self.now, index, &req) {
+            Admission::Run => {
                 self.requests.push(req);
-                self.dispatch(at, None);
+                self.dispatch(index, None);
             }
-            Entry::Wait => self.requests.push(req),
-            Entry::Refuse(refusal) => {
+            Admission::Wait => self.requests.push(req),
+            Admission::Refuse(refusal) => {
                 self.requests.push(req);
-                let end = End::Refused(refusal, self.capacity_there());
-                self.end(at, &end);
+                let end = RequestEnd::Refused(refusal, self.has_capacity());
+                self.end_request(index, &end);
             }
         }
     }
 
-    /// Whether the fleet could have taken one more beside all that waits, seen from above.
-    fn capacity_there(&self) -> bool {
-        let room = |engine: &FakeEngine| match engine.fault {
-            None => GOOD_BATCH.saturating_sub(engine.running() + engine.queued()),
+    /// Whether the fleet has capacity for one more request beyond all queued ones, by a global view.
+    fn has_capacity(&self) -> bool {
+        let headroom = |engine: &FakeEngine| match engine.fault {
+            None => MAX_GOOD_BATCH.saturating_sub(engine.running() + engine.queued()),
             Some(_) => 0,
         };
-        let rooms: usize = self.engines.iter().map(room).sum();
-        rooms > self.routers.iter().map(SimRouter::waiting).sum()
+        let total_headroom: usize = self.engines.iter().map(headroom).sum();
+        total_headroom > self.routers.iter().map(SimRouter::waiting).sum()
     }
 
-    fn dispatch(&mut self, at: usize, waiter: Option<Waiter>) -> bool {
-        let router = self.requests[at].router;
-        let Some(endpoint) = self.routers[router].choose(self.now, &self.requests[at]) else {
-            self.routers[router].put_back(self.now, at, waiter, &self.requests[at]);
+    fn dispatch(&mut self, index: usize, waiter: Option<Waiter>) -> bool {
+        let router = self.requests[index].router;
+        let Some(endpoint) = self.routers[router].choose(self.now, &self.requests[index]) else {
+            self.routers[router].requeue(self.now, index, waiter, &self.requests[index]);
             return false;
         };
-        let run = self.requests[at].begin(self.now, at, endpoint);
+        let run = self.requests[index].start_attempt(self.now, index, endpoint);
         let fault = self.engines[endpoint].fault;
         if matches!(fault, Some(Fault::FailsFast | Fault::Down)) {
-            self.at(self.now + FAIL_TIME, Event::Failed(at));
+            self.schedule(self.now + FAIL_TIME, Event::Failed(index));
             return true;
         }
         self.engines[endpoint].push(run);
@@ -193,185 +203,196 @@
 
     fn start_step(&mut self, endpoint: usize) {
         if let Some(length) = self.engines[endpoint].start_step() {
-            let life = self.lives[endpoint];
-            self.at(self.now + length, Event::Step { endpoint, life });
+            let incarnation = self.incarnations[endpoint];
+            self.schedule(
+                self.now + length,
+                Event::Step {
+                    endpoint,
+                    incarnation,
+                },
+            );
         }
     }
 
     fn step(&mut self, endpoint: usize) {
         let result = self.engines[endpoint].end_step();
-        for (at, first) in result.tokens {
-            self.token(at, first);
+        for (index, first) in result.tokens {
+            self.token(index, first);
         }
-        for at in result.ended {
-            self.completed(at);
+        for index in result.ended {
+            self.completed(index);
         }
         self.start_step(endpoint);
     }
 
-    fn token(&mut self, at: usize, first_of_try: bool) {
-        let req = &mut self.requests[at];
-        if let Some(going) = req.going.as_mut().filter(|_| first_of_try) {
-            going.first_token = Some(self.now);
+    fn token(&mut self, index: usize, first_of_attempt: bool) {
+        let req = &mut self.requests[index];
+        if let Some(attempt) = req.attempt.as_mut().filter(|_| first_of_attempt) {
+            attempt.first_token = Some(self.now);
         }
         if req.first_token.is_none() {
             req.first_token = Some(self.now);
         } else {
-            self.tally.gap(self.now.saturating_sub(req.newest_token));
+            self.tally
+                .record_token_gap(self.now.saturating_sub(req.last_token));
         }
-        req.newest_token = self.now;
-        req.made += 1;
+        req.last_token = self.now;
+        req.received += 1;
     }
 
-    fn completed(&mut self, at: usize) {
-        let req = &mut self.requests[at];
-        let Some(going) = req.going.take() else {
+    fn completed(&mut self, index: usize) {
+        let req = &mut self.requests[index];
+        let Some(attempt) = req.attempt.take() else {
             return;
         };
         let finished = FinishedRequest {
             prompt: req.prompt,
             output_bound: req.output_bound,
-            output: req.made - going.made_before,
-            first_token: going
+            output: req.received - attempt.received_before,
+            first_token: attempt
                 .first_token
                 .unwrap_or(self.now)
-                .saturating_sub(going.since),
-            total: self.now.saturating_sub(going.since),
+                .saturating_sub(attempt.started),
+            total: self.now.saturating_sub(attempt.started),
         };
         let router = &mut self.routers[req.router];
-        router.ended(self.now, going.endpoint, Some(finished));
+        router.ended(self.now, attempt.endpoint, Some(finished));
         router.finished();
         let router = req.router;
-        self.end(at, &End::Completed);
-        self.pump(router);
+        self.end_request(index, &RequestEnd::Completed);
+        self.dispatch_queued(router);
     }
 
-    fn failed(&mut self, at: usize) {
+    fn failed(&mut self, index: usize) {
         let now = self.now;
-        let req = &mut self.requests[at];
-        let Some(going) = req.going.take() else {
+        let req = &mut self.requests[index];
+        let Some(attempt) = req.attempt.take() else {
             return;
         };
         let router = &mut self.routers[req.router];
-        router.ended(now, going.endpoint, None);
-        req.avoid.push(router.endpoint(going.endpoint).id.clone());
+        router.ended(now, attempt.endpoint, None);
+        req.avoid.push(router.endpoint(attempt.endpoint).id.clone());
         let rng = &mut router.rng;
-        let pause = router
+        let backoff = router
             .retries
-            .next_backoff(now, req.tries, RetrySafety::Safe, rng);
-        if let Some(pause) = pause {
-            self.at(now + pause, Event::Again(at));
+            .next_backoff(now, req.attempts, RetrySafety::Safe, rng);
+        if let Some(backoff) = backoff {
+            self.schedule(now + backoff, Event::Retry(index));
             return;
         }
         router.finished();
-        self.end(at, &End::Failed);
+        self.end_request(index, &RequestEnd::Failed);
     }
 
-    fn again(&mut self, at: usize) {
-        self.dispatch(at, None);
+    fn retry(&mut self, index: usize) {
+        self.dispatch(index, None);
     }
 
-    fn pump(&mut self, router: usize) {
-        while let Some(at) = self.routers[router].expired(self.now) {
-            self.end(at, &End::GivenUp);
+    fn dispatch_queued(&mut self, router: usize) {
+        while let Some(index) = self.routers[router].expired(self.now) {
+            self.end_request(index, &RequestEnd::GivenUp);
         }
-        while let Some((at, waiter)) = self.routers[router].next(self.now) {
-            if !self.dispatch(at, waiter) {
+        while let Some((index, waiter)) = self.routers[router].next(self.now) {
+            if !self.dispatch(index, waiter) {
                 return;
             }
         }
     }
 
     fn tick(&mut self) {
-        self.at(self.now + TICK, Event::Tick);
+        self.schedule(self.now + TICK_INTERVAL, Event::Tick);
         for router in 0..self.routers.len() {
             self.routers[router].tick();
-            self.pump(router);
+            self.dispatch_queued(router);
         }
     }
 
-    fn judge(&mut self) {
-        self.at(self.now + JUDGE, Event::Judge);
+    fn evaluate_health(&mut self) {
+        self.schedule(self.now + HEALTH_INTERVAL, Event::EvaluateHealth);
         for router in &mut self.routers {
-            router.judge(self.now);
+            router.evaluate_health(self.now);
         }
         let running = self.engines.iter().map(FakeEngine::running).sum();
         let waiting = self.routers.iter().map(SimRouter::waiting).sum();
-        self.tally.second(self.now, running, waiting);
+        self.tally.record_second(self.now, running, waiting);
     }
 
-    fn measure(&mut self, endpoint: usize) {
-        let (every, lag) = (self.scenario.report_every, self.scenario.report_lag);
-        self.at(self.now + every, Event::Measure(endpoint));
+    fn make_report(&mut self, endpoint: usize) {
+        let (interval, lag) = (self.scenario.report_every, self.scenario.report_lag);
+        self.schedule(self.now + interval, Event::MakeReport(endpoint));
         let engine = &mut self.engines[endpoint];
         let changes = engine.take_changes();
         if engine.fault == Some(Fault::Down) {
             return;
         }
-        let small = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
+        let saturating_u32 = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
         let load = LoadReport {
-            running: small(engine.running()),
-            queued: small(engine.queued()),
-            slots: small(engine.slots),
-            tokens_per_second: engine.take_tokens_per_second(every),
+            running: saturating_u32(engine.running()),
+            queued: saturating_u32(engine.queued()),
+            slots: saturating_u32(engine.slots),
+            tokens_per_second: engine.take_tokens_per_second(interval),
             leaving: false,
         };
-        let events = self.number(endpoint, changes);
-        self.at(self.now + lag, Event::Heard(endpoint, load, events));
+        let events = self.publish_events(endpoint, changes);
+        self.schedule(self.now + lag, Event::DeliverReport(endpoint, load, events));
     }
 
-    fn number(&mut self, endpoint: usize, changes: Vec<CacheChange>) -> Vec<CacheEvent> {
+    fn publish_events(&mut self, endpoint: usize, changes: Vec<CacheChange>) -> Vec<CacheEvent> {
         let mut events = Vec::with_capacity(changes.len());
         for change in changes {
             self.cache_seqs[endpoint] += 1;
             let seq = self.cache_seqs[endpoint];
-            if !self.rng_events().random_bool(self.scenario.events_lost) {
+            if !self.event_loss_rng().random_bool(self.scenario.events_lost) {
                 events.push(CacheEvent { seq, change });
             }
         }
         events
     }
 
-    /// Losses have their own numbers, so that every rule meets the same arrivals.
-    fn rng_events(&self) -> ChaCha8Rng {
+    /// Random numbers for lost cache events, separate from those of the arrivals, so that every rule
+    /// gets the same arrivals.
+    fn event_loss_rng(&self) -> ChaCha8Rng {
         ChaCha8Rng::seed_from_u64(self.scenario.seed ^ self.cache_seqs.iter().sum::<u64>())
     }
 
-    fn heard(&mut self, endpoint: usize, load: &LoadReport, events: &[CacheEvent]) {
+    fn deliver_report(&mut self, endpoint: usize, load: &LoadReport, events: &[CacheEvent]) {
         if self.engines[endpoint].fault == Some(Fault::Down) {
             return;
         }
         for router in &mut self.routers {
             router.report(self.now, endpoint, load);
             for event in events {
-                router.heard(self.now, endpoint, event);
+                router.apply_cache_event(self.now, endpoint, event);
             }
         }
     }
 
-    fn fault(&mut self, at: usize, begins: bool) {
-        let fault = self.scenario.faults[at];
+    fn fault(&mut self, index: usize, begins: bool) {
+        let fault = self.scenario.faults[index];
         for nth in 0..fault.count {
             let endpoint = fault.first + nth * fault.step;
             self.engines[endpoint].fault = begins.then_some(fault.fault);
             if fault.fault == Fault::Down {
-                self.lose(endpoint);
+                self.lose_runs(endpoint);
                 let leaving = begins;
-                self.at(self.now + LIST_LAG, Event::Listed { endpoint, leaving });
+                self.schedule(
+                    self.now + LIST_LAG,
+                    Event::UpdateListing { endpoint, leaving },
+                );
             } else if begins && fault.fault == Fault::FailsFast {
-                self.lose(endpoint);
+                self.lose_runs(endpoint);
             }
         }
     }
 
-    fn lose(&mut self, endpoint: usize) {
-        self.lives[endpoint] += 1;
-        for at in self.engines[endpoint].lose_all() {
-            self.failed(at);
+    fn lose_runs(&mut self, endpoint: usize) {
+        self.incarnations[endpoint] += 1;
+        for index in self.engines[endpoint].lose_all() {
+            self.failed(index);
         }
     }
 
-    fn listed(&mut self, endpoint: usize, leaving: bool) {
+    fn update_listing(&mut self, endpoint: usize, leaving: bool) {
         for router in &mut self.routers {
             let state = router.endpoint(endpoint);
             state.set_leaving(leaving);
@@ -386,12 +407,12 @@
         }
     }
 
-    fn end(&mut self, at: usize, end: &End) {
-        self.open -= 1;
-        self.tally.ended(self.now, &self.requests[at], end);
+    fn end_request(&mut self, index: usize, end: &RequestEnd) {
+        self.open_requests -= 1;
+        self.tally.ended(self.now, &self.requests[index], end);
     }
 }
 
-/// Runs that an endpoint serves side by side with tokens no more than 59 ms apart, prefilling
-/// beside: 15 + 15 + 0.8 * 36 ms. The view from above that false refusals are judged by.
-pub const GOOD_BATCH: usize = 36;
+/// Maximum concurrent runs of an endpoint with at most 59 ms between tokens while it also
+/// prefills: 15 + 15 + 0.8 * 36 ms. Refusals are judged as false by this capacity.
+pub const MAX_GOOD_BATCH: usize = 36;
