--- a/crates/anvil_standins/src/engine.rs
+++ b/crates/anvil_standins/src/engine.rs
@@ -69,7 +69,7 @@
     pub events_lag: Duration,
     /// Interval of lost cache events: events whose number is a multiple of it are lost; 0 loses
     /// none.
-    pub events_gap: u64,
+    pub lost_event_interval: u64,
     /// Whether orders with a stale fencing number are refused.
     pub checks_fencing: bool,
     /// Address of the weight store; without one, loading a model takes no time.
@@ -88,7 +88,7 @@
             cache_blocks: 4_096,
             load_lag: Duration::from_millis(500),
             events_lag: Duration::from_secs(1),
-            events_gap: 10,
+            lost_event_interval: 10,
             checks_fencing: true,
             weights: None,
         }
@@ -142,13 +142,13 @@
     }
 
     /// How often a run was started for each run id.
-    pub fn runs(&self) -> BTreeMap<String, u64> {
+    pub fn run_counts(&self) -> BTreeMap<String, u64> {
         self.engine.start_counts()
     }
 
     /// Number of runs started, with or without a run id.
     pub fn started(&self) -> u64 {
-        self.engine.started.load(Ordering::Relaxed)
+        self.engine.runs_started.load(Ordering::Relaxed)
     }
 
     /// Total number of output tokens generated.
@@ -162,8 +162,8 @@
     }
 
     /// Fencing numbers of the orders executed, in order of execution.
-    pub fn orders(&self) -> Vec<(Term, LogIndex)> {
-        self.engine.orders()
+    pub fn executed_orders(&self) -> Vec<(Term, LogIndex)> {
+        self.engine.executed_orders()
     }
 
     /// Multiplies all times by this factor; 1 is the configured speed.
@@ -177,7 +177,7 @@
     }
 
     /// Sets the number of tokens after which new runs crash; 0 means never.
-    pub fn set_crash_after(&self, tokens: u64) {
+    pub fn set_dying_after(&self, tokens: u64) {
         self.engine.crash_after.store(tokens, Ordering::Relaxed);
     }
 
--- a/crates/anvil_standins/src/engine/answer.rs
+++ b/crates/anvil_standins/src/engine/answer.rs
@@ -118,9 +118,8 @@
         self.produced
     }
 
-    /// Skips the tokens of a text that was delivered before. Returns the number of delivered
-    /// bytes of the next token, when it was delivered in part, or `None` when the text is not a prefix of
-    /// this answer.
+    /// Skips the tokens of a text that was delivered before. Returns how many bytes of the next
+    /// token the text contains too, or `None` when the text is not a prefix of this answer.
     pub fn skip_delivered(&mut self, delivered: &str) -> Option<usize> {
         let mut rest = delivered;
         while !rest.is_empty() {
--- a/crates/anvil_standins/src/engine/chat.rs
+++ b/crates/anvil_standins/src/engine/chat.rs
@@ -93,7 +93,7 @@
     let request = ChatRequest {
         model: body.model,
         messages: body.messages,
-        max: body
+        max_tokens: body
             .max_completion_tokens
             .or(body.max_tokens)
             .unwrap_or(DEFAULT_MAX_TOKENS),
--- a/crates/anvil_standins/src/engine/control.rs
+++ b/crates/anvil_standins/src/engine/control.rs
@@ -55,7 +55,7 @@
 
 fn events(engine: &Engine, req: &Request) -> Response {
     let from = req.query::<EventsQuery>().unwrap_or_default().from;
-    let (lag, gap) = (engine.cfg.events_lag, engine.cfg.events_gap);
+    let (lag, gap) = (engine.cfg.events_lag, engine.cfg.lost_event_interval);
     let events = lock(&engine.cache).events(from, lag, gap);
     reply::json(StatusCode::OK, &json!({ "events": events }))
 }
@@ -67,8 +67,8 @@
 }
 
 fn export(engine: &Engine, req: &Request) -> Response {
-    let held = block(req).is_some_and(|block| lock(&engine.cache).contains(block));
-    if held {
+    let cached = block(req).is_some_and(|block| lock(&engine.cache).contains(block));
+    if cached {
         return Response::new(Body::Full(Bytes::from_static(&KV).into()));
     }
     reply::json(StatusCode::NOT_FOUND, &json!({"error": "no such prefix"}))
--- a/crates/anvil_standins/src/engine/state.rs
+++ b/crates/anvil_standins/src/engine/state.rs
@@ -40,7 +40,7 @@
 pub(super) struct ChatRequest {
     pub model: String,
     pub messages: Vec<Message>,
-    pub max: u64,
+    pub max_tokens: u64,
     pub priority: Priority,
     pub run_id: Option<String>,
     pub continue_from: String,
@@ -51,7 +51,7 @@
     pub cfg: Config,
     pub batch: Arc<Batch>,
     pub cache: Mutex<PrefixCache>,
-    pub started: AtomicU64,
+    pub runs_started: AtomicU64,
     pub tokens: AtomicU64,
     pub slowdown: AtomicU32,
     pub failing: AtomicBool,
@@ -65,7 +65,7 @@
 #[derive(Debug, Default)]
 struct Runs {
     by_id: BTreeMap<String, Arc<Run>>,
-    order: VecDeque<String>,
+    insertion_order: VecDeque<String>,
     start_counts: BTreeMap<String, u64>,
 }
 
@@ -91,7 +91,7 @@
         Arc::new(Self {
             batch: Arc::new(Batch::new(cfg.slots)),
             cache: Mutex::new(PrefixCache::new(cfg.cache_blocks)),
-            started: AtomicU64::new(0),
+            runs_started: AtomicU64::new(0),
             tokens: AtomicU64::new(0),
             slowdown: AtomicU32::new(1),
             failing: AtomicBool::new(false),
@@ -107,9 +107,9 @@
     /// Starts a run, which continues without readers. `None` when `continue_from` is not a
     /// prefix of the answer.
     pub fn run(self: &Arc<Self>, request: ChatRequest) -> Option<Arc<Run>> {
-        let mut answer = AnswerTokens::new(&request.model, &request.messages, request.max);
+        let mut answer = AnswerTokens::new(&request.model, &request.messages, request.max_tokens);
         let skip_bytes = answer.skip_delivered(&request.continue_from)?;
-        let number = self.started.fetch_add(1, Ordering::Relaxed);
+        let number = self.runs_started.fetch_add(1, Ordering::Relaxed);
         let id = request.run_id.clone();
         let run = Arc::new(Run::new(
             id.unwrap_or_else(|| number.to_string()),
@@ -165,9 +165,9 @@
     fn prefill(&self, messages: &[Message]) -> Duration {
         let cached = lock(&self.cache).admit(messages);
         let cached = (cached as u64) / 4;
-        let fresh = prompt_tokens(messages).saturating_sub(cached);
-        let fresh = u32::try_from(fresh).unwrap_or(u32::MAX);
-        self.cfg.prefill * fresh * self.slowdown.load(Ordering::Relaxed)
+        let uncached = prompt_tokens(messages).saturating_sub(cached);
+        let uncached = u32::try_from(uncached).unwrap_or(u32::MAX);
+        self.cfg.prefill * uncached * self.slowdown.load(Ordering::Relaxed)
     }
 
     fn token_time(&self) -> Duration {
@@ -179,9 +179,9 @@
     fn record_run(&self, id: &str, run: &Arc<Run>) {
         let mut runs = lock(&self.runs);
         runs.by_id.insert(id.into(), run.clone());
-        runs.order.push_back(id.into());
-        if runs.order.len() > MAX_RUNS
-            && let Some(oldest) = runs.order.pop_front()
+        runs.insertion_order.push_back(id.into());
+        if runs.insertion_order.len() > MAX_RUNS
+            && let Some(oldest) = runs.insertion_order.pop_front()
         {
             runs.by_id.remove(&oldest);
         }
@@ -202,7 +202,7 @@
         self.order_state().models.clone()
     }
 
-    pub fn orders(&self) -> Vec<(Term, LogIndex)> {
+    pub fn executed_orders(&self) -> Vec<(Term, LogIndex)> {
         self.order_state().executed.clone()
     }
 
--- a/crates/anvil_standins/src/load/caller.rs
+++ b/crates/anvil_standins/src/load/caller.rs
@@ -83,8 +83,8 @@
 }
 
 impl Call {
-    pub fn new(run: &str, load: &Load, arrival: &Arrival, bearer: &str) -> Self {
-        let key = format!("{run}-{}", arrival.number);
+    pub fn new(run_name: &str, load: &Load, arrival: &Arrival, bearer: &str) -> Self {
+        let key = format!("{run_name}-{}", arrival.number);
         match load.asking {
             RequestKind::Chat => Self::chat(key, load, arrival, bearer),
             RequestKind::Lookup => Self::lookup(key, load, arrival, bearer),
@@ -176,9 +176,7 @@
         };
         let response = match client.send(&url, req).await {
             Ok(response) => response,
-            Err(Error::Request { source, .. }) if source.is_connect() => {
-                return Outcome::NotSent;
-            }
+            Err(Error::Request { source, .. }) if source.is_connect() => return Outcome::NotSent,
             Err(_) => return lost("connection"),
         };
         let status = response.status();
--- a/crates/anvil_standins/src/load/fleet/documents.rs
+++ b/crates/anvil_standins/src/load/fleet/documents.rs
@@ -73,7 +73,8 @@
         let path = &self.programs.join("anvilreel");
         loop {
             let output = command.output().await.context(FileSnafu { path })?;
-            // Status 6: not in force everywhere yet. That suffices, because the start waits for the routers.
+            // Status 6: not in force everywhere yet. That suffices, because the start of the fleet
+            // waits for the routers.
             if matches!(output.status.code(), Some(0 | 6)) {
                 return Ok(output.stdout);
             }
--- a/crates/anvil_standins/src/load/policy/report.rs
+++ b/crates/anvil_standins/src/load/policy/report.rs
@@ -288,8 +288,8 @@
 fn mean_gap(req: &Request) -> Duration {
     let first = req.first_token.unwrap_or(req.last_token);
     let gaps = u32::try_from(req.output.saturating_sub(1)).unwrap_or(u32::MAX);
-    let whole = req.last_token.saturating_sub(first);
-    whole.checked_div(gaps).unwrap_or_default()
+    let total = req.last_token.saturating_sub(first);
+    total.checked_div(gaps).unwrap_or_default()
 }
 
 /// Work of a request in output tokens. A prompt token counts as a tenth, which is about its cost
--- a/crates/anvil_standins/src/load/policy/simulation.rs
+++ b/crates/anvil_standins/src/load/policy/simulation.rs
@@ -35,7 +35,7 @@
     Arrive,
     Step { endpoint: usize, incarnation: u64 },
     MakeReport(usize),
-    DeliverReport(usize, LoadReport, Vec<CacheEvent>),
+    Reported(usize, LoadReport, Vec<CacheEvent>),
     Tick,
     EvaluateHealth,
     FaultFrom(usize),
@@ -137,9 +137,7 @@
             } if incarnation == self.incarnations[endpoint] => self.step(endpoint),
             Event::Step { .. } => {}
             Event::MakeReport(endpoint) => self.make_report(endpoint),
-            Event::DeliverReport(endpoint, load, events) => {
-                self.deliver_report(endpoint, &load, &events)
-            }
+            Event::Reported(endpoint, load, events) => self.apply_report(endpoint, &load, &events),
             Event::Tick => self.tick(),
             Event::EvaluateHealth => self.evaluate_health(),
             Event::FaultFrom(index) => self.fault(index, true),
@@ -334,7 +332,7 @@
             leaving: false,
         };
         let events = self.publish_events(endpoint, changes);
-        self.schedule(self.now + lag, Event::DeliverReport(endpoint, load, events));
+        self.schedule(self.now + lag, Event::Reported(endpoint, load, events));
     }
 
     fn publish_events(&mut self, endpoint: usize, changes: Vec<CacheChange>) -> Vec<CacheEvent> {
@@ -355,7 +353,7 @@
         ChaCha8Rng::seed_from_u64(self.scenario.seed ^ self.cache_seqs.iter().sum::<u64>())
     }
 
-    fn deliver_report(&mut self, endpoint: usize, load: &LoadReport, events: &[CacheEvent]) {
+    fn apply_report(&mut self, endpoint: usize, load: &LoadReport, events: &[CacheEvent]) {
         if self.engines[endpoint].fault == Some(Fault::Down) {
             return;
         }
--- a/crates/anvil_standins/src/load/recorder.rs
+++ b/crates/anvil_standins/src/load/recorder.rs
@@ -155,13 +155,13 @@
 }
 
 fn count_at_second(series: &mut Vec<u64>, at: Duration) -> &mut u64 {
-    let at = usize::try_from(at.as_secs())
+    let second = usize::try_from(at.as_secs())
         .unwrap_or(usize::MAX)
         .min(7_200);
-    if series.len() <= at {
-        series.resize(at + 1, 0);
+    if series.len() <= second {
+        series.resize(second + 1, 0);
     }
-    &mut series[at]
+    &mut series[second]
 }
 
 fn histogram() -> Histogram<u64> {
--- a/crates/anvil_standins/tests/engine.rs
+++ b/crates/anvil_standins/tests/engine.rs
@@ -44,15 +44,15 @@
     let messages = [Message::user("grade of the card, please")];
     let expected = expected_answer("demo-chat", &messages, 20);
     let mut body = json!({"model": "demo-chat", "messages": messages, "max_tokens": 20});
-    let whole = chat(&engine, body.clone()).await;
-    let whole: Value = serde_json::from_slice(&whole.body).unwrap();
-    assert_eq!(whole["choices"][0]["message"]["content"], expected);
+    let complete = chat(&engine, body.clone()).await;
+    let complete: Value = serde_json::from_slice(&complete.body).unwrap();
+    assert_eq!(complete["choices"][0]["message"]["content"], expected);
     body["stream"] = true.into();
     body["stream_options"] = json!({"include_usage": true});
     let chunks = events(&chat(&engine, body).await);
     assert_eq!(text(&chunks), expected);
     let usage = &chunks.last().unwrap()["usage"];
-    assert_eq!(*usage, whole["usage"]);
+    assert_eq!(*usage, complete["usage"]);
     assert_eq!(usage["prompt_tokens"], 7);
     assert_eq!(engine.started(), 2);
 }
@@ -84,7 +84,7 @@
     assert_eq!(text(&events(&rest)), expected[25..]);
     let cancelled = send(Method::DELETE, url, Value::Null).await;
     assert_eq!(cancelled.status, StatusCode::OK);
-    assert_eq!(engine.runs()["r1"], 1);
+    assert_eq!(engine.run_counts()["r1"], 1);
 }
 
 #[tokio::test]
@@ -107,7 +107,7 @@
 #[tokio::test]
 async fn a_crash_breaks_the_stream() {
     let engine = engine::start(engine::Config::default()).await.unwrap();
-    engine.set_crash_after(5);
+    engine.set_dying_after(5);
     let messages = [Message::user("tokens=30")];
     let body = json!({"model": "demo-chat", "messages": messages, "stream": true});
     let url = format!("http://{}/v1/chat/completions", engine.addr());
--- a/crates/anvil_standins/tests/engine_load.rs
+++ b/crates/anvil_standins/tests/engine_load.rs
@@ -80,7 +80,7 @@
 async fn cache_events_are_published_late_and_with_gaps() {
     let cfg = engine::Config {
         events_lag: Duration::from_millis(200),
-        events_gap: 3,
+        lost_event_interval: 3,
         ..engine::Config::default().without_delays()
     };
     let engine = engine::start(cfg).await.unwrap();
