--- a/crates/anvilreel/src/ledger_client.rs
+++ b/crates/anvilreel/src/ledger_client.rs
@@ -1,7 +1,7 @@
 //! How every process asks the ledger: any replica first, then whoever leads.
 
-mod search;
-mod way;
+mod address_list;
+mod leader_search;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,8 +18,8 @@
 use snafu::Snafu;
 use tokio::time::{Instant, sleep, timeout};
 
-use search::{Question, Search};
-use way::{Ways, interleaved};
+use address_list::{Ways, interleaved};
+use leader_search::{Question, Search};
 
 /// Longest wait for one replica's answer, unless the client is told otherwise.
 const ONE_REPLICA: Duration = Duration::from_millis(1_500);
--- a/crates/anvilreel/src/ledger_client/search.rs
+++ b/crates/anvilreel/src/ledger_client/leader_search.rs
@@ -5,7 +5,7 @@
 
 use anvil_wire::Channel;
 
-use super::way::Ways;
+use super::address_list::Ways;
 
 /// Whom to ask next, and who was asked already.
 pub struct Search<'a> {
--- a/crates/anvilreel/src/ledger_service.rs
+++ b/crates/anvilreel/src/ledger_service.rs
@@ -1,8 +1,8 @@
 //! A ledger replica as a process: sockets, disk and clock around the core.
 //!
-//! [`start`] opens the data folder, listens, and runs the [`node`]: one task that owns the
+//! [`start`] opens the data folder, listens, and runs the [`replica_task`]: one task that owns the
 //! replica's core and its applied state. The disk has a thread of its own. Replicas hear each
-//! other over [`links`]; an empty folder founds a ledger or joins one ([`founding`]).
+//! other over [`links`]; an empty folder founds a ledger or joins one ([`bootstrap`]).
 //!
 //! ```no_run
 //! # async fn demo(cfg: anvil_world::settings::LedgerSettings, log: slog::Logger)
@@ -15,21 +15,21 @@
 //! # Ok(()) }
 //! ```
 
+mod bootstrap;
 mod check;
-mod contacts;
 mod error;
 pub mod events;
 pub mod follow;
-mod founding;
+pub mod grant_evidence;
 mod handlers;
+pub mod heartbeats;
 mod links;
-pub mod node;
 pub mod peer;
+mod peer_addresses;
 mod pending;
 mod queries;
 mod removal;
-pub mod signs;
-pub mod testimony;
+pub mod replica_task;
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -44,11 +44,11 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
-pub use contacts::Contacts;
 pub use error::ServiceError;
 use error::{DiskSnafu, ListenSnafu, MachineSnafu, MetricsSnafu, StorageSnafu, ThreadSnafu};
-use node::{Inbox, Node};
+pub use peer_addresses::Contacts;
 pub use removal::{NoLeader, remove};
+use replica_task::{Inbox, Node};
 
 use crate::event;
 use crate::metrics::Metrics;
@@ -171,7 +171,7 @@
         Some(metrics) => metrics,
         None => Metrics::new("ledger", cfg.statsd).context(MetricsSnafu)?,
     };
-    let setup = node::Setup {
+    let setup = replica_task::Setup {
         id,
         instance: cfg.id.clone(),
         disk,
@@ -205,7 +205,7 @@
             addr,
             log.clone(),
         ));
-        let founding = tokio::spawn(founding::run(reach.clone(), id, cfg, addr, log.clone()));
+        let founding = tokio::spawn(bootstrap::run(reach.clone(), id, cfg, addr, log.clone()));
         let serving = server.serve(handlers::all(&reach), async move {
             tokio::select! {
                 () = stop => {}
@@ -231,7 +231,7 @@
     let inbox = inbox.clone();
     let report = move |report| {
         // Fails only when the node has ended, and nobody waits for the report any more.
-        let _ = inbox.blocking_send(node::Input::Disk(report));
+        let _ = inbox.blocking_send(replica_task::Input::Disk(report));
     };
     Writer::start(storage, group, report).context(ThreadSnafu)
 }
--- a/crates/anvilreel/src/ledger_service/founding.rs
+++ b/crates/anvilreel/src/ledger_service/bootstrap.rs
@@ -17,8 +17,8 @@
 
 use super::events;
 use super::handlers::Reach;
-use super::node::Input;
 use super::peer::{Hello, PeerCall, PeerReply, PeerRequest};
+use super::replica_task::Input;
 use crate::event;
 
 /// Pause between two looks.
--- a/crates/anvilreel/src/ledger_service/handlers.rs
+++ b/crates/anvilreel/src/ledger_service/handlers.rs
@@ -9,11 +9,11 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep, timeout};
 
-use super::contacts::Contacts;
 use super::follow::{Follower, version_of};
-use super::node::{Inbox, Input, Public};
 use super::peer::{PeerCall, PeerReply, PeerRequest};
+use super::peer_addresses::Contacts;
 use super::pending::Reply;
+use super::replica_task::{Inbox, Input, Public};
 
 /// Time between two ticks of a follow stream on which nothing changes. A follower leaves after
 /// some of them have failed to come, so this bounds how long it believes a replica that is cut off.
--- a/crates/anvilreel/src/ledger_service/links.rs
+++ b/crates/anvilreel/src/ledger_service/links.rs
@@ -17,8 +17,8 @@
 
 use super::events;
 use super::handlers::Reach;
-use super::node::Input;
 use super::peer::{PeerCall, PeerReply, PeerRequest};
+use super::replica_task::Input;
 use crate::event;
 
 /// Pause before a lost link is tried again.
--- a/crates/anvilreel/src/ledger_service/queries.rs
+++ b/crates/anvilreel/src/ledger_service/queries.rs
@@ -8,7 +8,7 @@
 use anvil_world::command::AuditEntry;
 use anvil_world::prelude::*;
 
-use super::signs::Signs;
+use super::heartbeats::Signs;
 
 /// Most budgets in one answer.
 const MAX_BUDGETS: u32 = 10_000;
--- a/crates/anvilreel/src/ledger_service/node.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task.rs
@@ -1,10 +1,10 @@
 //! The task that owns a replica: it feeds the core and carries out what the core wants.
 
 mod disk;
-mod fleet;
+mod leader_checks;
 mod outbox;
-mod public;
 mod requests;
+mod status;
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -27,14 +27,14 @@
 use super::error::Fault;
 use super::events;
 use super::follow::Follower;
+use super::grant_evidence::Testimony;
+use super::heartbeats::Signs;
 use super::peer::Hello;
 use super::pending::{Pending, Reply};
-use super::signs::Signs;
-use super::testimony::Testimony;
 use crate::event;
 use crate::metrics::Metrics;
 use outbox::Outbox;
-pub use public::Public;
+pub use status::Public;
 
 /// How often the core is told that time has passed.
 const TICK: Duration = Duration::from_millis(20);
--- a/crates/anvilreel/src/ledger_service/node/fleet.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task/leader_checks.rs
@@ -13,8 +13,8 @@
 use super::Node;
 use crate::event;
 use crate::ledger_service::events;
+use crate::ledger_service::heartbeats::{Greeting, Patience};
 use crate::ledger_service::pending::{Reply, tell};
-use crate::ledger_service::signs::{Greeting, Patience};
 
 /// How often the leader looks for silent instances and for grants to close.
 const WATCH: Duration = Duration::from_secs(1);
--- a/crates/anvilreel/tests/ledger_spread.rs
+++ b/crates/anvilreel/tests/ledger_followers_and_evidence.rs
@@ -14,7 +14,7 @@
 use anvil_world::suspect::CrashedRun;
 use anvilreel::held::Held;
 use anvilreel::ledger_service::follow::Follower;
-use anvilreel::ledger_service::testimony::{Findings, Testimony};
+use anvilreel::ledger_service::grant_evidence::{Findings, Testimony};
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
--- a/crates/anvilreel/tests/ledger_signs.rs
+++ b/crates/anvilreel/tests/ledger_heartbeats.rs
@@ -6,7 +6,7 @@
 use anvil_wire::msg::Heartbeat;
 use anvil_world::command::SetPresence;
 use anvil_world::prelude::*;
-use anvilreel::ledger_service::signs::{Greeting, Patience, Signs};
+use anvilreel::ledger_service::heartbeats::{Greeting, Patience, Signs};
 
 const LIMIT: Duration = Duration::from_secs(10);
 const PATIENCE: Patience = Patience {
--- a/crates/anvilreel/tests/ledger_service/main.rs
+++ b/crates/anvilreel/tests/ledger_service/main.rs
@@ -1,11 +1,11 @@
 //! Replicas over real TCP and real folders.
 
 mod cluster;
-mod following;
-mod newcomers;
+mod failures;
+mod followers;
+mod joining;
+mod membership;
 #[path = "../support/ports.rs"]
 mod ports;
 mod presence;
-mod replicas;
 mod restart;
-mod trouble;
