--- a/crates/anvilreel/src/ledger_client.rs
+++ b/crates/anvilreel/src/ledger_client.rs
@@ -18,13 +18,13 @@
 use snafu::Snafu;
 use tokio::time::{Instant, sleep, timeout};
 
-use address_list::{Ways, interleaved};
-use leader_search::{Question, Search};
+use address_list::{AddressList, interleaved};
+use leader_search::{Attempt, LeaderSearch};
 
 /// Longest wait for one replica's answer, unless the client is told otherwise.
-const ONE_REPLICA: Duration = Duration::from_millis(1_500);
+const REPLICA_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Pause after every replica was asked in vain.
-const PAUSE: Duration = Duration::from_millis(50);
+const ROUND_DELAY: Duration = Duration::from_millis(50);
 
 /// The ledger could not be asked.
 #[derive(Debug, Snafu)]
@@ -46,24 +46,24 @@
 /// refused for want of money, for as long as the cut lasts. So a client may also know relays
 /// ([`crate::relay`]): after a replica that did not answer, a relay is asked next.
 pub struct LedgerClient {
-    ways: ArcSwap<Ways>,
+    addresses: ArcSwap<AddressList>,
     last: AtomicUsize,
-    patience: Duration,
+    replica_timeout: Duration,
     hedge: Option<Duration>,
     /// The replicas that the settings name, where the ledger's own word is added to them.
-    learns: Option<Vec<SocketAddr>>,
+    configured: Option<Vec<SocketAddr>>,
 }
 
 impl LedgerClient {
     /// A way to these replicas. Nothing is connected yet.
     pub fn new(replicas: &[SocketAddr]) -> Self {
-        let ways = Ways::default().moved_to(&interleaved(replicas, &[]));
+        let addresses = AddressList::default().with_addrs(&interleaved(replicas, &[]));
         Self {
-            ways: ArcSwap::from_pointee(ways),
+            addresses: ArcSwap::from_pointee(addresses),
             last: AtomicUsize::new(0),
-            patience: ONE_REPLICA,
+            replica_timeout: REPLICA_TIMEOUT,
             hedge: None,
-            learns: None,
+            configured: None,
         }
     }
 
@@ -73,13 +73,13 @@
     /// process that has never stopped knows none of them any more. It shows as a process out of touch
     /// with a ledger that is well, until somebody restarts it.
     pub fn with_learning(mut self) -> Self {
-        self.learns = Some(self.ways.load().addrs());
+        self.configured = Some(self.addresses.load().addrs());
         self
     }
 
     /// Waits no longer than this for one replica's answer.
-    pub fn with_patience(mut self, patience: Duration) -> Self {
-        self.patience = patience;
+    pub fn with_patience(mut self, replica_timeout: Duration) -> Self {
+        self.replica_timeout = replica_timeout;
         self
     }
 
@@ -93,34 +93,35 @@
     /// Returns whether anything has changed.
     pub fn set_ways(&self, replicas: &[SocketAddr], relays: &[SocketAddr]) -> bool {
         let wanted = interleaved(replicas, relays);
-        let ways = self.ways.load();
-        if ways.leads_to(&wanted) {
+        let addresses = self.addresses.load();
+        if addresses.matches(&wanted) {
             return false;
         }
         let at = self.last.load(Ordering::Relaxed);
-        let last = ways.get(at).map(Channel::addr);
-        let moved = ways.moved_to(&wanted);
-        let at = last.and_then(|addr| moved.number_of(addr)).unwrap_or(0);
-        self.ways.store(Arc::new(moved));
+        let last = addresses.get(at).map(Channel::addr);
+        let updated = addresses.with_addrs(&wanted);
+        let at = last.and_then(|addr| updated.position_of(addr)).unwrap_or(0);
+        self.addresses.store(Arc::new(updated));
         self.last.store(at, Ordering::Relaxed);
         true
     }
 
     /// Asks through these as well.
     pub fn add_ways(&self, more: &[SocketAddr]) {
-        let ways = self.ways.load();
-        let mut wanted = ways.addrs();
+        let addresses = self.addresses.load();
+        let mut wanted = addresses.addrs();
         for addr in more {
             if !wanted.contains(addr) {
                 wanted.push(*addr);
             }
         }
-        self.ways.store(Arc::new(ways.moved_to(&wanted)));
+        self.addresses
+            .store(Arc::new(addresses.with_addrs(&wanted)));
     }
 
     /// How many ways there are.
     pub fn len(&self) -> usize {
-        self.ways.load().len()
+        self.addresses.load().len()
     }
 
     /// Whether there is none.
@@ -132,8 +133,8 @@
     ///
     /// Every command that routers and sidecars send may be resent: the log keeps the first.
     pub async fn propose(&self, command: Command, within: Duration) -> Result<Answer, LedgerError> {
-        let ask = LedgerRequest::Propose(command);
-        match self.ask(&ask, within).await? {
+        let req = LedgerRequest::Propose(command);
+        match self.ask(&req, within).await? {
             LedgerReply::Applied { answer, .. } => Ok(answer),
             _ => Err(LedgerError::WrongKind),
         }
@@ -158,15 +159,15 @@
             .await?
         {
             LedgerReply::Alive(reply) => {
-                self.learn(&reply.replicas);
+                self.add_learned(&reply.replicas);
                 Ok(reply)
             }
             _ => Err(LedgerError::WrongKind),
         }
     }
 
-    fn learn(&self, replicas: &[SocketAddr]) {
-        let Some(named) = &self.learns else {
+    fn add_learned(&self, replicas: &[SocketAddr]) {
+        let Some(named) = &self.configured else {
             return;
         };
         let mut wanted = replicas.to_vec();
@@ -182,61 +183,61 @@
         interest: FollowScope,
         version: LogIndex,
     ) -> Result<Replies<LedgerReply>, WireError> {
-        let ways = self.ways.load_full();
-        let channel = ways.round(replica).ok_or(WireError::Ended)?;
-        let ask = LedgerRequest::Follow {
+        let addresses = self.addresses.load_full();
+        let channel = addresses.get_wrapping(replica).ok_or(WireError::Ended)?;
+        let req = LedgerRequest::Follow {
             instance,
             interest,
             version,
         };
-        channel.open::<LedgerCall>(&ask).await
+        channel.open::<LedgerCall>(&req).await
     }
 
     /// Asks one after the other until one answers for the ledger.
     pub async fn ask(
         &self,
-        ask: &LedgerRequest,
+        req: &LedgerRequest,
         within: Duration,
     ) -> Result<LedgerReply, LedgerError> {
         let deadline = Instant::now() + within;
-        let ways = self.ways.load_full();
-        let mut search = Search::from(&ways, self.last.load(Ordering::Relaxed));
-        let mut doubt = false;
+        let addresses = self.addresses.load_full();
+        let mut search = LeaderSearch::starting_at(&addresses, self.last.load(Ordering::Relaxed));
+        let mut in_doubt = false;
         loop {
-            let left = deadline.saturating_duration_since(Instant::now());
-            let question = search.next().filter(|_| !left.is_zero());
-            let Some(question) = question else {
-                return Err(if doubt {
+            let time_left = deadline.saturating_duration_since(Instant::now());
+            let attempt = search.next_attempt().filter(|_| !time_left.is_zero());
+            let Some(attempt) = attempt else {
+                return Err(if in_doubt {
                     LedgerError::InDoubt
                 } else {
                     LedgerError::Unreachable
                 });
             };
-            let (answered, by_second) = self.one_or_two(&question, ask, left).await;
-            let asked = question.asked(by_second);
-            search.go_on(&question, by_second);
-            match answered {
+            let (result, by_second) = self.call_hedged(&attempt, req, time_left).await;
+            let called_addr = attempt.called_addr(by_second);
+            search.advance(&attempt, by_second);
+            match result {
                 Ok(LedgerReply::NotLeader { leader }) => {
-                    search.was_in_vain(asked);
+                    search.mark_failed(called_addr);
                     if let Some(leader) = leader {
-                        search.hint(&question, leader);
+                        search.follow_hint(&attempt, leader);
                     }
                 }
-                Ok(LedgerReply::NoQuorum | LedgerReply::Stopped) => search.was_in_vain(asked),
-                Ok(LedgerReply::InDoubt) => doubt = true,
+                Ok(LedgerReply::NoQuorum | LedgerReply::Stopped) => search.mark_failed(called_addr),
+                Ok(LedgerReply::InDoubt) => in_doubt = true,
                 Ok(reply) => {
-                    if let Some(number) = question.way(by_second) {
-                        self.last.store(number, Ordering::Relaxed);
+                    if let Some(position) = attempt.position(by_second) {
+                        self.last.store(position, Ordering::Relaxed);
                     }
                     return Ok(reply);
                 }
                 Err(e) => {
-                    search.was_in_vain(asked);
-                    doubt |= !e.never_sent();
+                    search.mark_failed(called_addr);
+                    in_doubt |= !e.never_sent();
                 }
             }
             if search.ends_round() {
-                sleep(PAUSE).await;
+                sleep(ROUND_DELAY).await;
             }
         }
     }
@@ -247,35 +248,35 @@
     /// Failure: the way that answered last is cut off without a word. It shows as requests that
     /// wait for money for as long as that way is given. Both may carry the same command out: the
     /// log keeps the first.
-    async fn one_or_two(
+    async fn call_hedged(
         &self,
-        question: &Question<'_>,
-        ask: &LedgerRequest,
-        left: Duration,
+        attempt: &Attempt<'_>,
+        req: &LedgerRequest,
+        time_left: Duration,
     ) -> (Result<LedgerReply, WireError>, bool) {
-        let Question { first, second, .. } = question;
-        let weight = weight(ask);
-        let within = left.min(self.patience + PER_BYTE * weight);
-        let asking = first.call::<LedgerCall>(ask, within);
-        let light = weight < HEAVY;
-        let hedge = self.hedge.filter(|hedge| *hedge < within && light);
+        let Attempt { first, second, .. } = attempt;
+        let payload_bytes = payload_bytes(req);
+        let within = time_left.min(self.replica_timeout + TIMEOUT_PER_BYTE * payload_bytes);
+        let first_call = first.call::<LedgerCall>(req, within);
+        let is_small = payload_bytes < HEDGE_MAX_BYTES;
+        let hedge = self.hedge.filter(|hedge| *hedge < within && is_small);
         let (Some(hedge), Some(second)) = (hedge, *second) else {
-            return (asking.await, false);
+            return (first_call.await, false);
         };
-        tokio::pin!(asking);
-        if let Ok(answered) = timeout(hedge, &mut asking).await {
-            return (answered, false);
+        tokio::pin!(first_call);
+        if let Ok(result) = timeout(hedge, &mut first_call).await {
+            return (result, false);
         }
-        let beside = second.call::<LedgerCall>(ask, within.saturating_sub(hedge));
-        tokio::pin!(beside);
+        let second_call = second.call::<LedgerCall>(req, within.saturating_sub(hedge));
+        tokio::pin!(second_call);
         tokio::select! {
-            answered = &mut asking => match answered {
-                Ok(answered) => (Ok(answered), false),
-                Err(_) => (beside.await, true),
+            result = &mut first_call => match result {
+                Ok(result) => (Ok(result), false),
+                Err(_) => (second_call.await, true),
             },
-            answered = &mut beside => match answered {
-                Ok(answered) => (Ok(answered), true),
-                Err(_) => (asking.await, false),
+            result = &mut second_call => match result {
+                Ok(result) => (Ok(result), true),
+                Err(_) => (first_call.await, false),
             },
         }
     }
@@ -283,16 +284,16 @@
 
 /// Added to the patience for each byte of what is asked: ten times what a link of 100 Mbit/s takes,
 /// since it goes to several replicas.
-const PER_BYTE: Duration = Duration::from_nanos(800);
+const TIMEOUT_PER_BYTE: Duration = Duration::from_nanos(800);
 /// From this size on, in bytes, a second way is not asked beside the first.
 ///
 /// Failure: a routing table of 400 KB takes longer than the time after which another way is asked;
 /// each further copy delays all others, and none is answered in time.
-const HEAVY: u32 = 32 << 10;
+const HEDGE_MAX_BYTES: u32 = 32 << 10;
 
 /// Bytes of what is asked, where there may be many.
-fn weight(ask: &LedgerRequest) -> u32 {
-    match ask {
+fn payload_bytes(req: &LedgerRequest) -> u32 {
+    match req {
         LedgerRequest::Propose(Command::ReplaceRouting(replace)) => {
             u32::try_from(replace.text.len()).unwrap_or(u32::MAX)
         }
--- a/crates/anvilreel/src/ledger_client/address_list.rs
+++ b/crates/anvilreel/src/ledger_client/address_list.rs
@@ -6,30 +6,32 @@
 
 /// Channels in the order in which they are tried.
 #[derive(Clone, Default)]
-pub struct Ways {
+pub struct AddressList {
     channels: Vec<Channel>,
 }
 
-impl Ways {
+impl AddressList {
     /// How many there are.
     pub fn len(&self) -> usize {
         self.channels.len()
     }
 
     /// One by its number.
-    pub fn get(&self, number: usize) -> Option<&Channel> {
-        self.channels.get(number)
+    pub fn get(&self, position: usize) -> Option<&Channel> {
+        self.channels.get(position)
     }
 
     /// One by its number, counted round.
-    pub fn round(&self, number: usize) -> Option<&Channel> {
-        let number = number.checked_rem(self.channels.len())?;
-        self.channels.get(number)
+    pub fn get_wrapping(&self, position: usize) -> Option<&Channel> {
+        let position = position.checked_rem(self.channels.len())?;
+        self.channels.get(position)
     }
 
     /// The number of an address.
-    pub fn number_of(&self, addr: SocketAddr) -> Option<usize> {
-        self.channels.iter().position(|way| way.addr() == addr)
+    pub fn position_of(&self, addr: SocketAddr) -> Option<usize> {
+        self.channels
+            .iter()
+            .position(|channel| channel.addr() == addr)
     }
 
     /// Their addresses, in order.
@@ -38,7 +40,7 @@
     }
 
     /// Whether these are the addresses, in this order.
-    pub fn leads_to(&self, addrs: &[SocketAddr]) -> bool {
+    pub fn matches(&self, addrs: &[SocketAddr]) -> bool {
         self.channels
             .iter()
             .map(Channel::addr)
@@ -46,13 +48,13 @@
     }
 
     /// Ways to these addresses; those that are known already keep their connections.
-    pub fn moved_to(&self, addrs: &[SocketAddr]) -> Self {
-        let way = |addr: &SocketAddr| {
-            let known = self.channels.iter().find(|way| way.addr() == *addr);
+    pub fn with_addrs(&self, addrs: &[SocketAddr]) -> Self {
+        let channel = |addr: &SocketAddr| {
+            let known = self.channels.iter().find(|channel| channel.addr() == *addr);
             known.cloned().unwrap_or_else(|| Channel::new(*addr))
         };
         Self {
-            channels: addrs.iter().map(way).collect(),
+            channels: addrs.iter().map(channel).collect(),
         }
     }
 }
--- a/crates/anvilreel/src/ledger_client/leader_search.rs
+++ b/crates/anvilreel/src/ledger_client/leader_search.rs
@@ -5,82 +5,82 @@
 
 use anvil_wire::Channel;
 
-use super::address_list::Ways;
+use super::address_list::AddressList;
 
 /// Whom to ask next, and who was asked already.
-pub struct Search<'a> {
-    ways: &'a Ways,
+pub struct LeaderSearch<'a> {
+    addresses: &'a AddressList,
     /// The way that is tried next, counted round.
     at: usize,
-    tries: usize,
+    attempts: usize,
     /// A leader that is none of the ways: it is asked where it was said to be.
     hinted: Option<Channel>,
     /// Who was asked in this round and does not lead, or did not answer.
-    in_vain: BTreeSet<SocketAddr>,
+    failed: BTreeSet<SocketAddr>,
 }
 
 /// One question: to the first, and beside it to the second when the first takes long.
-pub struct Question<'a> {
+pub struct Attempt<'a> {
     /// The first one.
     pub first: Channel,
     /// The one after it.
     pub second: Option<&'a Channel>,
-    number: usize,
+    position: usize,
     is_hinted: bool,
 }
 
-impl Question<'_> {
+impl Attempt<'_> {
     /// Who answered or failed: the second one, or the first.
-    pub fn asked(&self, by_second: bool) -> SocketAddr {
+    pub fn called_addr(&self, by_second: bool) -> SocketAddr {
         let second = self.second.filter(|_| by_second);
         second.map_or_else(|| self.first.addr(), Channel::addr)
     }
 
     /// The way by which the answer came; `None` where it was none of the ways.
-    pub fn way(&self, by_second: bool) -> Option<usize> {
+    pub fn position(&self, by_second: bool) -> Option<usize> {
         if by_second {
-            return Some(self.number + 1);
+            return Some(self.position + 1);
         }
-        (!self.is_hinted).then_some(self.number)
+        (!self.is_hinted).then_some(self.position)
     }
 }
 
-impl<'a> Search<'a> {
+impl<'a> LeaderSearch<'a> {
     /// Begins with this way.
-    pub fn from(ways: &'a Ways, at: usize) -> Self {
+    pub fn starting_at(addresses: &'a AddressList, at: usize) -> Self {
         Self {
-            ways,
+            addresses,
             at,
-            tries: 0,
+            attempts: 0,
             hinted: None,
-            in_vain: BTreeSet::new(),
+            failed: BTreeSet::new(),
         }
     }
 
     /// Whom to ask now; `None` where there is no way.
-    pub fn next(&mut self) -> Option<Question<'a>> {
-        let known = self.ways.round(self.at)?;
+    pub fn next_attempt(&mut self) -> Option<Attempt<'a>> {
+        let known = self.addresses.get_wrapping(self.at)?;
         let hinted = self.hinted.take();
-        let number = self.at % self.ways.len();
-        Some(Question {
+        let position = self.at % self.addresses.len();
+        Some(Attempt {
             is_hinted: hinted.is_some(),
             first: hinted.unwrap_or_else(|| known.clone()),
-            second: self.ways.round(number + 1),
-            number,
+            second: self.addresses.get_wrapping(position + 1),
+            position,
         })
     }
 
     /// Goes on to the way after the one that answered.
-    pub fn go_on(&mut self, question: &Question<'_>, by_second: bool) {
-        if let Some(number) = question.way(by_second) {
-            self.at = number % self.ways.len() + 1;
+    pub fn advance(&mut self, attempt: &Attempt<'_>, by_second: bool) {
+        if let Some(position) = attempt.position(by_second) {
+            self.at = position % self.addresses.len() + 1;
         }
-        self.tries += 1;
+        self.attempts += 1;
     }
 
     /// Whoever was asked doesn't lead, or didn't answer.
-    pub fn was_in_vain(&mut self, asked: SocketAddr) {
-        self.in_vain.insert(asked);
+    pub fn mark_failed(&mut self, called_addr: SocketAddr) {
+        self.failed.insert(called_addr);
     }
 
     /// Whoever was asked names another one as the leader.
@@ -88,22 +88,22 @@
     /// Failure: the leader is deposed, and a follower that hasn't heard of it sends whoever asks back to it.
     /// It shows as calls that go to and fro between the two for as long as they may take, while all
     /// others follow a new leader. So a hint to a replica that was asked in this round is not followed.
-    pub fn hint(&mut self, question: &Question<'_>, leader: SocketAddr) {
-        if self.in_vain.contains(&leader) {
+    pub fn follow_hint(&mut self, attempt: &Attempt<'_>, leader: SocketAddr) {
+        if self.failed.contains(&leader) {
             return;
         }
-        match self.ways.number_of(leader) {
+        match self.addresses.position_of(leader) {
             Some(known) => self.at = known,
-            None if !question.is_hinted => self.hinted = Some(Channel::new(leader)),
+            None if !attempt.is_hinted => self.hinted = Some(Channel::new(leader)),
             None => {}
         }
     }
 
     /// Whether all ways have been asked since this was last so; a new round begins then.
     pub fn ends_round(&mut self) -> bool {
-        let ends = self.tries.is_multiple_of(self.ways.len());
+        let ends = self.attempts.is_multiple_of(self.addresses.len());
         if ends {
-            self.in_vain.clear();
+            self.failed.clear();
         }
         ends
     }
--- a/crates/anvilreel/src/ledger_service.rs
+++ b/crates/anvilreel/src/ledger_service.rs
@@ -48,13 +48,13 @@
 use error::{DiskSnafu, ListenSnafu, MachineSnafu, MetricsSnafu, StorageSnafu, ThreadSnafu};
 pub use peer_addresses::Contacts;
 pub use removal::{NoLeader, remove};
-use replica_task::{Inbox, Node};
+use replica_task::{Inbox, ReplicaTask};
 
 use crate::event;
 use crate::metrics::Metrics;
 
 /// Events that may wait for the node before whoever sends them waits too.
-const INBOX: usize = 65_536;
+const INBOX_CAPACITY: usize = 65_536;
 
 /// What an operator need not set.
 #[derive(Clone)]
@@ -158,13 +158,13 @@
     log: Logger,
     stop: impl Future<Output = ()> + Send + 'static,
 ) -> Result<LedgerHandle, ServiceError> {
-    let fresh = rand::random();
-    let (storage, found) = Storage::open(disk.clone(), fresh).context(StorageSnafu)?;
+    let new_id = rand::random();
+    let (storage, found) = Storage::open(disk.clone(), new_id).context(StorageSnafu)?;
     let storage = storage.with_segment_bytes(tuning.segment_bytes);
     let listen = cfg.bind.unwrap_or(cfg.wire_listen);
     let server = Server::bind(listen).await.context(ListenSnafu)?;
     let addr = server.addr().context(ListenSnafu)?;
-    let (inbox, rx) = mpsc::channel(INBOX);
+    let (inbox, rx) = mpsc::channel(INBOX_CAPACITY);
     let id = storage.id();
     let writer = start_writer(storage, tuning.group_commit, &inbox)?;
     let metrics = match tuning.metrics.clone() {
@@ -180,37 +180,38 @@
         log: log.clone(),
         metrics,
     };
-    let (node, public) = Node::new(setup, found, inbox.clone()).context(MachineSnafu)?;
+    let (replica_task, status) =
+        ReplicaTask::new(setup, found, inbox.clone()).context(MachineSnafu)?;
     event!(log, events::LEDGER_LISTENING, "addr" => addr.to_string(), "replica" => format!("{id:x}"));
     let (ending, stopping) = watch::channel(false);
-    let reach = handlers::Reach {
+    let replica = handlers::ReplicaHandle {
         inbox,
-        public,
+        status,
         stopping: stopping.clone(),
         contacts,
         disk: Disk::read_only(&cfg.data),
     };
-    let (ended, mut node_ended) = watch::channel(false);
+    let (ended, mut task_ended) = watch::channel(false);
     let task = tokio::spawn(async move {
-        let node = tokio::spawn(async move {
-            let writer = node.run(rx, stopping).await;
+        let task = tokio::spawn(async move {
+            let writer = replica_task.run(rx, stopping).await;
             // Somebody always listens here: the task around this one holds a receiver.
             let _ = ended.send(true);
             writer
         });
         let links = tokio::spawn(links::run(
-            reach.clone(),
+            replica.clone(),
             id,
             cfg.clone(),
             addr,
             log.clone(),
         ));
-        let founding = tokio::spawn(bootstrap::run(reach.clone(), id, cfg, addr, log.clone()));
-        let serving = server.serve(handlers::all(&reach), async move {
+        let founding = tokio::spawn(bootstrap::run(replica.clone(), id, cfg, addr, log.clone()));
+        let serving = server.serve(handlers::all(&replica), async move {
             tokio::select! {
                 () = stop => {}
                 // Either it has failed and is to end the process, or it has panicked.
-                _ = node_ended.wait_for(|ended| *ended) => {}
+                _ = task_ended.wait_for(|ended| *ended) => {}
             }
             // Somebody always listens here: this task holds a receiver.
             let _ = ending.send(true);
@@ -219,7 +220,7 @@
         founding.abort();
         links.abort();
         // A panic in the node was printed when it happened.
-        if let Ok(writer) = node.await {
+        if let Ok(writer) = task.await {
             let _ = tokio::task::spawn_blocking(move || writer.finish()).await;
         }
         event!(log, events::LEDGER_STOPPED);
@@ -227,11 +228,15 @@
     Ok(LedgerHandle { addr, task })
 }
 
-fn start_writer(storage: Storage, group: bool, inbox: &Inbox) -> Result<Writer, ServiceError> {
+fn start_writer(
+    storage: Storage,
+    group_commit: bool,
+    inbox: &Inbox,
+) -> Result<Writer, ServiceError> {
     let inbox = inbox.clone();
     let report = move |report| {
         // Fails only when the node has ended, and nobody waits for the report any more.
         let _ = inbox.blocking_send(replica_task::Input::Disk(report));
     };
-    Writer::start(storage, group, report).context(ThreadSnafu)
+    Writer::start(storage, group_commit, report).context(ThreadSnafu)
 }
--- a/crates/anvilreel/src/ledger_service/bootstrap.rs
+++ b/crates/anvilreel/src/ledger_service/bootstrap.rs
@@ -16,21 +16,21 @@
 use tokio::time::{Instant, sleep};
 
 use super::events;
-use super::handlers::Reach;
+use super::handlers::ReplicaHandle;
 use super::peer::{Hello, PeerCall, PeerReply, PeerRequest};
 use super::replica_task::Input;
 use crate::event;
 
 /// Pause between two looks.
-const AGAIN: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// A replica that hears from no leader for so long may have been taken out: some elections.
-const FORGOTTEN: Duration = Duration::from_secs(2);
+const REJOIN_AFTER: Duration = Duration::from_secs(2);
 /// Longest wait for one answer.
-const ANSWER: Duration = Duration::from_millis(500);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Who looks.
-struct Seeker {
-    reach: Reach,
+struct Bootstrap {
+    replica: ReplicaHandle,
     id: ReplicaId,
     cfg: LedgerSettings,
     addr: SocketAddr,
@@ -39,53 +39,59 @@
 
 /// Sees to it that the replica belongs to a ledger as a voter, under its present address, for as
 /// long as the process lives.
-pub async fn run(reach: Reach, id: ReplicaId, cfg: LedgerSettings, addr: SocketAddr, log: Logger) {
-    let seeker = Seeker {
-        reach,
+pub async fn run(
+    replica: ReplicaHandle,
+    id: ReplicaId,
+    cfg: LedgerSettings,
+    addr: SocketAddr,
+    log: Logger,
+) {
+    let bootstrap = Bootstrap {
+        replica,
         id,
         cfg,
         addr,
         log,
     };
-    let mut told = false;
-    let mut in_touch_at = Instant::now();
-    while !*seeker.reach.stopping.borrow() {
-        if seeker.reach.public.borrow().in_touch {
-            in_touch_at = Instant::now();
+    let mut joining_logged = false;
+    let mut connected_at = Instant::now();
+    while !*bootstrap.replica.stopping.borrow() {
+        if bootstrap.replica.status.borrow().connected {
+            connected_at = Instant::now();
         }
-        if !seeker.is_listed() && seeker.seeks() {
-            seeker.try_once(&mut told).await;
-        } else if in_touch_at.elapsed() >= FORGOTTEN {
+        if !bootstrap.is_listed_voter() && bootstrap.should_register() {
+            bootstrap.join_or_found(&mut joining_logged).await;
+        } else if connected_at.elapsed() >= REJOIN_AFTER {
             // Failure: a replica is taken out while it is down. Its own log still names it as a
             // voter, the others send it nothing, and it waits for ever. So it asks again; where it
             // still votes, the leader drops the question.
-            seeker.join().await;
+            bootstrap.join().await;
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-enum Found {
+enum ProbeResult {
     /// Some founder belongs to a ledger.
     Ledger,
     /// All founders are there and empty.
     Empty(BTreeMap<ReplicaId, Site>),
     /// Some did not answer.
-    Unclear,
+    Incomplete,
 }
 
-impl Seeker {
+impl Bootstrap {
     /// Whether it votes and the others have its right address.
-    fn is_listed(&self) -> bool {
-        self.reach.public.borrow().listed == Some(self.own_addr())
+    fn is_listed_voter(&self) -> bool {
+        self.replica.status.borrow().voter_addr == Some(self.own_addr())
     }
 
     /// Failure: a replica comes back with its disk at another address. It hears the others, but
     /// they call the old address, so its votes and acknowledgements are lost without a word. It
     /// asks the leader to note the new address, as a new disk asks to be taken in.
-    fn seeks(&self) -> bool {
-        let public = self.reach.public.borrow();
-        public.seeks_ledger || public.listed.is_some()
+    fn should_register(&self) -> bool {
+        let status = self.replica.status.borrow();
+        status.needs_to_join || status.voter_addr.is_some()
     }
 
     /// Where the others are to reach it: as the settings say, or as bound where they don't.
@@ -95,21 +101,21 @@
         own.map_or(self.addr, |peer| peer.addr)
     }
 
-    async fn try_once(&self, told: &mut bool) {
-        if self.reach.public.borrow().listed.is_some() {
+    async fn join_or_found(&self, joining_logged: &mut bool) {
+        if self.replica.status.borrow().voter_addr.is_some() {
             self.join().await;
             return;
         }
-        match self.look().await {
-            Found::Ledger => {
-                if !*told {
+        match self.probe_founders().await {
+            ProbeResult::Ledger => {
+                if !*joining_logged {
                     event!(self.log, events::LEDGER_JOINING);
                 }
-                *told = true;
+                *joining_logged = true;
                 self.join().await;
             }
-            Found::Empty(founders) => self.found(founders).await,
-            Found::Unclear => {}
+            ProbeResult::Empty(founders) => self.found(founders).await,
+            ProbeResult::Incomplete => {}
         }
     }
 
@@ -128,17 +134,17 @@
     /// Whom the settings have come to name beyond the founders.
     fn seeds(&self) -> Vec<SocketAddr> {
         let own = self.own_addr();
-        let mut seeds = self.reach.contacts.told().borrow().seeds.clone();
+        let mut seeds = self.replica.contacts.subscribe().borrow().seeds.clone();
         seeds.retain(|addr| *addr != own && self.others().all(|peer| peer.addr != *addr));
         seeds
     }
 
-    async fn look(&self) -> Found {
+    async fn probe_founders(&self) -> ProbeResult {
         let mut empty = BTreeMap::from([(self.id, self.site())]);
-        let mut unclear = false;
+        let mut incomplete = false;
         for peer in self.others() {
             match hello(peer.addr).await {
-                Some(hello) if hello.ledger != 0 => return Found::Ledger,
+                Some(hello) if hello.ledger != 0 => return ProbeResult::Ledger,
                 Some(hello) if hello.instance == peer.id => {
                     let site = Site {
                         instance: peer.id.clone(),
@@ -151,9 +157,9 @@
                         self.log, events::LEDGER_FOUNDER_UNKNOWN,
                         "expected" => peer.id.to_string(), "found" => hello.instance.to_string()
                     );
-                    unclear = true;
+                    incomplete = true;
                 }
-                None => unclear = true,
+                None => incomplete = true,
             }
         }
         let first = self.cfg.founders.iter().map(|peer| &peer.id).min();
@@ -161,13 +167,13 @@
         // two first ones.
         for addr in self.seeds() {
             if hello(addr).await.is_some_and(|hello| hello.ledger != 0) {
-                return Found::Ledger;
+                return ProbeResult::Ledger;
             }
         }
-        if unclear || self.cfg.join || first != Some(&self.cfg.id) {
-            return Found::Unclear;
+        if incomplete || self.cfg.join || first != Some(&self.cfg.id) {
+            return ProbeResult::Incomplete;
         }
-        Found::Empty(empty)
+        ProbeResult::Empty(empty)
     }
 
     async fn found(&self, voters: BTreeMap<ReplicaId, Site>) {
@@ -177,13 +183,16 @@
             learners: BTreeMap::new(),
         };
         // Fails only when the node has ended.
-        let _ = self.reach.inbox.send(Input::Found(membership)).await;
+        let _ = self.replica.inbox.send(Input::Found(membership)).await;
     }
 
     /// Asks whoever may lead to be taken in, or to note the address; that may be this replica.
     async fn join(&self) {
         let (id, site) = (self.id, self.site());
-        let own = self.reach.ask(|reply| Input::Join(id, site, reply)).await;
+        let own = self
+            .replica
+            .request(|reply| Input::Join(id, site, reply))
+            .await;
         let leader = match own {
             Some(Ok(())) | None => return,
             Some(Err(leader)) => leader,
@@ -192,12 +201,19 @@
             self.join_at(leader).await;
             return;
         }
-        let known: Vec<_> = self.reach.public.borrow().peers.values().copied().collect();
+        let known: Vec<_> = self
+            .replica
+            .status
+            .borrow()
+            .peers
+            .values()
+            .copied()
+            .collect();
         let named = self.others().map(|peer| peer.addr);
         for addr in named.chain(self.seeds()).chain(known) {
-            match self.ask_in(addr).await {
+            match self.request_join(addr).await {
                 Some(PeerReply::Joining) => {
-                    self.reach.contacts.note_leader(addr);
+                    self.replica.contacts.set_leader(addr);
                     return;
                 }
                 Some(PeerReply::NotLeader {
@@ -212,23 +228,26 @@
     }
 
     async fn join_at(&self, leader: SocketAddr) {
-        self.reach.contacts.note_leader(leader);
-        self.ask_in(leader).await;
+        self.replica.contacts.set_leader(leader);
+        self.request_join(leader).await;
     }
 
-    async fn ask_in(&self, addr: SocketAddr) -> Option<PeerReply> {
+    async fn request_join(&self, addr: SocketAddr) -> Option<PeerReply> {
         let req = PeerRequest::Join {
             id: self.id,
             site: self.site(),
         };
-        Channel::new(addr).call::<PeerCall>(&req, ANSWER).await.ok()
+        Channel::new(addr)
+            .call::<PeerCall>(&req, REPLY_TIMEOUT)
+            .await
+            .ok()
     }
 }
 
 async fn hello(addr: SocketAddr) -> Option<Hello> {
     let channel = Channel::new(addr);
-    let asked = channel.call::<PeerCall>(&PeerRequest::Hello, ANSWER);
-    match asked.await.ok()? {
+    let response = channel.call::<PeerCall>(&PeerRequest::Hello, REPLY_TIMEOUT);
+    match response.await.ok()? {
         PeerReply::Hello(hello) => Some(hello),
         _ => None,
     }
--- a/crates/anvilreel/src/ledger_service/check.rs
+++ b/crates/anvilreel/src/ledger_service/check.rs
@@ -6,7 +6,7 @@
 use anvil_world::prelude::*;
 
 /// Refuses a change whose text is not a good document of its path.
-pub fn refuse(command: &Command) -> Option<Answer> {
+pub fn validate(command: &Command) -> Option<Answer> {
     let Command::Change(change) = command else {
         return None;
     };
@@ -19,7 +19,7 @@
 }
 
 /// Puts in when the leader took the command.
-pub fn stamp(command: &mut Command, now: SystemTime) {
+pub fn set_time(command: &mut Command, now: SystemTime) {
     let at = match command {
         Command::Change(change) => &mut change.at,
         Command::TopUp(top_up) => &mut top_up.at,
--- a/crates/anvilreel/src/ledger_service/grant_evidence.rs
+++ b/crates/anvilreel/src/ledger_service/grant_evidence.rs
@@ -14,9 +14,9 @@
 use crate::money::GrantClosing;
 
 /// A life of a sidecar.
-type SidecarLife = (InstanceId, Incarnation);
+type SidecarIncarnation = (InstanceId, Incarnation);
 /// A fenced router, up to this life.
-type Fenced = (InstanceId, Incarnation);
+type FencedRouter = (InstanceId, Incarnation);
 
 /// A fenced grant that a lost sidecar may have charged.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     /// The grant.
     pub grant: GrantId,
     /// A sidecar whose life was lost.
-    pub lost: InstanceId,
+    pub lost_sidecar: InstanceId,
 }
 
 /// What can be done about fenced grants now.
@@ -38,40 +38,40 @@
 
 /// The evidence that has come since the election.
 #[derive(Debug, Clone, Default)]
-pub struct Testimony {
-    by_router: BTreeMap<Fenced, BTreeMap<SidecarLife, ChargeEvidence>>,
-    named: BTreeSet<GrantId>,
+pub struct GrantEvidence {
+    by_router: BTreeMap<FencedRouter, BTreeMap<SidecarIncarnation, ChargeEvidence>>,
+    reported: BTreeSet<GrantId>,
 }
 
-impl Testimony {
+impl GrantEvidence {
     /// Takes a sidecar's evidence; returns what it need not send again: routers whose fenced
     /// grants are all closed by committed entries.
-    pub fn hear(&mut self, heartbeat: &Heartbeat, machine: &Machine) -> Vec<Fenced> {
+    pub fn record(&mut self, heartbeat: &Heartbeat, machine: &Machine) -> Vec<FencedRouter> {
         let sidecar = &heartbeat.instance;
-        let mut taken = Vec::new();
+        let mut settled_routers = Vec::new();
         for evidence in &heartbeat.evidence {
             let fenced = (evidence.router.clone(), evidence.incarnation);
             if !has_fenced_grants(machine, &fenced) {
-                taken.push(fenced);
+                settled_routers.push(fenced);
                 continue;
             }
-            let lives = self.by_router.entry(fenced).or_default();
-            let life = (sidecar.id.clone(), sidecar.incarnation);
-            lives.insert(life, evidence.clone());
+            let by_sidecar = self.by_router.entry(fenced).or_default();
+            let sidecar_incarnation = (sidecar.id.clone(), sidecar.incarnation);
+            by_sidecar.insert(sidecar_incarnation, evidence.clone());
         }
-        taken
+        settled_routers
     }
 
     /// Whether evidence has come for grants that are not closed yet.
-    pub fn is_waiting(&self) -> bool {
+    pub fn has_open_evidence(&self) -> bool {
         !self.by_router.is_empty()
     }
 
     /// Looks which fenced grants can be closed.
-    pub fn examine(&mut self, machine: &Machine) -> Findings {
+    pub fn evaluate(&mut self, machine: &Machine) -> Findings {
         let mut findings = Findings::default();
         let fenced: Vec<&Grant> = machine.state.fenced_grants().collect();
-        self.forget(&fenced, machine);
+        self.discard_closed(&fenced, machine);
         // One look at the evidence for each router, however many grants it had.
         let mut closings: BTreeMap<&InstanceId, GrantClosing> = BTreeMap::new();
         for grant in fenced {
@@ -96,43 +96,43 @@
         let Some(lost) = machine.lost_incarnations.may_have_charged(grant.id).next() else {
             return false;
         };
-        if self.named.insert(grant.id) {
+        if self.reported.insert(grant.id) {
             findings.held.push(HeldGrant {
                 grant: grant.id,
-                lost: lost.clone(),
+                lost_sidecar: lost.clone(),
             });
         }
         true
     }
 
     fn closing(&self, router: &InstanceId, machine: &Machine) -> GrantClosing {
-        let mut closing = GrantClosing::new(living_sidecars(machine));
+        let mut closing = GrantClosing::new(reachable_sidecars(machine));
         let upto = machine.state.fenced().get(router).copied();
         let fenced = (router.clone(), upto.unwrap_or_default());
         let evidence = self.by_router.get(&fenced);
-        for (life, evidence) in evidence.into_iter().flatten() {
-            closing.record_evidence(life, evidence);
+        for (sidecar_incarnation, evidence) in evidence.into_iter().flatten() {
+            closing.record_evidence(sidecar_incarnation, evidence);
         }
         closing
     }
 
-    fn forget(&mut self, fenced: &[&Grant], machine: &Machine) {
+    fn discard_closed(&mut self, fenced: &[&Grant], machine: &Machine) {
         let open: BTreeSet<GrantId> = fenced.iter().map(|grant| grant.id).collect();
-        self.named.retain(|grant| open.contains(grant));
+        self.reported.retain(|grant| open.contains(grant));
         self.by_router
             .retain(|fenced, _| has_fenced_grants(machine, fenced));
     }
 }
 
-fn has_fenced_grants(machine: &Machine, (router, upto): &Fenced) -> bool {
+fn has_fenced_grants(machine: &Machine, (router, upto): &FencedRouter) -> bool {
     let mut grants = machine.state.grants_of(router);
     grants.any(|grant| grant.state == GrantState::Fenced && grant.incarnation <= *upto)
 }
 
 /// Lives that can still answer. Those that can't are in [`anvil_ledger::lost_incarnations`].
-fn living_sidecars(machine: &Machine) -> impl Iterator<Item = SidecarLife> {
+fn reachable_sidecars(machine: &Machine) -> impl Iterator<Item = SidecarIncarnation> {
     let members = machine.state.members().values();
     let sidecars = members.filter(|m| m.instance.role == Role::Sidecar);
-    let living = sidecars.filter(|m| m.presence != Presence::Gone);
-    living.map(|m| (m.instance.id.clone(), m.instance.incarnation))
+    let reachable = sidecars.filter(|m| m.presence != Presence::Gone);
+    reachable.map(|m| (m.instance.id.clone(), m.instance.incarnation))
 }
--- a/crates/anvilreel/src/ledger_service/handlers.rs
+++ b/crates/anvilreel/src/ledger_service/handlers.rs
@@ -12,31 +12,31 @@
 use super::follow::{Follower, version_of};
 use super::peer::{PeerCall, PeerReply, PeerRequest};
 use super::peer_addresses::Contacts;
-use super::pending::Reply;
-use super::replica_task::{Inbox, Input, Public};
+use super::pending::ReplyTx;
+use super::replica_task::{Inbox, Input, ReplicaStatus};
 
 /// Time between two ticks of a follow stream on which nothing changes. A follower leaves after
 /// some of them have failed to come, so this bounds how long it believes a replica that is cut off.
-const CURRENT: Duration = Duration::from_millis(300);
+const CURRENT_INTERVAL: Duration = Duration::from_millis(300);
 /// A replica that has nothing true to say for so long sends its followers away. Shorter than an
 /// election, and followers that all replicas send away would do nothing but come back.
-const MUTE: Duration = Duration::from_millis(500);
+const MAX_SILENCE: Duration = Duration::from_millis(500);
 /// Changes within this time go to a follower as one.
-const GATHER: Duration = Duration::from_millis(20);
+const COALESCE_WINDOW: Duration = Duration::from_millis(20);
 /// Messages that wait for one replica.
-const OUTBOX: usize = 4_096;
+const MESSAGE_QUEUE_LEN: usize = 4_096;
 /// Messages sent as one.
-const ENVELOPES: usize = 64;
+const MAX_ENVELOPES_PER_REPLY: usize = 64;
 /// Bytes of a snapshot sent as one.
-const CHUNK: usize = 1 << 20;
+const CHUNK_BYTES: usize = 1 << 20;
 
 /// What handlers need of the node.
 #[derive(Clone)]
-pub struct Reach {
+pub struct ReplicaHandle {
     /// The way to it.
     pub inbox: Inbox,
     /// What everybody may know of it.
-    pub public: watch::Receiver<Public>,
+    pub status: watch::Receiver<ReplicaStatus>,
     /// Whether the process is ending.
     pub stopping: watch::Receiver<bool>,
     /// Where others are, beyond what the log names.
@@ -45,16 +45,16 @@
     pub disk: anvil_ledger::storage::Disk,
 }
 
-impl Reach {
+impl ReplicaHandle {
     /// Sends and waits for the answer; `None` when the node has ended.
-    pub async fn ask<T>(&self, input: impl FnOnce(oneshot::Sender<T>) -> Input) -> Option<T> {
+    pub async fn request<T>(&self, input: impl FnOnce(oneshot::Sender<T>) -> Input) -> Option<T> {
         let (tx, rx) = oneshot::channel();
         self.inbox.send(input(tx)).await.ok()?;
         rx.await.ok()
     }
 
-    async fn reply(&self, input: impl FnOnce(Reply) -> Input) -> LedgerReply {
-        self.ask(input).await.unwrap_or(LedgerReply::Stopped)
+    async fn reply(&self, input: impl FnOnce(ReplyTx) -> Input) -> LedgerReply {
+        self.request(input).await.unwrap_or(LedgerReply::Stopped)
     }
 
     async fn stopped(&self) {
@@ -65,31 +65,31 @@
 }
 
 /// All handlers of a replica.
-pub fn all(reach: &Reach) -> Handlers {
-    let ledger = reach.clone();
-    let peer = reach.clone();
+pub fn all(replica: &ReplicaHandle) -> Handlers {
+    let ledger = replica.clone();
+    let peer = replica.clone();
     Handlers::default()
         .with::<LedgerCall, _, _>(move |req, tx| {
-            let reach = ledger.clone();
-            async move { answer(&reach, req, tx).await }
+            let replica = ledger.clone();
+            async move { handle_ledger(&replica, req, tx).await }
         })
         .with::<PeerCall, _, _>(move |req, tx| {
-            let reach = peer.clone();
-            async move { answer_peer(&reach, req, tx).await }
+            let replica = peer.clone();
+            async move { handle_peer(&replica, req, tx).await }
         })
 }
 
-async fn answer(reach: &Reach, req: LedgerRequest, tx: ReplySender<LedgerReply>) {
+async fn handle_ledger(replica: &ReplicaHandle, req: LedgerRequest, tx: ReplySender<LedgerReply>) {
     let reply = match req {
         LedgerRequest::Propose(command) => {
             let command = Box::new(command);
-            reach.reply(|reply| Input::Propose(command, reply)).await
+            replica.reply(|reply| Input::Propose(command, reply)).await
         }
-        LedgerRequest::Query(query) => reach.reply(|reply| Input::Query(query, reply)).await,
+        LedgerRequest::Query(query) => replica.reply(|reply| Input::Query(query, reply)).await,
         LedgerRequest::Heartbeat(heartbeat) => {
             let heartbeat = Box::new(heartbeat);
             let input = |reply| Input::Heartbeat(heartbeat, reply);
-            reach.reply(input).await
+            replica.reply(input).await
         }
         LedgerRequest::Follow {
             instance,
@@ -101,7 +101,7 @@
                 interest,
                 version,
             };
-            follow(reach, follower, tx).await;
+            follow(replica, follower, tx).await;
             return;
         }
     };
@@ -110,24 +110,26 @@
 }
 
 /// Sends a follower what it lacks, now and whenever that changes.
-async fn follow(reach: &Reach, mut follower: Follower, mut tx: ReplySender<LedgerReply>) {
-    let mut public = reach.public.clone();
-    let mut spoke = Instant::now();
+async fn follow(replica: &ReplicaHandle, mut follower: Follower, mut tx: ReplySender<LedgerReply>) {
+    let mut status = replica.status.clone();
+    let mut last_event_at = Instant::now();
     loop {
-        if let Some(event) = next_event(reach, &public, &follower).await {
-            spoke = Instant::now();
+        if let Some(event) = next_event(replica, &status, &follower).await {
+            last_event_at = Instant::now();
             follower.version = follower.version.max(version_of(&event));
             let reply = LedgerReply::Follow(event);
             tokio::select! {
                 sent = tx.send(&reply) => if sent.is_err() {
                     return;
                 },
-                () = reach.stopped() => return,
+                () = replica.stopped() => return,
             }
         }
         // Failure: a replica without a majority keeps its followers in silence while another one
         // could tell them what has changed. The end of the stream sends them on at once.
-        if spoke.elapsed() >= MUTE || !wait(reach, &mut public, &follower, &mut tx).await {
+        if last_event_at.elapsed() >= MAX_SILENCE
+            || !wait_for_change(replica, &mut status, &follower, &mut tx).await
+        {
             return;
         }
     }
@@ -136,66 +138,74 @@
 /// What is new, or that nothing is. Nothing at all while out of touch or behind the follower:
 /// silence tells it to look elsewhere.
 async fn next_event(
-    reach: &Reach,
-    public: &watch::Receiver<Public>,
+    replica: &ReplicaHandle,
+    status: &watch::Receiver<ReplicaStatus>,
     follower: &Follower,
 ) -> Option<FollowEvent> {
-    let seen = public.borrow().clone();
-    if seen.version > follower.version {
+    let current_status = status.borrow().clone();
+    if current_status.version > follower.version {
         let follower = follower.clone();
         let input = |reply| Input::CatchUp(follower, reply);
-        return reach.ask(input).await.flatten();
+        return replica.request(input).await.flatten();
     }
-    let version = seen.version;
-    let current = seen.in_touch && version == follower.version;
+    let version = current_status.version;
+    let current = current_status.connected && version == follower.version;
     current.then_some(FollowEvent::Current { version })
 }
 
 /// Waits for a newer version or for the next tick; false when the follower or the process is
 /// leaving.
-async fn wait(
-    reach: &Reach,
-    public: &mut watch::Receiver<Public>,
+async fn wait_for_change(
+    replica: &ReplicaHandle,
+    status: &mut watch::Receiver<ReplicaStatus>,
     follower: &Follower,
     tx: &mut ReplySender<LedgerReply>,
 ) -> bool {
     let newer = async {
-        let seen = public.wait_for(|seen| seen.version > follower.version);
+        let newer_status =
+            status.wait_for(|current_status| current_status.version > follower.version);
         // An error means that the node has ended; the process follows.
-        let ended = seen.await.is_err();
-        sleep(if ended { CURRENT } else { GATHER }).await;
+        let ended = newer_status.await.is_err();
+        sleep(if ended {
+            CURRENT_INTERVAL
+        } else {
+            COALESCE_WINDOW
+        })
+        .await;
     };
     tokio::select! {
         () = tx.cancelled() => false,
-        () = reach.stopped() => false,
+        () = replica.stopped() => false,
         // Either way there is something to say.
-        _ = timeout(CURRENT, newer) => true,
+        _ = timeout(CURRENT_INTERVAL, newer) => true,
     }
 }
 
-async fn answer_peer(reach: &Reach, req: PeerRequest, mut tx: ReplySender<PeerReply>) {
+async fn handle_peer(replica: &ReplicaHandle, req: PeerRequest, mut tx: ReplySender<PeerReply>) {
     let reply = match req {
-        PeerRequest::Hello => reach.ask(Input::Hello).await.map(PeerReply::Hello),
+        PeerRequest::Hello => replica.request(Input::Hello).await.map(PeerReply::Hello),
         PeerRequest::Join { id, site } => {
-            let joined = reach.ask(|reply| Input::Join(id, site, reply)).await;
+            let joined = replica.request(|reply| Input::Join(id, site, reply)).await;
             joined.map(|joined| match joined {
                 Ok(()) => PeerReply::Joining,
                 Err(leader) => PeerReply::NotLeader { leader },
             })
         }
         PeerRequest::Remove(instance) => {
-            let removed = reach.ask(|reply| Input::Remove(instance, reply)).await;
+            let removed = replica
+                .request(|reply| Input::Remove(instance, reply))
+                .await;
             removed.map(|removed| match removed {
                 Ok(()) => PeerReply::Removing,
                 Err(leader) => PeerReply::NotLeader { leader },
             })
         }
         PeerRequest::Listen { id } => {
-            speak(reach, id, tx).await;
+            send_messages(replica, id, tx).await;
             return;
         }
         PeerRequest::Fetch => {
-            hand_out(reach, tx).await;
+            send_snapshot(replica, tx).await;
             return;
         }
     };
@@ -204,17 +214,17 @@
 }
 
 /// Sends a replica what the core has to tell it, in order, many at once where many wait.
-async fn speak(reach: &Reach, id: ReplicaId, mut tx: ReplySender<PeerReply>) {
-    let (queue, mut rx) = mpsc::channel(OUTBOX);
-    if reach.inbox.send(Input::Listen(id, queue)).await.is_err() {
+async fn send_messages(replica: &ReplicaHandle, id: ReplicaId, mut tx: ReplySender<PeerReply>) {
+    let (queue, mut rx) = mpsc::channel(MESSAGE_QUEUE_LEN);
+    if replica.inbox.send(Input::Listen(id, queue)).await.is_err() {
         return;
     }
     let mut envelopes: Vec<Envelope> = Vec::new();
     loop {
         let count = tokio::select! {
-            count = rx.recv_many(&mut envelopes, ENVELOPES) => count,
+            count = rx.recv_many(&mut envelopes, MAX_ENVELOPES_PER_REPLY) => count,
             () = tx.cancelled() => return,
-            () = reach.stopped() => return,
+            () = replica.stopped() => return,
         };
         if count == 0 {
             return;
@@ -224,14 +234,14 @@
             sent = tx.send(&reply) => if sent.is_err() {
                 return;
             },
-            () = reach.stopped() => return,
+            () = replica.stopped() => return,
         }
     }
 }
 
 /// Sends the newest snapshot.
-async fn hand_out(reach: &Reach, mut tx: ReplySender<PeerReply>) {
-    let disk = reach.disk.clone();
+async fn send_snapshot(replica: &ReplicaHandle, mut tx: ReplySender<PeerReply>) {
+    let disk = replica.disk.clone();
     let loaded = tokio::task::spawn_blocking(move || snapshot::load(&disk)).await;
     let Ok(Ok(Some(snapshot))) = loaded else {
         // Fails only where the asker is gone; so do the sends below.
@@ -243,7 +253,7 @@
     }
     let mut rest = snapshot.data;
     while !rest.is_empty() {
-        let chunk = rest.split_to(CHUNK.min(rest.len()));
+        let chunk = rest.split_to(CHUNK_BYTES.min(rest.len()));
         if tx.send(&PeerReply::Chunk(chunk)).await.is_err() {
             return;
         }
--- a/crates/anvilreel/src/ledger_service/heartbeats.rs
+++ b/crates/anvilreel/src/ledger_service/heartbeats.rs
@@ -18,7 +18,7 @@
 
 /// The last sign of life of one instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Sign {
+struct LastHeartbeat {
     at: Duration,
     incarnation: Incarnation,
     version: LogIndex,
@@ -26,7 +26,7 @@
 
 /// How long a silence may last.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
+pub struct PresenceTimeouts {
     /// Before the instance gets no new work.
     pub silent: Duration,
     /// Before its life is over. Longer than a router serves out of touch.
@@ -35,23 +35,23 @@
 
 /// What a leader has heard since it was elected.
 #[derive(Debug, Clone, Default)]
-pub struct Signs {
+pub struct HeartbeatTracker {
     since: Duration,
-    signs: BTreeMap<InstanceId, Sign>,
+    last_by_instance: BTreeMap<InstanceId, LastHeartbeat>,
 }
 
 /// What is to be done about a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Greeting {
+pub enum HeartbeatAction {
     /// Nothing; it is held to be this.
     Known(Presence),
     /// Propose this first.
     Propose(Command),
 }
 
-impl Signs {
+impl HeartbeatTracker {
     /// Starts anew after an election.
-    pub fn elected(now: Duration) -> Self {
+    pub fn since_election(now: Duration) -> Self {
         Self {
             since: now,
             ..Self::default()
@@ -59,97 +59,122 @@
     }
 
     /// Takes a heartbeat.
-    pub fn hear(&mut self, now: Duration, heartbeat: &Heartbeat, machine: &Machine) -> Greeting {
+    pub fn record(
+        &mut self,
+        now: Duration,
+        heartbeat: &Heartbeat,
+        machine: &Machine,
+    ) -> HeartbeatAction {
         let instance = &heartbeat.instance;
         let Some(member) = machine.state.members().get(&instance.id) else {
             // Failure: the join is applied before the next heartbeat comes, and an instance that
             // joins long after the election looks as if it had been silent since then. It would
             // be declared gone a moment after it came. This sign counts for the new life.
-            self.take(now, heartbeat);
-            return Greeting::Propose(join(instance));
+            self.store(now, heartbeat);
+            return HeartbeatAction::Propose(join(instance));
         };
         let known = member.instance.incarnation;
         if instance.incarnation < known {
-            return Greeting::Known(Presence::Gone);
+            return HeartbeatAction::Known(Presence::Gone);
         }
         if instance.incarnation > known {
-            self.take(now, heartbeat);
-            return Greeting::Propose(join(instance));
+            self.store(now, heartbeat);
+            return HeartbeatAction::Propose(join(instance));
         }
         if member.presence == Presence::Gone {
-            return Greeting::Known(Presence::Gone);
+            return HeartbeatAction::Known(Presence::Gone);
         }
-        self.take(now, heartbeat);
+        self.store(now, heartbeat);
         if member.instance != *instance {
-            return Greeting::Propose(join(instance));
+            return HeartbeatAction::Propose(join(instance));
         }
         match (heartbeat.leaving, member.presence) {
             (true, Presence::Live | Presence::Silent) => {
-                Greeting::Propose(presence(member, Presence::Leaving))
+                HeartbeatAction::Propose(set_presence(member, Presence::Leaving))
             }
-            (false, Presence::Silent) => Greeting::Propose(presence(member, Presence::Live)),
-            (_, known) => Greeting::Known(known),
+            (false, Presence::Silent) => {
+                HeartbeatAction::Propose(set_presence(member, Presence::Live))
+            }
+            (_, known) => HeartbeatAction::Known(known),
         }
     }
 
-    fn take(&mut self, now: Duration, heartbeat: &Heartbeat) {
+    fn store(&mut self, now: Duration, heartbeat: &Heartbeat) {
         let instance = &heartbeat.instance;
-        let sign = Sign {
+        let last_heartbeat = LastHeartbeat {
             at: now,
             incarnation: instance.incarnation,
             version: heartbeat.version,
         };
-        self.signs.insert(instance.id.clone(), sign);
+        self.last_by_instance
+            .insert(instance.id.clone(), last_heartbeat);
     }
 
     /// Instances that have been silent for too long, and what that makes of them.
-    pub fn silent(&self, now: Duration, patience: Patience, machine: &Machine) -> Vec<Command> {
+    pub fn presence_changes(
+        &self,
+        now: Duration,
+        timeouts: PresenceTimeouts,
+        machine: &Machine,
+    ) -> Vec<Command> {
         let members = machine.state.members().values();
-        let judge = |member: &Member| {
-            let silence = now.saturating_sub(self.heard(member));
-            let judged = judge(member.presence, silence, patience)?;
-            Some(presence(member, judged))
+        let change = |member: &Member| {
+            let elapsed = now.saturating_sub(self.last_contact(member));
+            let changed = presence_after(member.presence, elapsed, timeouts)?;
+            Some(set_presence(member, changed))
         };
-        members.filter_map(judge).collect()
+        members.filter_map(change).collect()
     }
 
-    fn heard(&self, member: &Member) -> Duration {
-        let sign = self.sign_of(member);
-        sign.map_or(self.since, |sign| sign.at.max(self.since))
+    fn last_contact(&self, member: &Member) -> Duration {
+        let last_heartbeat = self.heartbeat_of(member);
+        last_heartbeat.map_or(self.since, |last_heartbeat| {
+            last_heartbeat.at.max(self.since)
+        })
     }
 
-    fn sign_of(&self, member: &Member) -> Option<&Sign> {
-        let sign = self.signs.get(&member.instance.id);
-        sign.filter(|sign| sign.incarnation == member.instance.incarnation)
+    fn heartbeat_of(&self, member: &Member) -> Option<&LastHeartbeat> {
+        let last_heartbeat = self.last_by_instance.get(&member.instance.id);
+        last_heartbeat
+            .filter(|last_heartbeat| last_heartbeat.incarnation == member.instance.incarnation)
     }
 
     /// How far a version has spread.
-    pub fn in_force(&self, version: LogIndex, now: Duration, machine: &Machine) -> VersionRollout {
-        let mut spread = VersionRollout::default();
+    pub fn version_rollout(
+        &self,
+        version: LogIndex,
+        now: Duration,
+        machine: &Machine,
+    ) -> VersionRollout {
+        let mut rollout = VersionRollout::default();
         let members = machine.state.members().values();
         for member in members.filter(|m| m.presence != Presence::Gone) {
             let id = member.instance.id.clone();
-            match self.sign_of(member) {
-                Some(sign) if sign.version >= version => {
-                    spread.there.insert(id);
+            match self.heartbeat_of(member) {
+                Some(last_heartbeat) if last_heartbeat.version >= version => {
+                    rollout.there.insert(id);
                 }
                 _ => {
-                    let silence = now.saturating_sub(self.heard(member));
-                    spread.missing.insert(id, silence);
+                    let elapsed = now.saturating_sub(self.last_contact(member));
+                    rollout.missing.insert(id, elapsed);
                 }
             }
         }
-        spread
+        rollout
     }
 }
 
 /// What a silence makes of an instance; nothing when it stays what it is.
-fn judge(known: Presence, silence: Duration, patience: Patience) -> Option<Presence> {
+fn presence_after(
+    known: Presence,
+    elapsed: Duration,
+    timeouts: PresenceTimeouts,
+) -> Option<Presence> {
     match known {
-        Presence::Live | Presence::Silent if silence >= patience.gone => Some(Presence::Gone),
-        Presence::Live if silence >= patience.silent => Some(Presence::Silent),
+        Presence::Live | Presence::Silent if elapsed >= timeouts.gone => Some(Presence::Gone),
+        Presence::Live if elapsed >= timeouts.silent => Some(Presence::Silent),
         // It said that it would go, so its silence means that it has.
-        Presence::Leaving if silence >= patience.silent => Some(Presence::Gone),
+        Presence::Leaving if elapsed >= timeouts.silent => Some(Presence::Gone),
         _ => None,
     }
 }
@@ -160,7 +185,7 @@
     })
 }
 
-fn presence(member: &Member, presence: Presence) -> Command {
+fn set_presence(member: &Member, presence: Presence) -> Command {
     Command::SetPresence(SetPresence {
         id: member.instance.id.clone(),
         incarnation: member.instance.incarnation,
--- a/crates/anvilreel/src/ledger_service/links.rs
+++ b/crates/anvilreel/src/ledger_service/links.rs
@@ -16,40 +16,46 @@
 use tokio::time::{sleep, timeout};
 
 use super::events;
-use super::handlers::Reach;
+use super::handlers::ReplicaHandle;
 use super::peer::{PeerCall, PeerReply, PeerRequest};
 use super::replica_task::Input;
 use crate::event;
 
 /// Pause before a lost link is tried again.
-const AGAIN: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// A link that says nothing for this long is opened anew. A leader beats several times a second,
 /// but two followers have nothing to say to each other.
-const SILENCE: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest time for a whole snapshot.
-const FETCH: Duration = Duration::from_mins(2);
+const FETCH_TIMEOUT: Duration = Duration::from_mins(2);
 
 /// Keeps a link to every replica that the settings or the log name, and to the leader that this
 /// replica has asked to be taken in.
-pub async fn run(reach: Reach, id: ReplicaId, cfg: LedgerSettings, own: SocketAddr, log: Logger) {
+pub async fn run(
+    replica: ReplicaHandle,
+    id: ReplicaId,
+    cfg: LedgerSettings,
+    own: SocketAddr,
+    log: Logger,
+) {
     let mut known = BTreeSet::new();
     // Dropped with this task, it ends the links.
     let mut links = JoinSet::new();
-    let mut public = reach.public.clone();
-    let mut told = reach.contacts.told();
+    let mut status = replica.status.clone();
+    let mut learned = replica.contacts.subscribe();
     loop {
         let named = cfg.founders.iter().filter(|peer| peer.id != cfg.id);
         let mut wanted: Vec<_> = named.map(|peer| peer.addr).collect();
-        wanted.extend(public.borrow_and_update().peers.values());
-        wanted.extend(told.borrow_and_update().leader);
+        wanted.extend(status.borrow_and_update().peers.values());
+        wanted.extend(learned.borrow_and_update().leader);
         for addr in wanted.into_iter().filter(|addr| *addr != own) {
             if known.insert(addr) {
-                links.spawn(listen(reach.clone(), id, addr, log.clone()));
+                links.spawn(receive_messages(replica.clone(), id, addr, log.clone()));
             }
         }
         let changed = tokio::select! {
-            changed = public.changed() => changed,
-            changed = told.changed() => changed,
+            changed = status.changed() => changed,
+            changed = learned.changed() => changed,
         };
         if changed.is_err() {
             return;
@@ -57,28 +63,33 @@
     }
 }
 
-async fn listen(reach: Reach, id: ReplicaId, addr: SocketAddr, log: Logger) {
+async fn receive_messages(replica: ReplicaHandle, id: ReplicaId, addr: SocketAddr, log: Logger) {
     let channel = Channel::new(addr);
     let mut up = false;
-    while !*reach.stopping.borrow() {
-        let asked = channel.open::<PeerCall>(&PeerRequest::Listen { id }).await;
-        tell(&log, addr, &mut up, asked.as_ref().err());
-        if let Ok(mut replies) = asked {
-            while let Ok(Ok(Some(reply))) = timeout(SILENCE, replies.next()).await {
+    while !*replica.stopping.borrow() {
+        let opened = channel.open::<PeerCall>(&PeerRequest::Listen { id }).await;
+        log_change(&log, addr, &mut up, opened.as_ref().err());
+        if let Ok(mut replies) = opened {
+            while let Ok(Ok(Some(reply))) = timeout(IDLE_TIMEOUT, replies.next()).await {
                 let PeerReply::Envelopes(envelopes) = reply else {
                     break;
                 };
-                if reach.inbox.send(Input::Envelopes(envelopes)).await.is_err() {
+                if replica
+                    .inbox
+                    .send(Input::Envelopes(envelopes))
+                    .await
+                    .is_err()
+                {
                     return;
                 }
             }
         }
-        sleep(AGAIN).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
 /// Logs when a link comes up or is lost, and nothing while it stays as it is.
-fn tell(log: &Logger, addr: SocketAddr, up: &mut bool, failure: Option<&WireError>) {
+fn log_change(log: &Logger, addr: SocketAddr, up: &mut bool, failure: Option<&WireError>) {
     match failure {
         None if !*up => event!(log, events::LEDGER_LINK_UP, "addr" => addr.to_string()),
         Some(e) if *up => event!(
@@ -92,10 +103,13 @@
 
 /// Fetches a replica's newest snapshot whole.
 pub async fn fetch(addr: SocketAddr) -> Option<(SnapshotMeta, Bytes)> {
-    timeout(FETCH, fetch_whole(addr)).await.ok().flatten()
+    timeout(FETCH_TIMEOUT, fetch_snapshot(addr))
+        .await
+        .ok()
+        .flatten()
 }
 
-async fn fetch_whole(addr: SocketAddr) -> Option<(SnapshotMeta, Bytes)> {
+async fn fetch_snapshot(addr: SocketAddr) -> Option<(SnapshotMeta, Bytes)> {
     let channel = Channel::new(addr);
     let mut replies = channel.open::<PeerCall>(&PeerRequest::Fetch).await.ok()?;
     let PeerReply::Snapshot(meta) = replies.next().await.ok()?? else {
--- a/crates/anvilreel/src/ledger_service/peer_addresses.rs
+++ b/crates/anvilreel/src/ledger_service/peer_addresses.rs
@@ -14,12 +14,12 @@
 /// and asks those, too, whom its settings have come to name.
 #[derive(Clone, Default)]
 pub struct Contacts {
-    told: watch::Sender<Told>,
+    learned: watch::Sender<LearnedAddresses>,
 }
 
 /// What a replica was told of others.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct LearnedAddresses {
     /// Whom its settings name now, beyond the founders.
     pub seeds: Vec<SocketAddr>,
     /// Where the leader is, as it or another replica said.
@@ -29,24 +29,24 @@
 impl Contacts {
     /// Takes other seeds, as the settings name them now.
     pub fn set_seeds(&self, seeds: &[SocketAddr]) {
-        self.change(|told| seeds.clone_into(&mut told.seeds));
+        self.change(|learned| seeds.clone_into(&mut learned.seeds));
     }
 
     /// Notes where the leader is.
-    pub fn note_leader(&self, addr: SocketAddr) {
-        self.change(|told| told.leader = Some(addr));
+    pub fn set_leader(&self, addr: SocketAddr) {
+        self.change(|learned| learned.leader = Some(addr));
     }
 
     /// What was told, and each change of it.
-    pub fn told(&self) -> watch::Receiver<Told> {
-        self.told.subscribe()
+    pub fn subscribe(&self) -> watch::Receiver<LearnedAddresses> {
+        self.learned.subscribe()
     }
 
-    fn change(&self, f: impl FnOnce(&mut Told)) {
-        self.told.send_if_modified(|told| {
-            let before = told.clone();
-            f(told);
-            *told != before
+    fn change(&self, f: impl FnOnce(&mut LearnedAddresses)) {
+        self.learned.send_if_modified(|learned| {
+            let before = learned.clone();
+            f(learned);
+            *learned != before
         });
     }
 }
--- a/crates/anvilreel/src/ledger_service/pending.rs
+++ b/crates/anvilreel/src/ledger_service/pending.rs
@@ -8,30 +8,30 @@
 use tokio::sync::oneshot;
 
 /// The way back to whoever asked.
-pub type Reply = oneshot::Sender<LedgerReply>;
+pub type ReplyTx = oneshot::Sender<LedgerReply>;
 
 /// Proposals and reads under way.
 #[derive(Default)]
 pub struct Pending {
-    last: RequestId,
-    proposed: BTreeMap<RequestId, Reply>,
-    accepted: BTreeMap<LogIndex, (Term, Reply)>,
-    reads: BTreeMap<RequestId, (Query, Reply)>,
+    last_id: RequestId,
+    proposed: BTreeMap<RequestId, ReplyTx>,
+    accepted: BTreeMap<LogIndex, (Term, ReplyTx)>,
+    reads: BTreeMap<RequestId, (Query, ReplyTx)>,
 }
 
 impl Pending {
     /// Keeps whoever proposed and gives the proposal a number.
-    pub fn propose(&mut self, reply: Reply) -> RequestId {
-        self.last += 1;
-        self.proposed.insert(self.last, reply);
-        self.last
+    pub fn propose(&mut self, reply: ReplyTx) -> RequestId {
+        self.last_id += 1;
+        self.proposed.insert(self.last_id, reply);
+        self.last_id
     }
 
     /// Keeps whoever reads and gives the read a number.
-    pub fn read(&mut self, query: Query, reply: Reply) -> RequestId {
-        self.last += 1;
-        self.reads.insert(self.last, (query, reply));
-        self.last
+    pub fn read(&mut self, query: Query, reply: ReplyTx) -> RequestId {
+        self.last_id += 1;
+        self.reads.insert(self.last_id, (query, reply));
+        self.last_id
     }
 
     /// A proposal stands in the log.
@@ -46,7 +46,7 @@
         let Some((term, reply)) = self.accepted.remove(&entry.index) else {
             return;
         };
-        let told = if term == entry.term {
+        let value = if term == entry.term {
             LedgerReply::Applied {
                 index: entry.index,
                 answer,
@@ -55,11 +55,11 @@
             // Another entry was committed in its place, so it never will be.
             LedgerReply::NotLeader { leader: None }
         };
-        tell(reply, told);
+        send_reply(reply, value);
     }
 
     /// A read may be answered.
-    pub fn confirmed(&mut self, id: RequestId) -> Option<(Query, Reply)> {
+    pub fn confirmed(&mut self, id: RequestId) -> Option<(Query, ReplyTx)> {
         self.reads.remove(&id)
     }
 
@@ -68,14 +68,14 @@
         let proposed = self.proposed.remove(&id);
         let read = self.reads.remove(&id).map(|(_, reply)| reply);
         for waiting in proposed.into_iter().chain(read) {
-            tell(waiting, reply.clone());
+            send_reply(waiting, reply.clone());
         }
     }
 
     /// What stands in the log is in doubt.
     pub fn deposed(&mut self) {
         for (_, reply) in std::mem::take(&mut self.accepted).into_values() {
-            tell(reply, LedgerReply::InDoubt);
+            send_reply(reply, LedgerReply::InDoubt);
         }
     }
 
@@ -83,16 +83,16 @@
     pub fn stopped(&mut self) {
         self.deposed();
         for reply in std::mem::take(&mut self.proposed).into_values() {
-            tell(reply, LedgerReply::Stopped);
+            send_reply(reply, LedgerReply::Stopped);
         }
         for (_, reply) in std::mem::take(&mut self.reads).into_values() {
-            tell(reply, LedgerReply::Stopped);
+            send_reply(reply, LedgerReply::Stopped);
         }
     }
 }
 
 /// Answers whoever asked.
-pub fn tell(reply: Reply, told: LedgerReply) {
+pub fn send_reply(reply: ReplyTx, value: LedgerReply) {
     // Fails only where the asker is gone.
-    let _ = reply.send(told);
+    let _ = reply.send(value);
 }
--- a/crates/anvilreel/src/ledger_service/queries.rs
+++ b/crates/anvilreel/src/ledger_service/queries.rs
@@ -8,7 +8,7 @@
 use anvil_world::command::AuditEntry;
 use anvil_world::prelude::*;
 
-use super::heartbeats::Signs;
+use super::heartbeats::HeartbeatTracker;
 
 /// Most budgets in one answer.
 const MAX_BUDGETS: u32 = 10_000;
@@ -16,7 +16,7 @@
 const MAX_AUDIT: u32 = 10_000;
 
 /// What a read looks at.
-pub struct View<'a> {
+pub struct QueryContext<'a> {
     /// Who answers.
     pub instance: &'a InstanceId,
     /// The log.
@@ -24,12 +24,12 @@
     /// The applied state.
     pub machine: &'a Machine,
     /// Who was heard of.
-    pub signs: &'a Signs,
+    pub heartbeats: &'a HeartbeatTracker,
     /// Time since the process started.
     pub now: Duration,
 }
 
-impl View<'_> {
+impl QueryContext<'_> {
     /// Answers a confirmed read.
     pub fn answer(&self, query: &Query) -> QueryAnswer {
         let state = &self.machine.state;
@@ -41,18 +41,25 @@
                 QueryAnswer::Tree(wanted.map(|(p, e)| (p.clone(), e.clone())).collect())
             }
             Query::Budget(id) => {
-                let found = state.budget(id).map(|budget| view(id, budget));
+                let found = state.budget(id).map(|budget| budget_view(id, budget));
                 QueryAnswer::Budgets(found.into_iter().collect())
             }
             Query::Budgets { after, limit } => {
                 let budgets = state.budgets(after.as_deref());
-                let limit = count(*limit, MAX_BUDGETS);
-                QueryAnswer::Budgets(budgets.take(limit).map(|(id, b)| view(id, b)).collect())
+                let limit = bounded_count(*limit, MAX_BUDGETS);
+                QueryAnswer::Budgets(
+                    budgets
+                        .take(limit)
+                        .map(|(id, b)| budget_view(id, b))
+                        .collect(),
+                )
             }
             Query::Audit(filter) => QueryAnswer::Audit(self.audit(filter)),
             Query::InForce(version) => {
-                let spread = self.signs.in_force(*version, self.now, self.machine);
-                QueryAnswer::InForce(spread)
+                let rollout = self
+                    .heartbeats
+                    .version_rollout(*version, self.now, self.machine);
+                QueryAnswer::InForce(rollout)
             }
             Query::Claim(key) => QueryAnswer::Claim(state.claim(key)),
             Query::Fencing(sidecar) => QueryAnswer::Fencing(state.fencing(sidecar)),
@@ -88,16 +95,19 @@
         } else {
             filter.limit
         };
-        let found = self.machine.state.audit(count(limit, MAX_AUDIT), wanted);
+        let found = self
+            .machine
+            .state
+            .audit(bounded_count(limit, MAX_AUDIT), wanted);
         found.into_iter().cloned().collect()
     }
 }
 
-fn count(asked: u32, most: u32) -> usize {
-    usize::try_from(asked.min(most)).unwrap_or(usize::MAX)
+fn bounded_count(asked: u32, max: u32) -> usize {
+    usize::try_from(asked.min(max)).unwrap_or(usize::MAX)
 }
 
-fn view(id: &BudgetId, budget: &Budget) -> BudgetView {
+fn budget_view(id: &BudgetId, budget: &Budget) -> BudgetView {
     BudgetView {
         id: id.clone(),
         budget: budget.clone(),
--- a/crates/anvilreel/src/ledger_service/removal.rs
+++ b/crates/anvilreel/src/ledger_service/removal.rs
@@ -10,7 +10,7 @@
 use super::peer::{PeerCall, PeerReply, PeerRequest};
 
 /// Longest wait for one replica's answer.
-const ANSWER: Duration = Duration::from_secs(2);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// No leader took the request; nothing was done.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
@@ -24,7 +24,7 @@
 pub async fn remove(replicas: &[SocketAddr], instance: &InstanceId) -> Result<(), NoLeader> {
     let req = PeerRequest::Remove(instance.clone());
     for addr in replicas {
-        let leader = match ask(*addr, &req).await {
+        let leader = match send_request(*addr, &req).await {
             Some(PeerReply::Removing) => return Ok(()),
             Some(PeerReply::NotLeader { leader }) => leader,
             _ => None,
@@ -32,14 +32,14 @@
         let Some(leader) = leader else {
             continue;
         };
-        if ask(leader, &req).await == Some(PeerReply::Removing) {
+        if send_request(leader, &req).await == Some(PeerReply::Removing) {
             return Ok(());
         }
     }
     Err(NoLeader)
 }
 
-async fn ask(addr: SocketAddr, req: &PeerRequest) -> Option<PeerReply> {
+async fn send_request(addr: SocketAddr, req: &PeerRequest) -> Option<PeerReply> {
     let channel = Channel::new(addr);
-    channel.call::<PeerCall>(req, ANSWER).await.ok()
+    channel.call::<PeerCall>(req, REPLY_TIMEOUT).await.ok()
 }
--- a/crates/anvilreel/src/ledger_service/replica_task.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task.rs
@@ -27,19 +27,19 @@
 use super::error::Fault;
 use super::events;
 use super::follow::Follower;
-use super::grant_evidence::Testimony;
-use super::heartbeats::Signs;
+use super::grant_evidence::GrantEvidence;
+use super::heartbeats::HeartbeatTracker;
 use super::peer::Hello;
-use super::pending::{Pending, Reply};
+use super::pending::{Pending, ReplyTx};
 use crate::event;
 use crate::metrics::Metrics;
 use outbox::Outbox;
-pub use status::Public;
+pub use status::ReplicaStatus;
 
 /// How often the core is told that time has passed.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Events taken at once, so that many proposals share one write.
-const BATCH: usize = 1_024;
+const MAX_BATCH: usize = 1_024;
 
 /// The way to the node.
 pub type Inbox = mpsc::Sender<Input>;
@@ -47,11 +47,11 @@
 /// What a node is asked and told.
 pub enum Input {
     /// A command for the log.
-    Propose(Box<Command>, Reply),
+    Propose(Box<Command>, ReplyTx),
     /// A read.
-    Query(Query, Reply),
+    Query(Query, ReplyTx),
     /// A sign of life.
-    Heartbeat(Box<Heartbeat>, Reply),
+    Heartbeat(Box<Heartbeat>, ReplyTx),
     /// What would bring this follower up to date?
     CatchUp(Follower, oneshot::Sender<Option<FollowEvent>>),
     /// Who are you?
@@ -99,38 +99,38 @@
 }
 
 /// The task's state.
-pub struct Node {
+pub struct ReplicaTask {
     setup: Setup,
-    begun: Instant,
+    started_at: Instant,
     replica: Replica,
     machine: Machine,
     pending: Pending,
-    signs: Signs,
-    testimony: Testimony,
+    heartbeats: HeartbeatTracker,
+    evidence: GrantEvidence,
     outbox: Outbox,
-    public: watch::Sender<Public>,
+    status: watch::Sender<ReplicaStatus>,
     inbox: Inbox,
-    covered: LogIndex,
+    snapshot_index: LogIndex,
     /// Bytes of entries applied since the last snapshot.
-    uncovered_bytes: u64,
+    bytes_since_snapshot: u64,
     /// Writes a snapshot at this moment.
-    preparing: Option<JoinHandle<()>>,
-    next_watch: Duration,
-    next_measure: Duration,
+    snapshot_task: Option<JoinHandle<()>>,
+    next_check: Duration,
+    next_gauges: Duration,
     /// Learners of which it was said that they answer nothing.
-    told_silent: BTreeSet<ReplicaId>,
+    logged_learners: BTreeSet<ReplicaId>,
     /// The version at which fenced grants were last looked through; 0 at an election.
-    examined: LogIndex,
+    checked_version: LogIndex,
     stopped: bool,
 }
 
-impl Node {
+impl ReplicaTask {
     /// A node over what the data folder holds.
     pub fn new(
         setup: Setup,
         recovered: Recovered,
         inbox: Inbox,
-    ) -> Result<(Self, watch::Receiver<Public>), MachineError> {
+    ) -> Result<(Self, watch::Receiver<ReplicaStatus>), MachineError> {
         let snapshot = recovered.snapshot;
         let machine = match &snapshot {
             Some(snapshot) => Machine::restore(&snapshot.data)?,
@@ -145,29 +145,29 @@
         };
         let core = setup.tuning.core;
         let replica = Replica::new(restored, core, rand::random(), Duration::ZERO);
-        let (public, seen) = watch::channel(Public::default());
-        let mut node = Self {
+        let (status, status_rx) = watch::channel(ReplicaStatus::default());
+        let mut task = Self {
             setup,
-            begun: Instant::now(),
-            covered: replica.committed(),
+            started_at: Instant::now(),
+            snapshot_index: replica.committed(),
             replica,
             machine,
-            uncovered_bytes: 0,
+            bytes_since_snapshot: 0,
             pending: Pending::default(),
-            signs: Signs::default(),
-            testimony: Testimony::default(),
+            heartbeats: HeartbeatTracker::default(),
+            evidence: GrantEvidence::default(),
             outbox: Outbox::default(),
-            public,
+            status,
             inbox,
-            preparing: None,
-            next_watch: Duration::ZERO,
-            next_measure: Duration::ZERO,
-            told_silent: BTreeSet::new(),
-            examined: 0,
+            snapshot_task: None,
+            next_check: Duration::ZERO,
+            next_gauges: Duration::ZERO,
+            logged_learners: BTreeSet::new(),
+            checked_version: 0,
             stopped: false,
         };
-        node.publish();
-        Ok((node, seen))
+        task.publish();
+        Ok((task, status_rx))
     }
 
     /// Runs until told to stop; gives back the disk's thread, which still has to finish.
@@ -176,18 +176,18 @@
         mut rx: mpsc::Receiver<Input>,
         mut stop: watch::Receiver<bool>,
     ) -> Writer {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut inputs = Vec::with_capacity(BATCH);
+        let mut inputs = Vec::with_capacity(MAX_BATCH);
         loop {
             tokio::select! {
                 _ = stop.wait_for(|stop| *stop) => break,
                 _ = ticks.tick() => self.tick(),
-                count = rx.recv_many(&mut inputs, BATCH) => {
+                count = rx.recv_many(&mut inputs, MAX_BATCH) => {
                     if count == 0 {
                         break;
                     }
-                    self.take(inputs.drain(..));
+                    self.handle_inputs(inputs.drain(..));
                 }
             }
             self.publish();
@@ -196,33 +196,33 @@
             }
         }
         drop(rx);
-        self.end().await
+        self.finish().await
     }
 
     /// Ends once nothing of it uses the data folder but the disk's thread.
     ///
     /// Failure: a replica is stopped while its snapshot is being written, and is started again in the
     /// same process. It finds the folder locked, by itself, and does not start.
-    async fn end(self) -> Writer {
-        if let Some(preparing) = self.preparing {
+    async fn finish(self) -> Writer {
+        if let Some(snapshot_task) = self.snapshot_task {
             // A panic in it was printed when it happened.
-            let _ = preparing.await;
+            let _ = snapshot_task.await;
         }
         self.setup.writer
     }
 
     fn now(&self) -> Duration {
-        self.begun.elapsed()
+        self.started_at.elapsed()
     }
 
     fn tick(&mut self) {
         self.feed(Event::Tick);
-        self.watch_fleet();
-        self.measure();
+        self.check_fleet();
+        self.send_gauges();
     }
 
     /// Takes what has gathered; proposals that stand together share one write.
-    fn take(&mut self, inputs: impl Iterator<Item = Input>) {
+    fn handle_inputs(&mut self, inputs: impl Iterator<Item = Input>) {
         let mut proposals = Vec::new();
         for input in inputs {
             if let Input::Propose(command, reply) = input {
@@ -230,16 +230,16 @@
                 continue;
             }
             self.propose(&mut proposals);
-            self.take_one(input);
+            self.handle_input(input);
         }
         self.propose(&mut proposals);
     }
 
-    fn take_one(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Propose(..) => {}
             Input::Query(query, reply) => self.read(query, reply),
-            Input::Heartbeat(heartbeat, reply) => self.hear(&heartbeat, reply),
+            Input::Heartbeat(heartbeat, reply) => self.heartbeat(&heartbeat, reply),
             Input::CatchUp(follower, reply) => {
                 // Fails only where the follower is gone; so do the answers below.
                 let _ = reply.send(follower.catch_up(&self.machine));
@@ -263,7 +263,7 @@
                 event!(self.setup.log, events::LEDGER_FOUNDED);
                 self.feed(Event::Found(membership));
             }
-            Input::Disk(report) => self.disk_did(report),
+            Input::Disk(report) => self.disk_reported(report),
             Input::Prepared(meta) => self.prepared(meta),
             Input::Fetched(fetched) => self.fetched(fetched),
             Input::Failed(fault) => self.fail(&fault),
@@ -299,24 +299,24 @@
             return;
         }
         let led = self.replica.leads();
-        let actions = self.replica.handle(self.begun.elapsed(), event);
+        let actions = self.replica.handle(self.started_at.elapsed(), event);
         for action in actions {
             if self.stopped {
                 // An invariant failed in the action before; what follows rests on it.
                 return;
             }
-            self.act(action);
+            self.perform(action);
         }
         if !led && self.replica.leads() {
             event!(self.setup.log, events::LEDGER_LEADS, "term" => self.replica.term());
-            self.signs = Signs::elected(self.now());
-            self.testimony = Testimony::default();
-            self.examined = 0;
-            self.told_silent.clear();
+            self.heartbeats = HeartbeatTracker::since_election(self.now());
+            self.evidence = GrantEvidence::default();
+            self.checked_version = 0;
+            self.logged_learners.clear();
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Write(write) => self.write(write),
             Action::Install { seq, meta, data } => self.install(seq, meta, data),
--- a/crates/anvilreel/src/ledger_service/replica_task/disk.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task/disk.rs
@@ -7,33 +7,33 @@
 use bytes::Bytes;
 use snafu::ResultExt;
 
-use super::{Input, Node};
+use super::{Input, ReplicaTask};
 use crate::event;
 use crate::ledger_service::error::Fault;
 use crate::ledger_service::error::fault::{ApplySnafu, DiskSnafu};
 use crate::ledger_service::events;
 use crate::ledger_service::links;
 
-impl Node {
+impl ReplicaTask {
     pub(super) fn write(&mut self, write: Write) {
-        self.give(Job::Write(write));
+        self.submit(Job::Write(write));
     }
 
     pub(super) fn compact(&mut self, upto: LogIndex) {
         event!(self.setup.log, events::LEDGER_SNAPSHOT, "upto" => upto);
-        self.give(Job::Compact(upto));
+        self.submit(Job::Compact(upto));
     }
 
-    fn give(&mut self, job: Job) {
+    fn submit(&mut self, job: Job) {
         // When the thread has ended, its report of the failure is on the way.
         let _ = self.setup.writer.submit(job);
     }
 
-    pub(super) fn disk_did(&mut self, report: Report) {
+    pub(super) fn disk_reported(&mut self, report: Report) {
         match report {
             Report::Synced(seq) => self.feed(Event::Synced(seq)),
             Report::Published(meta) => {
-                self.preparing = None;
+                self.snapshot_task = None;
                 self.feed(Event::Saved(meta));
             }
             Report::Failed(source) => self.fail(&Fault::Disk { source }),
@@ -44,9 +44,9 @@
     pub(super) fn apply(&mut self, entries: &[Entry]) {
         for entry in entries {
             if let Payload::Data(data) = &entry.payload {
-                self.uncovered_bytes += data.len() as u64;
+                self.bytes_since_snapshot += data.len() as u64;
             }
-            self.tell_members(entry);
+            self.log_membership(entry);
             match self.machine.apply(entry) {
                 Ok(answer) => self.pending.applied(entry.id, answer),
                 Err(source) => {
@@ -55,10 +55,10 @@
                 }
             }
         }
-        self.save_when_due();
+        self.snapshot_if_due();
     }
 
-    fn tell_members(&self, entry: &Entry) {
+    fn log_membership(&self, entry: &Entry) {
         if let Payload::Membership(membership) = &entry.payload {
             event!(
                 self.setup.log, events::LEDGER_MEMBERS,
@@ -68,25 +68,25 @@
     }
 
     /// Writes a snapshot off this task: the log goes on meanwhile.
-    fn save_when_due(&mut self) {
+    fn snapshot_if_due(&mut self) {
         let applied = self.machine.state.applied();
         let tuning = &self.setup.tuning;
-        let due = applied >= self.covered + tuning.snapshot_every
-            || self.uncovered_bytes >= tuning.snapshot_bytes;
-        if !due || self.preparing.is_some() {
+        let due = applied >= self.snapshot_index + tuning.snapshot_every
+            || self.bytes_since_snapshot >= tuning.snapshot_bytes;
+        if !due || self.snapshot_task.is_some() {
             return;
         }
         let membership = self.replica.membership_at(applied).cloned();
         let (Some(last), Some(membership)) = (self.replica.id_at(applied), membership) else {
             return;
         };
-        self.covered = applied;
-        self.uncovered_bytes = 0;
+        self.snapshot_index = applied;
+        self.bytes_since_snapshot = 0;
         let meta = SnapshotMeta { last, membership };
         let machine = self.machine.clone();
         let disk = self.setup.disk.clone();
         let inbox = self.inbox.clone();
-        self.preparing = Some(tokio::task::spawn_blocking(move || {
+        self.snapshot_task = Some(tokio::task::spawn_blocking(move || {
             let input = match prepare(&machine, &disk, &meta) {
                 Ok(()) => Input::Prepared(meta),
                 Err(fault) => Input::Failed(fault),
@@ -97,7 +97,7 @@
     }
 
     pub(super) fn prepared(&mut self, meta: SnapshotMeta) {
-        self.give(Job::Publish(meta));
+        self.submit(Job::Publish(meta));
     }
 
     pub(super) fn fetch(&mut self, from: ReplicaId, meta: &SnapshotMeta) {
@@ -132,8 +132,8 @@
             }
         }
         event!(self.setup.log, events::LEDGER_INSTALLED, "index" => meta.last.index);
-        self.covered = meta.last.index;
-        self.give(Job::Install { seq, meta, data });
+        self.snapshot_index = meta.last.index;
+        self.submit(Job::Install { seq, meta, data });
     }
 }
 
--- a/crates/anvilreel/src/ledger_service/replica_task/leader_checks.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task/leader_checks.rs
@@ -10,34 +10,34 @@
 use anvil_world::prelude::*;
 use tokio::sync::oneshot;
 
-use super::Node;
+use super::ReplicaTask;
 use crate::event;
 use crate::ledger_service::events;
-use crate::ledger_service::heartbeats::{Greeting, Patience};
-use crate::ledger_service::pending::{Reply, tell};
+use crate::ledger_service::heartbeats::{HeartbeatAction, PresenceTimeouts};
+use crate::ledger_service::pending::{ReplyTx, send_reply};
 
 /// How often the leader looks for silent instances and for grants to close.
-const WATCH: Duration = Duration::from_secs(1);
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// A learner that connects answers within tenths of a second.
-const LEARNER_SILENT: Duration = Duration::from_secs(2);
+const LEARNER_TIMEOUT: Duration = Duration::from_secs(2);
 
-impl Node {
-    pub(super) fn hear(&mut self, heartbeat: &Heartbeat, reply: Reply) {
+impl ReplicaTask {
+    pub(super) fn heartbeat(&mut self, heartbeat: &Heartbeat, reply: ReplyTx) {
         if self.stopped {
-            tell(reply, LedgerReply::Stopped);
+            send_reply(reply, LedgerReply::Stopped);
             return;
         }
         if !self.replica.leads() {
             let leader = self.leader_addr();
-            tell(reply, LedgerReply::NotLeader { leader });
+            send_reply(reply, LedgerReply::NotLeader { leader });
             return;
         }
         let now = self.now();
-        match self.signs.hear(now, heartbeat, &self.machine) {
-            Greeting::Known(presence) => {
-                let taken = self.testimony.hear(heartbeat, &self.machine);
+        match self.heartbeats.record(now, heartbeat, &self.machine) {
+            HeartbeatAction::Known(presence) => {
+                let taken = self.evidence.record(heartbeat, &self.machine);
                 let version = self.machine.state.version();
-                tell(
+                send_reply(
                     reply,
                     LedgerReply::Alive(HeartbeatReply {
                         version,
@@ -47,21 +47,21 @@
                     }),
                 );
             }
-            Greeting::Propose(command) => self.greet(command, reply),
+            HeartbeatAction::Propose(command) => self.propose_for_heartbeat(command, reply),
         }
     }
 
     /// Proposes what the heartbeat asks for, and answers once that is applied.
-    fn greet(&mut self, command: Command, reply: Reply) {
+    fn propose_for_heartbeat(&mut self, command: Command, reply: ReplyTx) {
         let presence = match &command {
             Command::SetPresence(SetPresence { presence, .. }) => *presence,
             _ => Presence::Live,
         };
         let replicas = self.replica_addrs();
         let (tx, rx) = oneshot::channel();
-        self.enqueue(command, tx);
+        self.propose_one(command, tx);
         tokio::spawn(async move {
-            let told = match rx.await {
+            let response = match rx.await {
                 Ok(LedgerReply::Applied { index, answer }) => {
                     let refused = matches!(answer, Answer::Denied(_));
                     LedgerReply::Alive(HeartbeatReply {
@@ -74,7 +74,7 @@
                 Ok(other) => other,
                 Err(_) => LedgerReply::Stopped,
             };
-            tell(reply, told);
+            send_reply(reply, response);
         });
     }
 
@@ -83,43 +83,43 @@
         replicas.map(|(_, site)| site.addr).collect()
     }
 
-    fn enqueue(&mut self, command: Command, reply: Reply) {
+    fn propose_one(&mut self, command: Command, reply: ReplyTx) {
         let proposal = self.proposal(command, reply);
         self.propose(&mut proposal.into_iter().collect());
     }
 
     /// Looks for lost replicas, and now and then for silent instances and for grants to close.
-    pub(super) fn watch_fleet(&mut self) {
+    pub(super) fn check_fleet(&mut self) {
         let now = self.now();
         if self.stopped || !self.replica.leads() {
             return;
         }
-        self.take_out_lost();
-        if now < self.next_watch {
+        self.remove_lost_replica();
+        if now < self.next_check {
             return;
         }
-        self.next_watch = now + WATCH;
-        self.tell_silent_learners();
-        self.mark_silent(now);
+        self.next_check = now + CHECK_INTERVAL;
+        self.log_unresponsive_learners();
+        self.update_presences(now);
         self.close_grants();
     }
 
     /// Says of each learner once that it answers nothing, and whether it has a link to this leader.
-    fn tell_silent_learners(&mut self) {
-        let silent = self.replica.unresponsive_learners(LEARNER_SILENT);
-        let news = silent.filter(|(id, _)| !self.told_silent.contains(id));
-        let mut told = Vec::new();
-        for (id, site) in news {
+    fn log_unresponsive_learners(&mut self) {
+        let unresponsive = self.replica.unresponsive_learners(LEARNER_TIMEOUT);
+        let unlogged = unresponsive.filter(|(id, _)| !self.logged_learners.contains(id));
+        let mut newly_logged = Vec::new();
+        for (id, site) in unlogged {
             event!(
                 self.setup.log, events::LEDGER_LEARNER_SILENT,
                 "instance" => site.instance.to_string(), "listens" => self.outbox.is_open(id)
             );
-            told.push(id);
+            newly_logged.push(id);
         }
-        self.told_silent.extend(told);
+        self.logged_learners.extend(newly_logged);
     }
 
-    fn take_out_lost(&mut self) {
+    fn remove_lost_replica(&mut self) {
         let Some(rule) = self.setup.tuning.take_out else {
             return;
         };
@@ -139,15 +139,15 @@
     /// all open grants every second would cost the node more than its commits do.
     fn close_grants(&mut self) {
         let version = self.machine.state.version();
-        if version == self.examined && !self.testimony.is_waiting() {
+        if version == self.checked_version && !self.evidence.has_open_evidence() {
             return;
         }
-        self.examined = version;
-        let findings = self.testimony.examine(&self.machine);
+        self.checked_version = version;
+        let findings = self.evidence.evaluate(&self.machine);
         for held in findings.held {
             event!(
                 self.setup.log, events::LEDGER_GRANT_HELD,
-                "grant" => held.grant, "lost" => held.lost.to_string()
+                "grant" => held.grant, "lost" => held.lost_sidecar.to_string()
             );
         }
         for command in findings.close {
@@ -157,13 +157,16 @@
                     "grant" => *grant, "charged" => *charged
                 );
             }
-            self.propose_unheard(command);
+            self.propose_without_reply(command);
         }
     }
 
-    fn mark_silent(&mut self, now: Duration) {
-        let patience = self.patience();
-        for command in self.signs.silent(now, patience, &self.machine) {
+    fn update_presences(&mut self, now: Duration) {
+        let timeouts = self.presence_timeouts();
+        for command in self
+            .heartbeats
+            .presence_changes(now, timeouts, &self.machine)
+        {
             if let Command::SetPresence(set) = &command {
                 let instance = set.id.to_string();
                 if set.presence == Presence::Gone {
@@ -172,11 +175,11 @@
                     event!(self.setup.log, events::LEDGER_INSTANCE_SILENT, "instance" => instance);
                 }
             }
-            self.propose_unheard(command);
+            self.propose_without_reply(command);
         }
     }
 
-    fn patience(&self) -> Patience {
+    fn presence_timeouts(&self) -> PresenceTimeouts {
         let entry = self.machine.state.tree().get(&TreePath::Fleet);
         let document = entry.map(|entry| Document::check(&TreePath::Fleet, &entry.text));
         let fleet = match document {
@@ -184,15 +187,15 @@
             _ => FleetDocument::default(),
         };
         let tuning = &self.setup.tuning;
-        Patience {
+        PresenceTimeouts {
             silent: tuning.silent_after,
             gone: fleet.serve_out_of_touch + tuning.gone_after,
         }
     }
 
     /// Proposes without anybody waiting: if it is lost, the next watch proposes it again.
-    fn propose_unheard(&mut self, command: Command) {
+    fn propose_without_reply(&mut self, command: Command) {
         let (tx, _) = oneshot::channel();
-        self.enqueue(command, tx);
+        self.propose_one(command, tx);
     }
 }
--- a/crates/anvilreel/src/ledger_service/replica_task/requests.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task/requests.rs
@@ -6,30 +6,30 @@
 use anvil_wire::msg::{LedgerReply, Query};
 use anvil_world::prelude::*;
 
-use super::Node;
+use super::ReplicaTask;
 use crate::ledger_service::check;
-use crate::ledger_service::pending::{Reply, tell};
-use crate::ledger_service::queries::View;
+use crate::ledger_service::pending::{ReplyTx, send_reply};
+use crate::ledger_service::queries::QueryContext;
 
-impl Node {
+impl ReplicaTask {
     /// Checks a command before the log sees it, and puts the leader's time in.
-    pub(super) fn proposal(&mut self, mut command: Command, reply: Reply) -> Option<Proposal> {
+    pub(super) fn proposal(&mut self, mut command: Command, reply: ReplyTx) -> Option<Proposal> {
         if self.stopped {
-            tell(reply, LedgerReply::Stopped);
+            send_reply(reply, LedgerReply::Stopped);
             return None;
         }
-        if let Some(answer) = self.overtaken(&command) {
+        if let Some(answer) = self.routing_in_force(&command) {
             let index = self.machine.state.applied();
-            tell(reply, LedgerReply::Applied { index, answer });
+            send_reply(reply, LedgerReply::Applied { index, answer });
             return None;
         }
-        if let Some(answer) = check::refuse(&command) {
-            tell(reply, LedgerReply::Applied { index: 0, answer });
+        if let Some(answer) = check::validate(&command) {
+            send_reply(reply, LedgerReply::Applied { index: 0, answer });
             return None;
         }
-        check::stamp(&mut command, SystemTime::now());
+        check::set_time(&mut command, SystemTime::now());
         let Ok(data) = anvil_ledger::machine::encode(&command) else {
-            tell(reply, LedgerReply::NoQuorum);
+            send_reply(reply, LedgerReply::NoQuorum);
             return None;
         };
         let id = self.pending.propose(reply);
@@ -41,7 +41,7 @@
     /// Failure: an operator's acknowledgement is lost, and it sends the same table of megabytes
     /// again and again; each time the whole log carries it, and what is new waits behind. What is
     /// applied here is committed, so the answer is true, also from a replica that leads no more.
-    fn overtaken(&self, command: &Command) -> Option<Answer> {
+    fn routing_in_force(&self, command: &Command) -> Option<Answer> {
         let Command::ReplaceRouting(replace) = command else {
             return None;
         };
@@ -63,9 +63,9 @@
         }
     }
 
-    pub(super) fn read(&mut self, query: Query, reply: Reply) {
+    pub(super) fn read(&mut self, query: Query, reply: ReplyTx) {
         if self.stopped {
-            tell(reply, LedgerReply::Stopped);
+            send_reply(reply, LedgerReply::Stopped);
             return;
         }
         let id = self.pending.read(query, reply);
@@ -87,13 +87,13 @@
         let Some((query, reply)) = self.pending.confirmed(id) else {
             return;
         };
-        let view = View {
+        let context = QueryContext {
             instance: &self.setup.instance,
             replica: &self.replica,
             machine: &self.machine,
-            signs: &self.signs,
+            heartbeats: &self.heartbeats,
             now: self.now(),
         };
-        tell(reply, LedgerReply::Read(view.answer(&query)));
+        send_reply(reply, LedgerReply::Read(context.answer(&query)));
     }
 }
--- a/crates/anvilreel/src/ledger_service/replica_task/status.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task/status.rs
@@ -7,35 +7,35 @@
 use anvil_ledger::core::ReplicaId;
 use anvil_world::prelude::*;
 
-use super::Node;
+use super::ReplicaTask;
 use crate::metrics;
 
 /// Time between two samples of the gauges.
-const MEASURE: Duration = Duration::from_secs(5);
+const GAUGE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// What everybody may know of a node without asking it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Public {
+pub struct ReplicaStatus {
     /// The newest version of the applied state.
     pub version: LogIndex,
     /// Whether the leader (or, at the leader, a majority) was heard of lately.
-    pub in_touch: bool,
+    pub connected: bool,
     /// Other replicas' addresses.
     pub peers: BTreeMap<ReplicaId, SocketAddr>,
     /// Where the others think that it is reached, once it votes.
-    pub listed: Option<SocketAddr>,
+    pub voter_addr: Option<SocketAddr>,
     /// Whether it has to ask to be taken in.
-    pub seeks_ledger: bool,
+    pub needs_to_join: bool,
 }
 
-impl Node {
+impl ReplicaTask {
     /// Sends the gauges now and then.
-    pub(super) fn measure(&mut self) {
+    pub(super) fn send_gauges(&mut self) {
         let now = self.now();
-        if now < self.next_measure {
+        if now < self.next_gauges {
             return;
         }
-        self.next_measure = now + MEASURE;
+        self.next_gauges = now + GAUGE_INTERVAL;
         let metrics = &self.setup.metrics;
         let leads = u64::from(self.replica.leads());
         metrics.gauge(metrics::LOG_COMMITTED, self.replica.committed());
@@ -57,16 +57,16 @@
     pub(super) fn publish(&mut self) {
         let membership = self.replica.membership();
         let others = membership.replicas().filter(|(id, _)| *id != self.setup.id);
-        let public = Public {
+        let status = ReplicaStatus {
             version: self.machine.state.version(),
-            in_touch: self.replica.is_connected() && !self.stopped,
+            connected: self.replica.is_connected() && !self.stopped,
             peers: others.map(|(id, site)| (id, site.addr)).collect(),
-            listed: self.listed_addr(),
-            seeks_ledger: self.replica.needs_to_join(),
+            voter_addr: self.listed_addr(),
+            needs_to_join: self.replica.needs_to_join(),
         };
-        self.public.send_if_modified(|seen| {
-            let changed = *seen != public;
-            *seen = public;
+        self.status.send_if_modified(|current| {
+            let changed = *current != status;
+            *current = status;
             changed
         });
     }
--- a/crates/anvilreel/tests/ledger_followers_and_evidence.rs
+++ b/crates/anvilreel/tests/ledger_followers_and_evidence.rs
@@ -14,7 +14,7 @@
 use anvil_world::suspect::CrashedRun;
 use anvilreel::held::Held;
 use anvilreel::ledger_service::follow::Follower;
-use anvilreel::ledger_service::grant_evidence::{Findings, Testimony};
+use anvilreel::ledger_service::grant_evidence::{Findings, GrantEvidence};
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
@@ -109,7 +109,7 @@
 }
 
 /// Evidence of one sidecar, with one run's charge.
-fn testify(
+fn evidence_heartbeat(
     sidecar: &str,
     incarnation: Incarnation,
     charge: Option<(GrantId, Tokens)>,
@@ -139,23 +139,23 @@
 /// charged: the sum is billed, no more and no less, and only after the closing is committed does a
 /// sidecar forget its evidence.
 #[test]
-fn a_fenced_grant_closes_when_all_sidecars_have_testified() -> Result<(), Failure> {
+fn a_fenced_grant_closes_only_when_all_sidecars_have_reported() -> Result<(), Failure> {
     let (mut ledger, grant) = Ledger::with_fenced_grant()?;
-    let mut testimony = Testimony::default();
-    let first = testify("sidecar-1", 1, Some((grant.id, 30)));
-    assert!(testimony.hear(&first, &ledger.machine).is_empty());
-    assert_eq!(testimony.examine(&ledger.machine), Findings::default());
-    let second = testify("sidecar-2", 1, Some((grant.id, 12)));
-    testimony.hear(&second, &ledger.machine);
-    let findings = testimony.examine(&ledger.machine);
+    let mut evidence = GrantEvidence::default();
+    let first = evidence_heartbeat("sidecar-1", 1, Some((grant.id, 30)));
+    assert!(evidence.record(&first, &ledger.machine).is_empty());
+    assert_eq!(evidence.evaluate(&ledger.machine), Findings::default());
+    let second = evidence_heartbeat("sidecar-2", 1, Some((grant.id, 12)));
+    evidence.record(&second, &ledger.machine);
+    let findings = evidence.evaluate(&ledger.machine);
     let close = Command::CloseGrant {
         grant: grant.id,
         charged: 42,
     };
     assert_eq!(findings.close, std::slice::from_ref(&close));
     ledger.apply(&close)?;
-    let taken = testimony.hear(&first, &ledger.machine);
-    assert_eq!(taken, [("router-1".into(), 1)]);
+    let settled_routers = evidence.record(&first, &ledger.machine);
+    assert_eq!(settled_routers, [("router-1".into(), 1)]);
     let budget = ledger.machine.state.budget("nairobi").ok_or("no budget")?;
     assert_eq!((budget.billed, budget.left()), (42, 958));
     Ok(())
@@ -165,17 +165,17 @@
 /// nothing of its old runs. The grant stays outstanding and is named once for an operator: what
 /// the lost life charged is not granted again.
 #[test]
-fn a_lost_sidecar_keeps_the_grant_outstanding() -> Result<(), Failure> {
+fn a_lost_sidecar_incarnation_keeps_the_grant_outstanding() -> Result<(), Failure> {
     let (mut ledger, grant) = Ledger::with_fenced_grant()?;
     ledger.join(instance("sidecar-2", Role::Sidecar, 2))?;
-    let mut testimony = Testimony::default();
-    testimony.hear(&testify("sidecar-1", 1, None), &ledger.machine);
-    testimony.hear(&testify("sidecar-2", 2, None), &ledger.machine);
-    let findings = testimony.examine(&ledger.machine);
+    let mut evidence = GrantEvidence::default();
+    evidence.record(&evidence_heartbeat("sidecar-1", 1, None), &ledger.machine);
+    evidence.record(&evidence_heartbeat("sidecar-2", 2, None), &ledger.machine);
+    let findings = evidence.evaluate(&ledger.machine);
     assert!(findings.close.is_empty());
     assert_eq!(findings.held.len(), 1);
     assert_eq!(findings.held[0].grant, grant.id);
-    assert_eq!(testimony.examine(&ledger.machine), Findings::default());
+    assert_eq!(evidence.evaluate(&ledger.machine), Findings::default());
     let budget = ledger.machine.state.budget("nairobi").ok_or("no budget")?;
     assert_eq!(budget.left(), 800);
     Ok(())
@@ -193,9 +193,9 @@
     }))?;
     let saved = ledger.machine.save()?;
     let machine = Machine::restore(&saved)?;
-    let mut testimony = Testimony::default();
-    testimony.hear(&testify("sidecar-1", 1, None), &machine);
-    let findings = testimony.examine(&machine);
+    let mut evidence = GrantEvidence::default();
+    evidence.record(&evidence_heartbeat("sidecar-1", 1, None), &machine);
+    let findings = evidence.evaluate(&machine);
     assert!(findings.close.is_empty());
     assert_eq!(findings.held.len(), 1);
     Ok(())
@@ -212,7 +212,7 @@
 /// A follower moves to a replica that lags behind it. It is sent nothing until that replica has
 /// caught up, so that no accepted change is taken back before its eyes.
 #[test]
-fn a_lagging_replica_sends_nothing_older() -> Result<(), Failure> {
+fn a_lagging_replica_sends_no_older_version() -> Result<(), Failure> {
     let mut ledger = Ledger::default();
     ledger.put("organisations/coop", 0, "weight = 1\n")?;
     let ahead = follower(FollowScope::Router, 2);
@@ -234,7 +234,7 @@
 /// A sidecar is sent the fleet's document, its own presence and the fences, and nothing of other
 /// teams.
 #[test]
-fn a_sidecar_is_sent_only_what_it_needs() -> Result<(), Failure> {
+fn a_sidecar_receives_only_what_it_needs() -> Result<(), Failure> {
     let (mut ledger, _) = Ledger::with_fenced_grant()?;
     ledger.put("fleet", 0, "")?;
     let event = follower(FollowScope::Sidecar, 0).catch_up(&ledger.machine);
@@ -256,7 +256,7 @@
 
 /// Guards against routers that are not told which requests crash endpoints, or that go on holding one.
 #[test]
-fn routers_are_told_of_suspected_requests() -> Result<(), Failure> {
+fn routers_receive_suspected_requests() -> Result<(), Failure> {
     let mut ledger = Ledger::default();
     for endpoint in ["a", "b"] {
         ledger.apply(&Command::ReportCrash(ReportCrash {
@@ -283,7 +283,7 @@
 
 /// Guards against routers that are not told what an endpoint takes, or that its limit is over.
 #[test]
-fn routers_are_told_of_endpoints_limits() -> Result<(), Failure> {
+fn routers_receive_endpoint_limits() -> Result<(), Failure> {
     let mut ledger = Ledger::default();
     let mut held = Held::default();
     for limit in [Some(1_000), Some(500), None] {
--- a/crates/anvilreel/tests/ledger_heartbeats.rs
+++ b/crates/anvilreel/tests/ledger_heartbeats.rs
@@ -6,11 +6,11 @@
 use anvil_wire::msg::Heartbeat;
 use anvil_world::command::SetPresence;
 use anvil_world::prelude::*;
-use anvilreel::ledger_service::heartbeats::{Greeting, Patience, Signs};
+use anvilreel::ledger_service::heartbeats::{HeartbeatAction, HeartbeatTracker, PresenceTimeouts};
 
-const LIMIT: Duration = Duration::from_secs(10);
-const PATIENCE: Patience = Patience {
-    silent: LIMIT,
+const SILENT_AFTER: Duration = Duration::from_secs(10);
+const TIMEOUTS: PresenceTimeouts = PresenceTimeouts {
+    silent: SILENT_AFTER,
     gone: Duration::from_mins(11),
 };
 
@@ -30,9 +30,9 @@
     }
 }
 
-fn apply(machine: &mut Machine, greeting: Greeting) {
-    let Greeting::Propose(command) = greeting else {
-        panic!("{greeting:?}");
+fn apply(machine: &mut Machine, action: HeartbeatAction) {
+    let HeartbeatAction::Propose(command) = action else {
+        panic!("{action:?}");
     };
     let index = machine.state.applied() + 1;
     machine.state.apply(index, 1, &command);
@@ -42,24 +42,31 @@
 /// a moment later, is fenced and refuses every caller for as long as it lives: its first sign of
 /// life was answered with a join and not noted, so it looked silent since the election.
 #[test]
-fn an_instance_that_joins_late_is_not_declared_gone() {
+fn an_instance_that_joins_long_after_the_election_is_not_declared_gone() {
     let mut machine = Machine::default();
-    let mut signs = Signs::elected(Duration::ZERO);
-    for (at, life) in [(35, 1), (70, 2)] {
+    let mut tracker = HeartbeatTracker::since_election(Duration::ZERO);
+    for (at, incarnation) in [(35, 1), (70, 2)] {
         let now = Duration::from_secs(at);
-        let greeting = signs.hear(now, &heartbeat(life), &machine);
-        apply(&mut machine, greeting);
+        let action = tracker.record(now, &heartbeat(incarnation), &machine);
+        apply(&mut machine, action);
         let soon = now + Duration::from_millis(100);
         assert!(
-            signs.silent(soon, PATIENCE, &machine).is_empty(),
-            "life {life}"
+            tracker
+                .presence_changes(soon, TIMEOUTS, &machine)
+                .is_empty(),
+            "incarnation {incarnation}"
+        );
+        assert_eq!(
+            tracker
+                .presence_changes(now + SILENT_AFTER, TIMEOUTS, &machine)
+                .len(),
+            1
         );
-        assert_eq!(signs.silent(now + LIMIT, PATIENCE, &machine).len(), 1);
     }
 }
 
-fn judged(signs: &Signs, now: Duration, machine: &Machine) -> Option<Presence> {
-    let commands = signs.silent(now, PATIENCE, machine);
+fn next_presence(tracker: &HeartbeatTracker, now: Duration, machine: &Machine) -> Option<Presence> {
+    let commands = tracker.presence_changes(now, TIMEOUTS, machine);
     commands.first().map(|command| match command {
         Command::SetPresence(set) => set.presence,
         other => panic!("{other:?}"),
@@ -71,27 +78,33 @@
 /// money in its grants and might serve out of touch for ten minutes; and it stayed refused after
 /// the partition healed, for a life that is gone never comes back.
 #[test]
-fn a_router_behind_a_partition_keeps_its_life_as_long_as_it_may_serve() {
+fn a_partitioned_router_is_not_fenced_while_it_may_serve() {
     let mut machine = Machine::default();
-    let mut signs = Signs::default();
-    let joining = signs.hear(Duration::ZERO, &heartbeat(1), &machine);
+    let mut tracker = HeartbeatTracker::default();
+    let joining = tracker.record(Duration::ZERO, &heartbeat(1), &machine);
     apply(&mut machine, joining);
     let cut = Duration::from_mins(5);
-    assert_eq!(judged(&signs, cut, &machine), Some(Presence::Silent));
-    let silent = SetPresence {
+    assert_eq!(
+        next_presence(&tracker, cut, &machine),
+        Some(Presence::Silent)
+    );
+    let set_silent = SetPresence {
         id: "router-0".into(),
         incarnation: 1,
         presence: Presence::Silent,
     };
     apply(
         &mut machine,
-        Greeting::Propose(Command::SetPresence(silent)),
+        HeartbeatAction::Propose(Command::SetPresence(set_silent)),
     );
     assert!(machine.state.fenced().is_empty());
-    assert_eq!(judged(&signs, cut, &machine), None);
-    let healed = signs.hear(cut, &heartbeat(1), &machine);
+    assert_eq!(next_presence(&tracker, cut, &machine), None);
+    let healed = tracker.record(cut, &heartbeat(1), &machine);
     apply(&mut machine, healed);
     assert_eq!(machine.state.members()["router-0"].presence, Presence::Live);
-    let later = cut + PATIENCE.gone;
-    assert_eq!(judged(&signs, later, &machine), Some(Presence::Gone));
+    let later = cut + TIMEOUTS.gone;
+    assert_eq!(
+        next_presence(&tracker, later, &machine),
+        Some(Presence::Gone)
+    );
 }
--- a/crates/anvilreel/tests/ledger_leader_search.rs
+++ b/crates/anvilreel/tests/ledger_leader_search.rs
@@ -14,22 +14,22 @@
 
 use ports::free_addr;
 
-const WITHIN: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A replica that answers every question alike; returns how often it was asked.
 async fn replica(addr: SocketAddr, reply: LedgerReply) -> Arc<AtomicUsize> {
     let server = Server::bind(addr).await.expect("an address");
-    let asked = Arc::new(AtomicUsize::new(0));
-    let counted = asked.clone();
+    let calls = Arc::new(AtomicUsize::new(0));
+    let call_count = calls.clone();
     let handlers = Handlers::default().with::<LedgerCall, _, _>(move |_, tx| {
-        counted.fetch_add(1, Ordering::Relaxed);
+        call_count.fetch_add(1, Ordering::Relaxed);
         let reply = reply.clone();
         async move {
             let _ = tx.finish(&reply).await;
         }
     });
     tokio::spawn(server.serve(handlers, std::future::pending()));
-    asked
+    calls
 }
 
 fn addrs(count: usize) -> Vec<SocketAddr> {
@@ -37,7 +37,7 @@
     free.collect()
 }
 
-fn question() -> LedgerRequest {
+fn request() -> LedgerRequest {
     LedgerRequest::Query(Query::Members)
 }
 
@@ -48,32 +48,32 @@
 /// Guards against a client that is sent to and fro between a leader that was deposed and a follower that
 /// has not heard of it, and never asks the leader that all others follow.
 #[tokio::test]
-async fn a_deposed_leader_and_its_follower_hide_no_other_leader() {
-    let at = addrs(3);
-    replica(at[0], LedgerReply::NotLeader { leader: None }).await;
-    let to_the_deposed = LedgerReply::NotLeader {
-        leader: Some(at[0]),
+async fn a_hint_to_a_deposed_leader_does_not_hide_the_new_leader() {
+    let replicas = addrs(3);
+    replica(replicas[0], LedgerReply::NotLeader { leader: None }).await;
+    let hint_to_deposed = LedgerReply::NotLeader {
+        leader: Some(replicas[0]),
     };
-    let asked = replica(at[1], to_the_deposed).await;
-    replica(at[2], answer()).await;
-    let client = LedgerClient::new(&at);
-    let got = client.ask(&question(), WITHIN).await;
+    let calls = replica(replicas[1], hint_to_deposed).await;
+    replica(replicas[2], answer()).await;
+    let client = LedgerClient::new(&replicas);
+    let got = client.ask(&request(), CALL_TIMEOUT).await;
     assert_eq!(got.expect("the leader's answer"), answer());
-    assert_eq!(asked.load(Ordering::Relaxed), 1);
+    assert_eq!(calls.load(Ordering::Relaxed), 1);
 }
 
 /// Guards against a leader that is asked last because it was asked before it led.
 #[tokio::test]
-async fn a_hint_is_followed() {
-    let at = addrs(4);
-    let to_the_leader = LedgerReply::NotLeader {
-        leader: Some(at[3]),
+async fn a_leader_hint_is_followed_before_other_replicas() {
+    let replicas = addrs(4);
+    let hint_to_leader = LedgerReply::NotLeader {
+        leader: Some(replicas[3]),
     };
-    replica(at[0], to_the_leader.clone()).await;
-    let passed_by = replica(at[1], to_the_leader).await;
-    replica(at[3], answer()).await;
-    let client = LedgerClient::new(&at);
-    let got = client.ask(&question(), WITHIN).await;
+    replica(replicas[0], hint_to_leader.clone()).await;
+    let skipped_calls = replica(replicas[1], hint_to_leader).await;
+    replica(replicas[3], answer()).await;
+    let client = LedgerClient::new(&replicas);
+    let got = client.ask(&request(), CALL_TIMEOUT).await;
     assert_eq!(got.expect("the leader's answer"), answer());
-    assert_eq!(passed_by.load(Ordering::Relaxed), 0);
+    assert_eq!(skipped_calls.load(Ordering::Relaxed), 0);
 }
--- a/crates/anvilreel/tests/ledger_service/cluster.rs
+++ b/crates/anvilreel/tests/ledger_service/cluster.rs
@@ -24,7 +24,7 @@
 pub type Failure = Box<dyn std::error::Error + Send + Sync>;
 
 /// Longest wait for something that must come.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A replica that runs.
 pub struct Running {
@@ -39,7 +39,7 @@
     pub peers: Vec<Peer>,
     pub take_out: Option<TakeOut>,
     /// Whom a replica's settings name, where those aren't all; it founds no ledger then.
-    pub knows: BTreeMap<usize, Vec<usize>>,
+    pub known_peers: BTreeMap<usize, Vec<usize>>,
     pub running: Vec<Option<Running>>,
 }
 
@@ -71,7 +71,7 @@
         let mut cluster = Self {
             folder: tempfile::tempdir()?,
             take_out,
-            knows: BTreeMap::new(),
+            known_peers: BTreeMap::new(),
             running: (0..size).map(|_| None).collect(),
             peers,
         };
@@ -81,8 +81,8 @@
         Ok(cluster)
     }
 
-    fn known_to(&self, number: usize) -> Vec<Peer> {
-        let Some(known) = self.knows.get(&number) else {
+    fn founders_of(&self, number: usize) -> Vec<Peer> {
+        let Some(known) = self.known_peers.get(&number) else {
             return self.peers.clone();
         };
         known.iter().map(|at| self.peers[*at].clone()).collect()
@@ -96,7 +96,7 @@
     }
 
     /// Whether the newest membership on a replica's disk names that very disk as a voter.
-    pub fn votes(&self, number: usize) -> bool {
+    pub fn is_voter(&self, number: usize) -> bool {
         let disk = Disk::read_only(&self.folder.path().join(number.to_string()));
         let Ok(Some(id)) = read_identity(&disk) else {
             return false;
@@ -106,13 +106,13 @@
     }
 
     /// Returns when a replica votes with the disk that it has now.
-    pub async fn until_it_votes(&self, number: usize) -> Result<(), Failure> {
+    pub async fn wait_until_voter(&self, number: usize) -> Result<(), Failure> {
         let voting = async {
-            while !self.votes(number) {
+            while !self.is_voter(number) {
                 sleep(Duration::from_millis(50)).await;
             }
         };
-        Ok(timeout(PATIENCE, voting).await?)
+        Ok(timeout(TEST_TIMEOUT, voting).await?)
     }
 
     pub async fn status(&self) -> Result<LedgerStatus, Failure> {
@@ -137,8 +137,8 @@
             wire_listen: self.peers[number].addr,
             bind: None,
             data: self.folder.path().join(number.to_string()),
-            founders: self.known_to(number),
-            join: self.knows.contains_key(&number),
+            founders: self.founders_of(number),
+            join: self.known_peers.contains_key(&number),
             log_json: false,
             statsd: None,
         }
@@ -194,7 +194,7 @@
     }
 
     pub async fn ask(&self, req: &LedgerRequest) -> Result<LedgerReply, Failure> {
-        let asking = async {
+        let retrying = async {
             loop {
                 for peer in &self.peers {
                     let channel = Channel::new(peer.addr);
@@ -214,7 +214,7 @@
                 sleep(Duration::from_millis(50)).await;
             }
         };
-        Ok(timeout(PATIENCE, asking).await?)
+        Ok(timeout(TEST_TIMEOUT, retrying).await?)
     }
 
     pub async fn propose(&self, command: Command) -> Result<Answer, Failure> {
@@ -260,7 +260,7 @@
 }
 
 /// Declares the budget `nairobi`.
-pub async fn declare(cluster: &Cluster) -> Result<(), Failure> {
+pub async fn declare_budget(cluster: &Cluster) -> Result<(), Failure> {
     let organisation = put("organisations/coop", "weight = 1\n")?;
     cluster.propose(organisation).await?;
     let budget = put("budgets/nairobi", "organisation = \"coop\"\n")?;
--- a/crates/anvilreel/tests/ledger_service/failures.rs
+++ b/crates/anvilreel/tests/ledger_service/failures.rs
@@ -14,15 +14,15 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
 
-use crate::cluster::{Cluster, Failure, PATIENCE, declare, free_addr, put, top_up};
+use crate::cluster::{Cluster, Failure, TEST_TIMEOUT, declare_budget, free_addr, put, top_up};
 
 /// Two of three replicas are gone. The third one says within seconds that no majority can be
 /// reached, so that operators and routers know that nothing was done; it confirms no read, and a
 /// follower is told no more that its settings are current.
 #[tokio::test(flavor = "multi_thread")]
-async fn without_a_majority_nothing_is_claimed() -> Result<(), Failure> {
+async fn without_a_majority_nothing_is_confirmed() -> Result<(), Failure> {
     let mut cluster = Cluster::start(3).await?;
-    declare(&cluster).await?;
+    declare_budget(&cluster).await?;
     cluster.stop(1).await;
     cluster.stop(2).await;
     sleep(Duration::from_secs(3)).await;
@@ -48,8 +48,8 @@
     ));
     // Silence or the stream's end: nothing more may be said.
     let second = timeout(Duration::from_secs(3), replies.next()).await;
-    let said = matches!(second, Ok(Ok(Some(_))));
-    assert!(!said, "said to be current: {second:?}");
+    let confirmed = matches!(second, Ok(Ok(Some(_))));
+    assert!(!confirmed, "said to be current: {second:?}");
     cluster.stop_all().await;
     Ok(())
 }
@@ -57,13 +57,13 @@
 /// The disk is full. The change under way is in doubt, and from then on the replica says that it
 /// has stopped, instead of acknowledging what it can't keep.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_full_disk_is_said() -> Result<(), Failure> {
+async fn a_full_disk_is_reported() -> Result<(), Failure> {
     let folder = tempfile::tempdir()?;
     let full = Arc::new(AtomicBool::new(false));
     let inner = Disk::folder(folder.path())?;
-    let told = full.clone();
+    let is_full = full.clone();
     let disk = Disk::new(move |op| {
-        if told.load(Ordering::Relaxed) && matches!(op, Op::Append(..)) {
+        if is_full.load(Ordering::Relaxed) && matches!(op, Op::Append(..)) {
             return Err(std::io::ErrorKind::StorageFull.into());
         }
         inner.run(op)
@@ -106,7 +106,7 @@
             sleep(Duration::from_millis(50)).await;
         }
     };
-    timeout(PATIENCE, ready).await?;
+    timeout(TEST_TIMEOUT, ready).await?;
     full.store(true, Ordering::Relaxed);
     let ask = LedgerRequest::Propose(put("organisations/union", "")?);
     let first = channel.call::<LedgerCall>(&ask, within).await?;
--- a/crates/anvilreel/tests/ledger_service/followers.rs
+++ b/crates/anvilreel/tests/ledger_service/followers.rs
@@ -13,14 +13,14 @@
 use anvilreel::watcher::Watcher;
 use tokio::time::timeout;
 
-use crate::cluster::{Cluster, Failure, PATIENCE, declare, free_addr, put};
+use crate::cluster::{Cluster, Failure, TEST_TIMEOUT, declare_budget, free_addr, put};
 
 /// A router follows any replica: all documents first, then each change, in order of versions. A
 /// sidecar is sent the fleet's document, itself and the fences only.
 #[tokio::test(flavor = "multi_thread")]
-async fn followers_get_all_then_changes() -> Result<(), Failure> {
+async fn followers_receive_all_documents_then_changes() -> Result<(), Failure> {
     let mut cluster = Cluster::start(3).await?;
-    declare(&cluster).await?;
+    declare_budget(&cluster).await?;
     for peer in &cluster.peers {
         let channel = Channel::new(peer.addr);
         let follow = LedgerRequest::Follow {
@@ -29,7 +29,7 @@
             version: 0,
         };
         let mut replies = channel.open::<LedgerCall>(&follow).await?;
-        let first = timeout(PATIENCE, replies.next()).await??;
+        let first = timeout(TEST_TIMEOUT, replies.next()).await??;
         let Some(LedgerReply::Follow(FollowEvent::Full { version, tree, .. })) = first else {
             return Err(format!("{first:?}").into());
         };
@@ -58,7 +58,7 @@
                 }
             }
         };
-        timeout(PATIENCE, changed).await??;
+        timeout(TEST_TIMEOUT, changed).await??;
     }
     cluster.stop_all().await;
     Ok(())
@@ -69,9 +69,9 @@
 /// its majority, says nothing more, and the router waits out its whole patience with silence, at
 /// one such replica after the other.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_replica_out_of_touch_sends_its_followers_away() -> Result<(), Failure> {
+async fn a_replica_without_a_majority_ends_its_follow_streams() -> Result<(), Failure> {
     let mut cluster = Cluster::start(3).await?;
-    declare(&cluster).await?;
+    declare_budget(&cluster).await?;
     let channel = Channel::new(cluster.peers[0].addr);
     let ask = LedgerRequest::Follow {
         instance: "router-1".into(),
@@ -82,9 +82,9 @@
     assert!(replies.next().await?.is_some());
     cluster.stop(1).await;
     cluster.stop(2).await;
-    let sent_away = async { while let Ok(Some(_)) = replies.next().await {} };
+    let stream_end = async { while let Ok(Some(_)) = replies.next().await {} };
     let within = CoreSettings::default().election_timeout * 2 + Duration::from_secs(1);
-    assert!(timeout(within, sent_away).await.is_ok(), "left in silence");
+    assert!(timeout(within, stream_end).await.is_ok(), "left in silence");
     cluster.stop_all().await;
     Ok(())
 }
@@ -93,7 +93,7 @@
 /// Were each copy put into the log, what is new would wait behind megabytes. A table that is in force
 /// is acknowledged without the log.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_table_sent_again_is_acknowledged_without_the_log() -> Result<(), Failure> {
+async fn a_resent_routing_table_is_acknowledged_without_a_log_entry() -> Result<(), Failure> {
     let mut cluster = Cluster::start(3).await?;
     let table = LedgerRequest::Propose(Command::ReplaceRouting(ReplaceRouting {
         operator: "op".into(),
@@ -127,7 +127,7 @@
 /// change. Their settings have come to name replicas that can't be reached, and the ones that answered
 /// until then were forgotten for them.
 #[tokio::test(flavor = "multi_thread")]
-async fn other_seeds_leave_the_replicas_that_answer() -> Result<(), Failure> {
+async fn new_seeds_do_not_replace_replicas_that_answer() -> Result<(), Failure> {
     let mut cluster = Cluster::start(1).await?;
     let addrs = [cluster.peers[0].addr];
     let watcher = Watcher::new(LedgerClient::new(&addrs), "operators-1".into(), &addrs);
--- a/crates/anvilreel/tests/ledger_service/membership.rs
+++ b/crates/anvilreel/tests/ledger_service/membership.rs
@@ -8,14 +8,14 @@
 use anvilreel::ledger_service::TakeOut;
 use tokio::time::{sleep, timeout};
 
-use crate::cluster::{Cluster, Failure, PATIENCE, declare, free_addr, top_up};
+use crate::cluster::{Cluster, Failure, TEST_TIMEOUT, declare_budget, free_addr, top_up};
 
 /// A replica comes back with its disk at another address, and another one is lost. The two go on:
 /// the leader has noted the address, so the votes and acknowledgements of the moved one count.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_replica_moves_to_another_address() -> Result<(), Failure> {
+async fn a_replica_that_moves_to_another_address_still_votes() -> Result<(), Failure> {
     let mut cluster = Cluster::start(3).await?;
-    declare(&cluster).await?;
+    declare_budget(&cluster).await?;
     cluster.stop(2).await;
     let old = cluster.peers[2].addr;
     cluster.peers[2].addr = free_addr()?;
@@ -26,7 +26,7 @@
             sleep(Duration::from_millis(50)).await;
         }
     };
-    timeout(PATIENCE, moved).await?;
+    timeout(TEST_TIMEOUT, moved).await?;
     cluster.stop(1).await;
     cluster.propose(top_up(1)).await?;
     assert_eq!(cluster.budget("nairobi").await?.credited, 10);
@@ -45,13 +45,13 @@
 /// counts in the majority, and the next loss stops the ledger. It is taken out after its silence;
 /// below three voters none is.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_replica_lost_for_good_is_taken_out() -> Result<(), Failure> {
+async fn a_permanently_lost_replica_is_removed() -> Result<(), Failure> {
     let rule = TakeOut {
         after: Duration::from_secs(2),
         least: 3,
     };
     let mut cluster = Cluster::start_with(4, Some(rule)).await?;
-    declare(&cluster).await?;
+    declare_budget(&cluster).await?;
     cluster.stop(3).await;
     let shrunk = async {
         while cluster.status().await?.voters.len() > 3 {
@@ -59,7 +59,7 @@
         }
         Ok::<(), Failure>(())
     };
-    timeout(PATIENCE, shrunk).await??;
+    timeout(TEST_TIMEOUT, shrunk).await??;
     // Two of four would have been no majority.
     cluster.stop(2).await;
     cluster.propose(top_up(1)).await?;
@@ -75,7 +75,7 @@
         }
         Ok::<(), Failure>(())
     };
-    timeout(PATIENCE, joined).await??;
+    timeout(TEST_TIMEOUT, joined).await??;
     cluster.stop_all().await;
     Ok(())
 }
--- a/crates/anvilreel/tests/ledger_service/presence.rs
+++ b/crates/anvilreel/tests/ledger_service/presence.rs
@@ -12,7 +12,7 @@
 use anvilreel::sidecar::Sidecar;
 use tokio::time::{sleep, timeout};
 
-use crate::cluster::{Cluster, Failure, PATIENCE, declare, free_addr, put, top_up};
+use crate::cluster::{Cluster, Failure, TEST_TIMEOUT, declare_budget, free_addr, put, top_up};
 
 async fn presence_of_all(cluster: &Cluster) -> Result<Vec<Presence>, Failure> {
     let members = LedgerRequest::Query(Query::Members);
@@ -24,21 +24,21 @@
     }
 }
 
-async fn until_all_are(cluster: &Cluster, wanted: Presence) -> Result<(), Failure> {
-    let look = async {
+async fn wait_for_presence(cluster: &Cluster, wanted: Presence) -> Result<(), Failure> {
+    let polling = async {
         while presence_of_all(cluster).await? != [wanted] {
             sleep(Duration::from_millis(50)).await;
         }
         Ok::<(), Failure>(())
     };
-    timeout(PATIENCE, look).await?
+    timeout(TEST_TIMEOUT, polling).await?
 }
 
 /// A router gives signs of life, then falls silent. It is joined at its first one, kept from new
 /// work after a short silence, and taken back by its next sign. After a silence longer than it
 /// may serve out of touch it is declared gone and fenced, so that its grants can come back.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_silent_router_is_gone_and_fenced() -> Result<(), Failure> {
+async fn an_unresponsive_router_is_declared_gone_and_fenced() -> Result<(), Failure> {
     let mut cluster = Cluster::start(1).await?;
     let fleet = put("fleet", "serve_out_of_touch = \"2s\"")?;
     cluster.propose(fleet).await?;
@@ -56,17 +56,17 @@
         evidence: Vec::new(),
         leaving: false,
     });
-    let LedgerReply::Alive(alive) = cluster.ask(&heartbeat).await? else {
+    let LedgerReply::Alive(joined) = cluster.ask(&heartbeat).await? else {
         return Err("no sign of life taken".into());
     };
-    assert_eq!(alive.presence, Presence::Live);
-    until_all_are(&cluster, Presence::Silent).await?;
-    let LedgerReply::Alive(back) = cluster.ask(&heartbeat).await? else {
+    assert_eq!(joined.presence, Presence::Live);
+    wait_for_presence(&cluster, Presence::Silent).await?;
+    let LedgerReply::Alive(returned) = cluster.ask(&heartbeat).await? else {
         return Err("no answer to a sign of life after a silence".into());
     };
-    assert_eq!(back.presence, Presence::Live);
+    assert_eq!(returned.presence, Presence::Live);
     assert_eq!(presence_of_all(&cluster).await?, [Presence::Live]);
-    until_all_are(&cluster, Presence::Gone).await?;
+    wait_for_presence(&cluster, Presence::Gone).await?;
     let LedgerReply::Alive(late) = cluster.ask(&heartbeat).await? else {
         return Err("no answer to a late sign of life".into());
     };
@@ -78,12 +78,12 @@
 /// An instance is lost for good and an operator takes it out. The two that are left go on, and
 /// after one more loss and its replacement nothing is missed.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_instance_is_taken_out_for_good() -> Result<(), Failure> {
+async fn an_instance_is_removed_by_an_operator() -> Result<(), Failure> {
     let mut cluster = Cluster::start(3).await?;
-    declare(&cluster).await?;
+    declare_budget(&cluster).await?;
     cluster.stop(2).await;
     let addrs: Vec<_> = cluster.peers.iter().map(|peer| peer.addr).collect();
-    let gone = async {
+    let removal = async {
         loop {
             let _ = remove(&addrs, &cluster.peers[2].id).await;
             let status = cluster.ask(&LedgerRequest::Query(Query::Status)).await?;
@@ -95,7 +95,7 @@
             sleep(Duration::from_millis(100)).await;
         }
     };
-    timeout(PATIENCE, gone).await??;
+    timeout(TEST_TIMEOUT, removal).await??;
     cluster.propose(top_up(1)).await?;
     cluster.stop_all().await;
     Ok(())
@@ -105,16 +105,16 @@
 /// sidecar. The one replica that the sidecar's settings name was replaced by another, and the sidecar
 /// knew no others.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_sidecar_outlives_the_replica_that_its_settings_name() -> Result<(), Failure> {
+async fn a_sidecar_survives_the_loss_of_its_configured_replica() -> Result<(), Failure> {
     let mut cluster = Cluster::start(4).await?;
-    declare(&cluster).await?;
-    let named = 3;
+    declare_budget(&cluster).await?;
+    let configured = 3;
     let settings = SidecarSettings {
         platform: None,
         id: "sidecar-1".into(),
         zone: Zone::default(),
         wire_listen: ([127, 0, 0, 1], 0).into(),
-        ledgers: vec![cluster.peers[named].addr],
+        ledgers: vec![cluster.peers[configured].addr],
         endpoint: EndpointSettings {
             addr: free_addr()?,
             service: "desk".into(),
@@ -128,11 +128,11 @@
         statsd: None,
     };
     let sidecar = Sidecar::start(&settings, silent(), Metrics::silent("sidecar")).await?;
-    until_all_are(&cluster, Presence::Live).await?;
-    cluster.stop(named).await;
+    wait_for_presence(&cluster, Presence::Live).await?;
+    cluster.stop(configured).await;
     // Signs of life from before the loss count no more.
-    until_all_are(&cluster, Presence::Silent).await?;
-    until_all_are(&cluster, Presence::Live).await?;
+    wait_for_presence(&cluster, Presence::Silent).await?;
+    wait_for_presence(&cluster, Presence::Live).await?;
     sidecar.kill();
     cluster.stop_all().await;
     Ok(())
--- a/crates/anvilreel/tests/ledger_service/restart.rs
+++ b/crates/anvilreel/tests/ledger_service/restart.rs
@@ -3,11 +3,11 @@
 use anvil_ledger::storage::Disk;
 use anvil_ledger::storage::recover::recover;
 
-use crate::cluster::{Cluster, Failure, declare, top_up};
+use crate::cluster::{Cluster, Failure, declare_budget, top_up};
 
 async fn survives_restart(size: usize) -> Result<(), Failure> {
     let mut cluster = Cluster::start(size).await?;
-    declare(&cluster).await?;
+    declare_budget(&cluster).await?;
     for number in 0..1_000 {
         cluster.propose(top_up(number)).await?;
     }
@@ -36,16 +36,16 @@
 /// A replica loses its disk and comes back empty; right after it has been taken in again, another
 /// one is lost. Operators still read every token: the new disk counts only since it caught up.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_disk_then_a_second_loss() -> Result<(), Failure> {
+async fn a_second_loss_after_a_replaced_disk_loses_no_data() -> Result<(), Failure> {
     let mut cluster = Cluster::start(3).await?;
-    declare(&cluster).await?;
+    declare_budget(&cluster).await?;
     for number in 0..500 {
         cluster.propose(top_up(number)).await?;
     }
     cluster.stop(0).await;
     cluster.wipe(0)?;
     cluster.run(0).await?;
-    cluster.until_it_votes(0).await?;
+    cluster.wait_until_voter(0).await?;
     let found = recover(&Disk::read_only(&cluster.folder.path().join("0")))?;
     assert!(found.base.index > 0, "no snapshot was fetched");
     cluster.stop(1).await;
