--- a/crates/anvilreel/src/ledger_client.rs
+++ b/crates/anvilreel/src/ledger_client.rs
@@ -1,4 +1,5 @@
-//! How every process asks the ledger: any replica first, then whoever leads.
+//! Client of the ledger for every process: sends a request to one replica after the other until it
+//! reaches the leader.
 
 mod address_list;
 mod leader_search;
@@ -21,92 +22,92 @@
 use address_list::{AddressList, interleaved};
 use leader_search::{Attempt, LeaderSearch};
 
-/// Longest wait for one replica's answer, unless the client is told otherwise.
+/// Default timeout of a request to one replica.
 const REPLICA_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pause after every replica was asked in vain.
+/// Pause after all addresses have failed.
 const ROUND_DELAY: Duration = Duration::from_millis(50);
 
-/// The ledger could not be asked.
+/// Why a request to the ledger failed.
 #[derive(Debug, Snafu)]
 pub enum LedgerError {
-    /// No replica took the question, so nothing was put into the log.
-    #[snafu(display("no replica of the ledger took it"))]
+    /// No replica accepted the request, so nothing was appended to the log.
+    #[snafu(display("no replica of the ledger accepted the request"))]
     Unreachable,
-    /// A replica took it and its answer was lost. Resend to learn what came of it.
-    #[snafu(display("the ledger's answer was lost"))]
+    /// A replica accepted the request and its answer was lost. Resending it returns the outcome.
+    #[snafu(display("the ledger's answer was lost: the request may have been carried out"))]
     InDoubt,
-    /// A replica answered something else than was asked.
-    #[snafu(display("an answer of the wrong kind"))]
+    /// The answer is not of the kind that the request expects.
+    #[snafu(display("unexpected kind of answer from the ledger"))]
     WrongKind,
 }
 
-/// A way to the ledger. Remembers who answered last.
+/// Client of the ledger. It starts with the address that answered last.
 ///
-/// Failure: a process is cut off from every replica while others are not. It shows as requests
-/// refused for want of money, for as long as the cut lasts. So a client may also know relays
-/// ([`crate::relay`]): after a replica that did not answer, a relay is asked next.
+/// A process that is cut off from every replica while others are not would refuse requests for lack
+/// of tokens for as long as the partition lasts. So a client may also have the addresses of relays
+/// ([`crate::relay`]): after a replica that does not answer, a relay is called next.
 pub struct LedgerClient {
     addresses: ArcSwap<AddressList>,
-    last: AtomicUsize,
+    last_answered: AtomicUsize,
     replica_timeout: Duration,
     hedge: Option<Duration>,
-    /// The replicas that the settings name, where the ledger's own word is added to them.
+    /// The replicas that the settings name, if replicas reported by the ledger are added to them.
     configured: Option<Vec<SocketAddr>>,
 }
 
 impl LedgerClient {
-    /// A way to these replicas. Nothing is connected yet.
+    /// Creates a client of these replicas, without connecting yet.
     pub fn new(replicas: &[SocketAddr]) -> Self {
         let addresses = AddressList::default().with_addrs(&interleaved(replicas, &[]));
         Self {
             addresses: ArcSwap::from_pointee(addresses),
-            last: AtomicUsize::new(0),
+            last_answered: AtomicUsize::new(0),
             replica_timeout: REPLICA_TIMEOUT,
             hedge: None,
             configured: None,
         }
     }
 
-    /// Also asks the replicas that answers to signs of life name.
+    /// Also uses the replicas that answers to heartbeats report.
     ///
-    /// Failure: the replicas that the settings name are replaced one after the other, and in the end a
-    /// process that has never stopped knows none of them any more. It shows as a process out of touch
-    /// with a ledger that is well, until somebody restarts it.
+    /// Without this, a long-running process whose configured replicas are replaced one by one would
+    /// in the end know none of the current ones, and would stay disconnected from a healthy ledger
+    /// until it is restarted.
     pub fn with_learning(mut self) -> Self {
         self.configured = Some(self.addresses.load().addrs());
         self
     }
 
-    /// Waits no longer than this for one replica's answer.
+    /// Sets the timeout of a request to one replica.
     pub fn with_patience(mut self, replica_timeout: Duration) -> Self {
         self.replica_timeout = replica_timeout;
         self
     }
 
-    /// Asks a second one beside the first when that has not answered within this time.
+    /// Sends a request to a second address if the first has not answered within this time.
     pub fn with_hedge(mut self, hedge: Duration) -> Self {
         self.hedge = Some(hedge);
         self
     }
 
-    /// Asks through these from now on. Those that are known already keep their connections.
-    /// Returns whether anything has changed.
+    /// Replaces the addresses. Those that are known already keep their connections. Returns whether
+    /// anything has changed.
     pub fn set_ways(&self, replicas: &[SocketAddr], relays: &[SocketAddr]) -> bool {
         let wanted = interleaved(replicas, relays);
         let addresses = self.addresses.load();
         if addresses.matches(&wanted) {
             return false;
         }
-        let at = self.last.load(Ordering::Relaxed);
+        let at = self.last_answered.load(Ordering::Relaxed);
         let last = addresses.get(at).map(Channel::addr);
         let updated = addresses.with_addrs(&wanted);
         let at = last.and_then(|addr| updated.position_of(addr)).unwrap_or(0);
         self.addresses.store(Arc::new(updated));
-        self.last.store(at, Ordering::Relaxed);
+        self.last_answered.store(at, Ordering::Relaxed);
         true
     }
 
-    /// Asks through these as well.
+    /// Adds addresses.
     pub fn add_ways(&self, more: &[SocketAddr]) {
         let addresses = self.addresses.load();
         let mut wanted = addresses.addrs();
@@ -119,19 +120,19 @@
             .store(Arc::new(addresses.with_addrs(&wanted)));
     }
 
-    /// How many ways there are.
+    /// Number of addresses.
     pub fn len(&self) -> usize {
         self.addresses.load().len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no addresses.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Puts a command into the log and returns what it answered.
+    /// Appends a command to the log and returns its answer.
     ///
-    /// Every command that routers and sidecars send may be resent: the log keeps the first.
+    /// Every command that routers and sidecars send may be resent: the log ignores duplicates.
     pub async fn propose(&self, command: Command, within: Duration) -> Result<Answer, LedgerError> {
         let req = LedgerRequest::Propose(command);
         match self.ask(&req, within).await? {
@@ -148,7 +149,7 @@
         }
     }
 
-    /// A sign of life.
+    /// Sends a heartbeat.
     pub async fn heartbeat(
         &self,
         heartbeat: Heartbeat,
@@ -175,7 +176,7 @@
         self.set_ways(&wanted, &[]);
     }
 
-    /// Follows the replica with this number, counted round.
+    /// Follows the replica at this position, which wraps around.
     pub async fn follow(
         &self,
         replica: usize,
@@ -193,7 +194,7 @@
         channel.open::<LedgerCall>(&req).await
     }
 
-    /// Asks one after the other until one answers for the ledger.
+    /// Sends a request to one address after the other until a replica gives a final answer.
     pub async fn ask(
         &self,
         req: &LedgerRequest,
@@ -201,7 +202,8 @@
     ) -> Result<LedgerReply, LedgerError> {
         let deadline = Instant::now() + within;
         let addresses = self.addresses.load_full();
-        let mut search = LeaderSearch::starting_at(&addresses, self.last.load(Ordering::Relaxed));
+        let mut search =
+            LeaderSearch::starting_at(&addresses, self.last_answered.load(Ordering::Relaxed));
         let mut in_doubt = false;
         loop {
             let time_left = deadline.saturating_duration_since(Instant::now());
@@ -227,7 +229,7 @@
                 Ok(LedgerReply::InDoubt) => in_doubt = true,
                 Ok(reply) => {
                     if let Some(position) = attempt.position(by_second) {
-                        self.last.store(position, Ordering::Relaxed);
+                        self.last_answered.store(position, Ordering::Relaxed);
                     }
                     return Ok(reply);
                 }
@@ -242,12 +244,12 @@
         }
     }
 
-    /// Asks one and, when it takes long, a second one beside it. Returns the first answer that
-    /// came, and whether it is the second one's.
+    /// Sends a request to one address and, if it takes long, to a second one as well. Returns the
+    /// first answer and whether it is the second one's.
     ///
-    /// Failure: the way that answered last is cut off without a word. It shows as requests that
-    /// wait for money for as long as that way is given. Both may carry the same command out: the
-    /// log keeps the first.
+    /// If the address that answered last is cut off silently, requests would otherwise wait for
+    /// tokens until its timeout. Both replicas may carry out the same command: the log ignores
+    /// duplicates.
     async fn call_hedged(
         &self,
         attempt: &Attempt<'_>,
@@ -282,16 +284,16 @@
     }
 }
 
-/// Added to the patience for each byte of what is asked: ten times what a link of 100 Mbit/s takes,
-/// since it goes to several replicas.
+/// Added to the timeout for each byte of a request: ten times what a link of 100 Mbit/s takes,
+/// since the request is sent on to several replicas.
 const TIMEOUT_PER_BYTE: Duration = Duration::from_nanos(800);
-/// From this size on, in bytes, a second way is not asked beside the first.
+/// Requests of this size or more, in bytes, are not hedged.
 ///
-/// Failure: a routing table of 400 KB takes longer than the time after which another way is asked;
-/// each further copy delays all others, and none is answered in time.
+/// A routing table of 400 KB takes longer than the hedge delay; each further copy would delay all
+/// others, and none would be answered in time.
 const HEDGE_MAX_BYTES: u32 = 32 << 10;
 
-/// Bytes of what is asked, where there may be many.
+/// Size of a request in bytes; 0 for kinds that are always small.
 fn payload_bytes(req: &LedgerRequest) -> u32 {
     match req {
         LedgerRequest::Propose(Command::ReplaceRouting(replace)) => {
--- a/crates/anvilreel/src/ledger_client/address_list.rs
+++ b/crates/anvilreel/src/ledger_client/address_list.rs
@@ -1,45 +1,45 @@
-//! The addresses through which the ledger is asked, in the order in which they are tried.
+//! Addresses of the ledger's replicas and relays, in the order in which they are called.
 
 use std::net::SocketAddr;
 
 use anvil_wire::Channel;
 
-/// Channels in the order in which they are tried.
+/// Channels to the addresses, in the order in which they are called.
 #[derive(Clone, Default)]
 pub struct AddressList {
     channels: Vec<Channel>,
 }
 
 impl AddressList {
-    /// How many there are.
+    /// Number of addresses.
     pub fn len(&self) -> usize {
         self.channels.len()
     }
 
-    /// One by its number.
+    /// The channel at a position.
     pub fn get(&self, position: usize) -> Option<&Channel> {
         self.channels.get(position)
     }
 
-    /// One by its number, counted round.
+    /// The channel at a position, which wraps around.
     pub fn get_wrapping(&self, position: usize) -> Option<&Channel> {
         let position = position.checked_rem(self.channels.len())?;
         self.channels.get(position)
     }
 
-    /// The number of an address.
+    /// The position of an address.
     pub fn position_of(&self, addr: SocketAddr) -> Option<usize> {
         self.channels
             .iter()
             .position(|channel| channel.addr() == addr)
     }
 
-    /// Their addresses, in order.
+    /// The addresses, in order.
     pub fn addrs(&self) -> Vec<SocketAddr> {
         self.channels.iter().map(Channel::addr).collect()
     }
 
-    /// Whether these are the addresses, in this order.
+    /// Whether the list has just these addresses, in this order.
     pub fn matches(&self, addrs: &[SocketAddr]) -> bool {
         self.channels
             .iter()
@@ -47,7 +47,7 @@
             .eq(addrs.iter().copied())
     }
 
-    /// Ways to these addresses; those that are known already keep their connections.
+    /// A list of these addresses; those that are known already keep their connections.
     pub fn with_addrs(&self, addrs: &[SocketAddr]) -> Self {
         let channel = |addr: &SocketAddr| {
             let known = self.channels.iter().find(|channel| channel.addr() == *addr);
@@ -59,7 +59,7 @@
     }
 }
 
-/// Replicas and relays by turns, so that a relay is the second that is tried.
+/// Alternates replicas and relays, so that a relay is the second address that is called.
 pub fn interleaved(replicas: &[SocketAddr], relays: &[SocketAddr]) -> Vec<SocketAddr> {
     let mut relays = relays.iter();
     let mut all = Vec::new();
--- a/crates/anvilreel/src/ledger_client/leader_search.rs
+++ b/crates/anvilreel/src/ledger_client/leader_search.rs
@@ -1,4 +1,4 @@
-//! One call's way from replica to replica until the leader is found.
+//! Order in which one request is sent to replicas until the leader is found.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -7,36 +7,36 @@
 
 use super::address_list::AddressList;
 
-/// Whom to ask next, and who was asked already.
+/// State of the search for the leader.
 pub struct LeaderSearch<'a> {
     addresses: &'a AddressList,
-    /// The way that is tried next, counted round.
+    /// Position of the next address, which wraps around.
     at: usize,
     attempts: usize,
-    /// A leader that is none of the ways: it is asked where it was said to be.
+    /// A reported leader that is not in the list; it is called next.
     hinted: Option<Channel>,
-    /// Who was asked in this round and does not lead, or did not answer.
+    /// Addresses that were called in this round and don't lead, or did not answer.
     failed: BTreeSet<SocketAddr>,
 }
 
-/// One question: to the first, and beside it to the second when the first takes long.
+/// One attempt: a call to the first address, and one to the second when the first takes long.
 pub struct Attempt<'a> {
-    /// The first one.
+    /// The first address.
     pub first: Channel,
-    /// The one after it.
+    /// The address after it.
     pub second: Option<&'a Channel>,
     position: usize,
     is_hinted: bool,
 }
 
 impl Attempt<'_> {
-    /// Who answered or failed: the second one, or the first.
+    /// The address that answered or failed: the second one, or the first.
     pub fn called_addr(&self, by_second: bool) -> SocketAddr {
         let second = self.second.filter(|_| by_second);
         second.map_or_else(|| self.first.addr(), Channel::addr)
     }
 
-    /// The way by which the answer came; `None` where it was none of the ways.
+    /// Position of the address that answered; `None` if it is not in the list.
     pub fn position(&self, by_second: bool) -> Option<usize> {
         if by_second {
             return Some(self.position + 1);
@@ -46,7 +46,7 @@
 }
 
 impl<'a> LeaderSearch<'a> {
-    /// Begins with this way.
+    /// Starts at this position.
     pub fn starting_at(addresses: &'a AddressList, at: usize) -> Self {
         Self {
             addresses,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whom to ask now; `None` where there is no way.
+    /// The next attempt; `None` if the list is empty.
     pub fn next_attempt(&mut self) -> Option<Attempt<'a>> {
         let known = self.addresses.get_wrapping(self.at)?;
         let hinted = self.hinted.take();
@@ -70,7 +70,7 @@
         })
     }
 
-    /// Goes on to the way after the one that answered.
+    /// Moves on to the position after the address that answered.
     pub fn advance(&mut self, attempt: &Attempt<'_>, by_second: bool) {
         if let Some(position) = attempt.position(by_second) {
             self.at = position % self.addresses.len() + 1;
@@ -78,16 +78,17 @@
         self.attempts += 1;
     }
 
-    /// Whoever was asked doesn't lead, or didn't answer.
+    /// Records that an address doesn't lead or didn't answer.
     pub fn mark_failed(&mut self, called_addr: SocketAddr) {
         self.failed.insert(called_addr);
     }
 
-    /// Whoever was asked names another one as the leader.
+    /// Calls the leader that a replica reported next.
     ///
-    /// Failure: the leader is deposed, and a follower that hasn't heard of it sends whoever asks back to it.
-    /// It shows as calls that go to and fro between the two for as long as they may take, while all
-    /// others follow a new leader. So a hint to a replica that was asked in this round is not followed.
+    /// A follower that has not noticed that its leader was deposed refers callers back to it; a
+    /// call would go back and forth between the two until its timeout, while the other replicas
+    /// follow a new leader. So a reported leader that was already called in this round is not
+    /// called again.
     pub fn follow_hint(&mut self, attempt: &Attempt<'_>, leader: SocketAddr) {
         if self.failed.contains(&leader) {
             return;
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Whether all ways have been asked since this was last so; a new round begins then.
+    /// Whether all addresses have been called since the last round ended; a new round begins then.
     pub fn ends_round(&mut self) -> bool {
         let ends = self.attempts.is_multiple_of(self.addresses.len());
         if ends {
--- a/crates/anvilreel/src/ledger_service.rs
+++ b/crates/anvilreel/src/ledger_service.rs
@@ -1,8 +1,9 @@
-//! A ledger replica as a process: sockets, disk and clock around the core.
+//! Runs a ledger replica as a process: sockets, disk and clock around the core.
 //!
-//! [`start`] opens the data folder, listens, and runs the [`replica_task`]: one task that owns the
-//! replica's core and its applied state. The disk has a thread of its own. Replicas hear each
-//! other over [`links`]; an empty folder founds a ledger or joins one ([`bootstrap`]).
+//! [`start`] opens the data folder, listens, and runs the [`replica_task`]: the one task that owns
+//! the replica's core and its applied state. A separate thread writes to the disk. Replicas receive
+//! each other's messages over [`links`]. A replica with an empty data folder founds a ledger or
+//! joins one ([`bootstrap`]).
 //!
 //! ```no_run
 //! # async fn demo(cfg: anvil_world::settings::LedgerSettings, log: slog::Logger)
@@ -53,43 +54,44 @@
 use crate::event;
 use crate::metrics::Metrics;
 
-/// Events that may wait for the node before whoever sends them waits too.
+/// Inputs that may be queued for the replica task before their senders have to wait.
 const INBOX_CAPACITY: usize = 65_536;
 
-/// What an operator need not set.
+/// Parameters with defaults, which are not part of the settings file.
 #[derive(Clone)]
 pub struct Tuning {
-    /// How fast replicas notice things.
+    /// Timing and log retention of the core.
     pub core: CoreSettings,
-    /// An instance that gives no sign of life for this long gets no new work.
+    /// An instance whose heartbeats stop for this long gets no new work.
     pub silent_after: Duration,
-    /// An instance that gives no sign of life for this long after the time that a router may
-    /// serve out of touch is declared gone.
+    /// An instance is declared gone when its heartbeats stop for this long plus the time for which
+    /// a router may serve without the ledger.
     pub gone_after: Duration,
-    /// A snapshot is taken after this many entries.
+    /// Entries between two snapshots.
     pub snapshot_every: u64,
-    /// A snapshot is taken, too, after this many bytes of entries.
+    /// Bytes of entries after which a snapshot is taken, also with fewer entries than that.
     pub snapshot_bytes: u64,
-    /// A file of the log is closed when it is longer, in bytes. Files go when a snapshot covers
-    /// them, so a small disk wants small ones.
+    /// Size in bytes at which a segment file of the log is closed. A file is removed when a
+    /// snapshot covers all of it, so a small disk needs small files.
     pub segment_bytes: u64,
-    /// Replicas that are lost for good are taken out of the ledger; `None` leaves that to an
-    /// operator.
+    /// Rule by which permanently lost replicas are removed from the ledger; `None` leaves that to
+    /// an operator.
     pub take_out: Option<TakeOut>,
-    /// The process ends its replica when that can't go on, instead of saying so to all who ask.
+    /// Whether a replica that has failed ends, instead of answering every request with `Stopped`.
     pub end_when_failed: bool,
-    /// Where metrics go, in place of what the settings say.
+    /// Destination of metrics, in place of the one in the settings.
     pub metrics: Option<Metrics>,
-    /// One sync for many entries; off only to measure what that brings.
+    /// Whether several entries share one sync; switched off only to measure its effect.
     pub group_commit: bool,
 }
 
-/// When a replica is taken out of the ledger without an operator.
+/// Rule by which a replica is removed from the ledger without an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TakeOut {
-    /// After a silence of this length.
+    /// Time without a response after which a replica counts as lost.
     pub after: Duration,
-    /// Never below this many voters: twice the disks that may be lost at once, plus one.
+    /// No replica is removed below this number of voters: twice the number of disks that may be
+    /// lost at the same time, plus one.
     pub least: usize,
 }
 
@@ -112,20 +114,20 @@
 
 /// A running replica.
 pub struct LedgerHandle {
-    /// Where it listens.
+    /// The address on which it listens.
     pub addr: SocketAddr,
     task: JoinHandle<()>,
 }
 
 impl LedgerHandle {
-    /// Returns when the replica has ended.
+    /// Returns when the replica has stopped.
     pub async fn stopped(self) {
-        // The task has no result, and a panic in it was logged by the runtime.
+        // The task has no result, and the runtime has logged a panic in it.
         let _ = self.task.await;
     }
 }
 
-/// Starts a replica; it runs until `stop` is ready.
+/// Starts a replica; it runs until `stop` completes.
 pub async fn start(
     cfg: LedgerSettings,
     tuning: Tuning,
@@ -149,12 +151,13 @@
     Disk::folder(&cfg.data).context(DiskSnafu { data })
 }
 
-/// Starts a replica on a folder that is open already, with contacts that may change while it runs.
+/// Starts a replica on a data folder that is open already, with peer addresses that may change
+/// while it runs.
 pub async fn start_on(
     disk: Disk,
     cfg: LedgerSettings,
     tuning: Tuning,
-    contacts: Contacts,
+    peer_addresses: Contacts,
     log: Logger,
     stop: impl Future<Output = ()> + Send + 'static,
 ) -> Result<LedgerHandle, ServiceError> {
@@ -188,14 +191,14 @@
         inbox,
         status,
         stopping: stopping.clone(),
-        contacts,
+        peer_addresses,
         disk: Disk::read_only(&cfg.data),
     };
     let (ended, mut task_ended) = watch::channel(false);
     let task = tokio::spawn(async move {
         let task = tokio::spawn(async move {
             let writer = replica_task.run(rx, stopping).await;
-            // Somebody always listens here: the task around this one holds a receiver.
+            // Can't fail: the enclosing task holds a receiver.
             let _ = ended.send(true);
             writer
         });
@@ -210,16 +213,16 @@
         let serving = server.serve(handlers::all(&replica), async move {
             tokio::select! {
                 () = stop => {}
-                // Either it has failed and is to end the process, or it has panicked.
+                // The replica task has failed and `end_when_failed` is set, or it has panicked.
                 _ = task_ended.wait_for(|ended| *ended) => {}
             }
-            // Somebody always listens here: this task holds a receiver.
+            // Can't fail: this task holds a receiver.
             let _ = ending.send(true);
         });
         serving.await;
         founding.abort();
         links.abort();
-        // A panic in the node was printed when it happened.
+        // A panic in the replica task was printed when it happened.
         if let Ok(writer) = task.await {
             let _ = tokio::task::spawn_blocking(move || writer.finish()).await;
         }
@@ -235,8 +238,8 @@
 ) -> Result<Writer, ServiceError> {
     let inbox = inbox.clone();
     let report = move |report| {
-        // Fails only when the node has ended, and nobody waits for the report any more.
-        let _ = inbox.blocking_send(replica_task::Input::Disk(report));
+        // Fails only when the replica task has ended; the report is of no use then.
+        let _ = inbox.blocking_send(replica_task::Input::DiskReport(report));
     };
     Writer::start(storage, group_commit, report).context(ThreadSnafu)
 }
--- a/crates/anvilreel/src/ledger_service/bootstrap.rs
+++ b/crates/anvilreel/src/ledger_service/bootstrap.rs
@@ -1,9 +1,10 @@
-//! How an empty data folder finds its ledger.
+//! Founds a ledger or joins one, and keeps the replica's membership up to date.
 //!
-//! Failure: a founder loses its disk, restarts with its old settings, and founds a second ledger
-//! beside the first; operators see budgets empty, and grants are given twice. Only the first
-//! founder founds, and only after every other founder has answered that its disk is empty too.
-//! Whoever finds a ledger joins it as a learner, under its new disk's number.
+//! A founder that loses its disk and restarts with its old settings must not found a second ledger
+//! beside the first: budgets would look empty and grants would be issued twice. So only the founder
+//! with the smallest name founds a ledger, and only after all other founders have answered that
+//! their disks are empty too. A replica that finds a ledger joins it as a learner, under the
+//! identifier of its new disk.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,14 +22,15 @@
 use super::replica_task::Input;
 use crate::event;
 
-/// Pause between two looks.
+/// Pause between two checks.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// A replica that hears from no leader for so long may have been taken out: some elections.
+/// A replica without contact to a leader for this long, several election timeouts, may have been
+/// removed from the ledger.
 const REJOIN_AFTER: Duration = Duration::from_secs(2);
-/// Longest wait for one answer.
+/// Timeout of a request to another replica.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Who looks.
+/// Settings and identity of the replica that founds or joins.
 struct Bootstrap {
     replica: ReplicaHandle,
     id: ReplicaId,
@@ -37,8 +39,8 @@
     log: Logger,
 }
 
-/// Sees to it that the replica belongs to a ledger as a voter, under its present address, for as
-/// long as the process lives.
+/// Ensures, for as long as the process runs, that the replica belongs to a ledger as a voter under
+/// its present address.
 pub async fn run(
     replica: ReplicaHandle,
     id: ReplicaId,
@@ -62,9 +64,9 @@
         if !bootstrap.is_listed_voter() && bootstrap.should_register() {
             bootstrap.join_or_found(&mut joining_logged).await;
         } else if connected_at.elapsed() >= REJOIN_AFTER {
-            // Failure: a replica is taken out while it is down. Its own log still names it as a
-            // voter, the others send it nothing, and it waits for ever. So it asks again; where it
-            // still votes, the leader drops the question.
+            // A replica that was removed while it was down still finds itself as a voter in its own
+            // log, but no other replica sends it messages, so it would wait for ever. It therefore
+            // asks to join again; if it still is a voter, the leader ignores that.
             bootstrap.join().await;
         }
         sleep(RETRY_DELAY).await;
@@ -72,29 +74,30 @@
 }
 
 enum ProbeResult {
-    /// Some founder belongs to a ledger.
+    /// At least one replica belongs to a ledger.
     Ledger,
-    /// All founders are there and empty.
+    /// All founders answer, and their disks are empty.
     Empty(BTreeMap<ReplicaId, Site>),
-    /// Some did not answer.
+    /// Some founders don't answer, or this replica may not found a ledger.
     Incomplete,
 }
 
 impl Bootstrap {
-    /// Whether it votes and the others have its right address.
+    /// Whether it is a voter whose address in the membership is the present one.
     fn is_listed_voter(&self) -> bool {
         self.replica.status.borrow().voter_addr == Some(self.own_addr())
     }
 
-    /// Failure: a replica comes back with its disk at another address. It hears the others, but
-    /// they call the old address, so its votes and acknowledgements are lost without a word. It
-    /// asks the leader to note the new address, as a new disk asks to be taken in.
+    /// Whether it has to ask the leader to join, or to record a new address.
+    ///
+    /// A replica that restarts with its disk at another address receives the others' messages, but
+    /// they connect to the old address, so its votes and acknowledgements are lost silently.
     fn should_register(&self) -> bool {
         let status = self.replica.status.borrow();
         status.needs_to_join || status.voter_addr.is_some()
     }
 
-    /// Where the others are to reach it: as the settings say, or as bound where they don't.
+    /// The address at which other replicas reach it: from the settings, otherwise the bound one.
     fn own_addr(&self) -> SocketAddr {
         let mut founders = self.cfg.founders.iter();
         let own = founders.find(|peer| peer.id == self.cfg.id && peer.addr.port() != 0);
@@ -131,10 +134,16 @@
         founders.filter(|peer| peer.id != self.cfg.id)
     }
 
-    /// Whom the settings have come to name beyond the founders.
+    /// Replicas that the settings have named since the start, beyond the founders.
     fn seeds(&self) -> Vec<SocketAddr> {
         let own = self.own_addr();
-        let mut seeds = self.replica.contacts.subscribe().borrow().seeds.clone();
+        let mut seeds = self
+            .replica
+            .peer_addresses
+            .subscribe()
+            .borrow()
+            .seeds
+            .clone();
         seeds.retain(|addr| *addr != own && self.others().all(|peer| peer.addr != *addr));
         seeds
     }
@@ -163,8 +172,9 @@
             }
         }
         let first = self.cfg.founders.iter().map(|peer| &peer.id).min();
-        // Who may found is fixed by the settings of the start: with two lists of founders there can be
-        // two first ones.
+        // The founder that may found is fixed by the settings at start: two different lists of
+        // founders could have two different first ones. So seeds are only probed for an existing
+        // ledger.
         for addr in self.seeds() {
             if hello(addr).await.is_some_and(|hello| hello.ledger != 0) {
                 return ProbeResult::Ledger;
@@ -182,11 +192,11 @@
             voters,
             learners: BTreeMap::new(),
         };
-        // Fails only when the node has ended.
+        // Fails only if the replica task has ended.
         let _ = self.replica.inbox.send(Input::Found(membership)).await;
     }
 
-    /// Asks whoever may lead to be taken in, or to note the address; that may be this replica.
+    /// Asks the leader, which may be this replica, to add this replica or to record its address.
     async fn join(&self) {
         let (id, site) = (self.id, self.site());
         let own = self
@@ -213,7 +223,7 @@
         for addr in named.chain(self.seeds()).chain(known) {
             match self.request_join(addr).await {
                 Some(PeerReply::Joining) => {
-                    self.replica.contacts.set_leader(addr);
+                    self.replica.peer_addresses.set_leader(addr);
                     return;
                 }
                 Some(PeerReply::NotLeader {
@@ -228,7 +238,7 @@
     }
 
     async fn join_at(&self, leader: SocketAddr) {
-        self.replica.contacts.set_leader(leader);
+        self.replica.peer_addresses.set_leader(leader);
         self.request_join(leader).await;
     }
 
--- a/crates/anvilreel/src/ledger_service/check.rs
+++ b/crates/anvilreel/src/ledger_service/check.rs
@@ -1,11 +1,11 @@
-//! What is checked before the log sees a command, and what the leader puts in.
+//! Validation of commands before they are appended to the log, and the leader's time in them.
 
 use std::time::SystemTime;
 
 use anvil_world::command::{Denial, Edit};
 use anvil_world::prelude::*;
 
-/// Refuses a change whose text is not a good document of its path.
+/// Refuses a change whose text is not a valid document for its path.
 pub fn validate(command: &Command) -> Option<Answer> {
     let Command::Change(change) = command else {
         return None;
@@ -18,7 +18,7 @@
     Some(Answer::Denied(Denial::Settings { message }))
 }
 
-/// Puts in when the leader took the command.
+/// Sets the time at which the leader accepted the command.
 pub fn set_time(command: &mut Command, now: SystemTime) {
     let at = match command {
         Command::Change(change) => &mut change.at,
--- a/crates/anvilreel/src/ledger_service/error.rs
+++ b/crates/anvilreel/src/ledger_service/error.rs
@@ -1,4 +1,4 @@
-//! Why a replica could not start, or has stopped.
+//! Errors that prevent a replica from starting, and faults that stop a running one.
 
 use anvil_ledger::core::CoreError;
 use anvil_ledger::machine::MachineError;
@@ -8,70 +8,70 @@
 
 use crate::metrics::MetricsError;
 
-/// A replica that could not start.
+/// The replica could not be started.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum ServiceError {
     /// The data folder can't be opened, or another process uses it.
-    #[snafu(display("data folder {data}: {source}"))]
+    #[snafu(display("data folder {data} could not be opened: {source}"))]
     Disk {
-        /// The folder.
+        /// Path of the folder.
         data: String,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
     /// The data folder can't be read back.
     #[snafu(display("{source}"))]
     Storage {
-        /// Why.
+        /// The cause.
         source: StorageError,
     },
     /// The snapshot can't be read.
     #[snafu(display("{source}"))]
     Machine {
-        /// Why.
+        /// The cause.
         source: MachineError,
     },
     /// The address can't be listened on.
     #[snafu(display("{source}"))]
     Listen {
-        /// Why.
+        /// The cause.
         source: WireError,
     },
     /// Metrics can't be sent.
     #[snafu(display("{source}"))]
     Metrics {
-        /// Why.
+        /// The cause.
         source: MetricsError,
     },
-    /// The disk's thread can't be started.
-    #[snafu(display("no thread for the disk: {source}"))]
+    /// The writer thread can't be started.
+    #[snafu(display("writer thread could not be started: {source}"))]
     Thread {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
 }
 
-/// Why a running replica has stopped for good.
+/// Fault that has stopped a running replica for good.
 #[derive(Debug, Snafu)]
 #[snafu(module(fault), visibility(pub(in crate::ledger_service)))]
 pub enum Fault {
     /// The disk is full, or a write or sync failed.
     #[snafu(display("{source}"))]
     Disk {
-        /// Why.
+        /// The cause.
         source: StorageError,
     },
-    /// An invariant of the log does not hold.
+    /// An invariant of the log is violated.
     #[snafu(display("{source}"))]
     Core {
-        /// Which.
+        /// The violated invariant.
         source: CoreError,
     },
-    /// An invariant of the state does not hold, or an entry can't be read.
+    /// An invariant of the state is violated, or an entry can't be decoded.
     #[snafu(display("{source}"))]
     Apply {
-        /// Which.
+        /// The cause.
         source: MachineError,
     },
 }
--- a/crates/anvilreel/src/ledger_service/follow.rs
+++ b/crates/anvilreel/src/ledger_service/follow.rs
@@ -1,4 +1,4 @@
-//! What followers are sent: all of it first, then what changed, only upwards.
+//! Events sent to followers: the full state first, then the changes. The version never decreases.
 
 use std::collections::BTreeSet;
 
@@ -7,24 +7,24 @@
 use anvil_wire::msg::{FollowEvent, FollowScope};
 use anvil_world::prelude::*;
 
-/// Who follows, and what it holds.
+/// A process that follows the ledger, and the version it holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Follower {
-    /// Its name.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// What it needs.
+    /// The part of the state that it needs.
     pub interest: FollowScope,
-    /// The newest version it holds, 0 for none.
+    /// The newest version that it holds, 0 for none.
     pub version: LogIndex,
 }
 
 impl Follower {
-    /// What brings this follower to the state's version; `None` while it holds that or a newer
-    /// one.
+    /// Returns the event that brings this follower to the state's version; `None` if it holds that
+    /// version or a newer one.
     ///
-    /// Failure: a follower moves to a replica that lags, is sent the older tree, and an accepted
-    /// change is taken back before its eyes. A lagging replica says nothing until it has caught
-    /// up.
+    /// A replica that lags behind the follower sends nothing until it has caught up. Otherwise a
+    /// follower that moves to such a replica would receive older documents, and a change that it
+    /// has already seen would be reverted.
     pub fn catch_up(&self, machine: &Machine) -> Option<FollowEvent> {
         let state = &machine.state;
         if state.version() <= self.version {
@@ -119,7 +119,7 @@
     }
 }
 
-/// The version an event leads to.
+/// The version that a follower holds after an event.
 pub fn version_of(event: &FollowEvent) -> LogIndex {
     match event {
         FollowEvent::Full { version, .. }
--- a/crates/anvilreel/src/ledger_service/grant_evidence.rs
+++ b/crates/anvilreel/src/ledger_service/grant_evidence.rs
@@ -1,9 +1,9 @@
-//! Evidence about fenced routers' grants, as the leader collects it.
+//! Evidence about fenced routers' grants, collected by the leader.
 //!
-//! Failure: a router dies with open grants, and the unspent rest is missed by the others. It goes
-//! back only by evidence: every sidecar life that may have charged the grant has said, after the
-//! fence was in force there, what it charged. A new leader starts without evidence; the sidecars
-//! send theirs again until the closing is committed.
+//! When a router is lost with open grants, their unspent rest is unavailable to the others. It is
+//! returned only by evidence: every sidecar incarnation that may have charged the grant has
+//! reported, after the fence was in force there, what it charged. A new leader starts without
+//! evidence; sidecars send theirs again until the closing of the grant is committed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,30 +13,30 @@
 
 use crate::money::GrantClosing;
 
-/// A life of a sidecar.
+/// An incarnation of a sidecar.
 type SidecarIncarnation = (InstanceId, Incarnation);
-/// A fenced router, up to this life.
+/// A fenced router, up to and including this incarnation.
 type FencedRouter = (InstanceId, Incarnation);
 
-/// A fenced grant that a lost sidecar may have charged.
+/// A fenced grant that can't be closed, because a lost sidecar may have charged it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldGrant {
     /// The grant.
     pub grant: GrantId,
-    /// A sidecar whose life was lost.
+    /// A sidecar of which an incarnation was lost.
     pub lost_sidecar: InstanceId,
 }
 
-/// What can be done about fenced grants now.
+/// Result of evaluating the fenced grants.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Findings {
-    /// Closings to propose.
+    /// Commands that close grants, to be proposed.
     pub close: Vec<Command>,
-    /// Grants that only an operator can give up; each is named once.
+    /// Grants that only an operator can write off; each is reported once.
     pub held: Vec<HeldGrant>,
 }
 
-/// The evidence that has come since the election.
+/// Evidence received since the election.
 #[derive(Debug, Clone, Default)]
 pub struct GrantEvidence {
     by_router: BTreeMap<FencedRouter, BTreeMap<SidecarIncarnation, ChargeEvidence>>,
@@ -44,8 +44,8 @@
 }
 
 impl GrantEvidence {
-    /// Takes a sidecar's evidence; returns what it need not send again: routers whose fenced
-    /// grants are all closed by committed entries.
+    /// Records a sidecar's evidence. Returns the routers whose fenced grants are all closed by
+    /// committed entries: the sidecar need not send evidence about them again.
     pub fn record(&mut self, heartbeat: &Heartbeat, machine: &Machine) -> Vec<FencedRouter> {
         let sidecar = &heartbeat.instance;
         let mut settled_routers = Vec::new();
@@ -62,17 +62,17 @@
         settled_routers
     }
 
-    /// Whether evidence has come for grants that are not closed yet.
+    /// Whether there is evidence about grants that are not closed yet.
     pub fn has_open_evidence(&self) -> bool {
         !self.by_router.is_empty()
     }
 
-    /// Looks which fenced grants can be closed.
+    /// Determines which fenced grants can be closed.
     pub fn evaluate(&mut self, machine: &Machine) -> Findings {
         let mut findings = Findings::default();
         let fenced: Vec<&Grant> = machine.state.fenced_grants().collect();
         self.discard_closed(&fenced, machine);
-        // One look at the evidence for each router, however many grants it had.
+        // The evidence about a router is collected once, however many grants it had.
         let mut closings: BTreeMap<&InstanceId, GrantClosing> = BTreeMap::new();
         for grant in fenced {
             if self.is_held(grant, machine, &mut findings) {
@@ -83,7 +83,8 @@
             if let Some(charged) = closing.charged(grant.id) {
                 findings.close.push(Command::CloseGrant {
                     grant: grant.id,
-                    // The router's own reports may say more: a sidecar forgets what was reported.
+                    // The router may itself have reported a greater charge: a sidecar forgets
+                    // charges that the router has reported.
                     charged: charged.max(grant.settled),
                 });
             }
@@ -129,7 +130,8 @@
     grants.any(|grant| grant.state == GrantState::Fenced && grant.incarnation <= *upto)
 }
 
-/// Lives that can still answer. Those that can't are in [`anvil_ledger::lost_incarnations`].
+/// Sidecar incarnations that can still report. Lost ones are in
+/// [`anvil_ledger::lost_incarnations`].
 fn reachable_sidecars(machine: &Machine) -> impl Iterator<Item = SidecarIncarnation> {
     let members = machine.state.members().values();
     let sidecars = members.filter(|m| m.instance.role == Role::Sidecar);
--- a/crates/anvilreel/src/ledger_service/handlers.rs
+++ b/crates/anvilreel/src/ledger_service/handlers.rs
@@ -1,4 +1,4 @@
-//! What a replica answers over the wire.
+//! Handlers of a replica's requests from clients and from other replicas.
 
 use std::time::Duration;
 
@@ -15,38 +15,39 @@
 use super::pending::ReplyTx;
 use super::replica_task::{Inbox, Input, ReplicaStatus};
 
-/// Time between two ticks of a follow stream on which nothing changes. A follower leaves after
-/// some of them have failed to come, so this bounds how long it believes a replica that is cut off.
+/// Interval of `Current` events on a follow stream without changes. A follower disconnects after
+/// several of them are missing, so this bounds for how long it trusts a replica that is cut off.
 const CURRENT_INTERVAL: Duration = Duration::from_millis(300);
-/// A replica that has nothing true to say for so long sends its followers away. Shorter than an
-/// election, and followers that all replicas send away would do nothing but come back.
+/// A replica that can't confirm its state for this long closes its follow streams, so that
+/// followers move to another one. With a limit shorter than an election, followers would be sent
+/// away by all replicas and only reconnect again and again.
 const MAX_SILENCE: Duration = Duration::from_millis(500);
-/// Changes within this time go to a follower as one.
+/// Changes within this time are sent to a follower as one event.
 const COALESCE_WINDOW: Duration = Duration::from_millis(20);
-/// Messages that wait for one replica.
+/// Messages queued for one replica.
 const MESSAGE_QUEUE_LEN: usize = 4_096;
-/// Messages sent as one.
+/// Maximum number of messages sent in one reply.
 const MAX_ENVELOPES_PER_REPLY: usize = 64;
-/// Bytes of a snapshot sent as one.
+/// Size of one chunk of a snapshot.
 const CHUNK_BYTES: usize = 1 << 20;
 
-/// What handlers need of the node.
+/// Access to the replica task for handlers and for the tasks that connect to other replicas.
 #[derive(Clone)]
 pub struct ReplicaHandle {
-    /// The way to it.
+    /// Input channel of the replica task.
     pub inbox: Inbox,
-    /// What everybody may know of it.
+    /// Status of the replica.
     pub status: watch::Receiver<ReplicaStatus>,
     /// Whether the process is ending.
     pub stopping: watch::Receiver<bool>,
-    /// Where others are, beyond what the log names.
-    pub contacts: Contacts,
+    /// Addresses of other replicas, beyond those in the log's membership.
+    pub peer_addresses: Contacts,
     /// The data folder.
     pub disk: anvil_ledger::storage::Disk,
 }
 
 impl ReplicaHandle {
-    /// Sends and waits for the answer; `None` when the node has ended.
+    /// Sends an input and waits for its answer; `None` if the replica task has ended.
     pub async fn request<T>(&self, input: impl FnOnce(oneshot::Sender<T>) -> Input) -> Option<T> {
         let (tx, rx) = oneshot::channel();
         self.inbox.send(input(tx)).await.ok()?;
@@ -59,7 +60,7 @@
 
     async fn stopped(&self) {
         let mut stopping = self.stopping.clone();
-        // An error means that the process has ended, too.
+        // An error means that the process has ended as well.
         let _ = stopping.wait_for(|stop| *stop).await;
     }
 }
@@ -105,11 +106,11 @@
             return;
         }
     };
-    // Fails only where the asker is gone.
+    // Fails only if the caller has disconnected.
     let _ = tx.finish(&reply).await;
 }
 
-/// Sends a follower what it lacks, now and whenever that changes.
+/// Sends a follower the changes that it lacks, until the stream ends.
 async fn follow(replica: &ReplicaHandle, mut follower: Follower, mut tx: ReplySender<LedgerReply>) {
     let mut status = replica.status.clone();
     let mut last_event_at = Instant::now();
@@ -125,8 +126,8 @@
                 () = replica.stopped() => return,
             }
         }
-        // Failure: a replica without a majority keeps its followers in silence while another one
-        // could tell them what has changed. The end of the stream sends them on at once.
+        // Without this limit, a replica without a majority would keep its followers waiting while
+        // another replica could send them newer changes. They move on as soon as the stream ends.
         if last_event_at.elapsed() >= MAX_SILENCE
             || !wait_for_change(replica, &mut status, &follower, &mut tx).await
         {
@@ -135,8 +136,8 @@
     }
 }
 
-/// What is new, or that nothing is. Nothing at all while out of touch or behind the follower:
-/// silence tells it to look elsewhere.
+/// The changes since the follower's version, or `Current` if there are none. Returns `None` while
+/// the replica is disconnected or behind the follower, so that the follower moves to another one.
 async fn next_event(
     replica: &ReplicaHandle,
     status: &watch::Receiver<ReplicaStatus>,
@@ -153,8 +154,8 @@
     current.then_some(FollowEvent::Current { version })
 }
 
-/// Waits for a newer version or for the next tick; false when the follower or the process is
-/// leaving.
+/// Waits for a newer version or for the next `Current` event; false if the follower has
+/// disconnected or the process is stopping.
 async fn wait_for_change(
     replica: &ReplicaHandle,
     status: &mut watch::Receiver<ReplicaStatus>,
@@ -164,7 +165,7 @@
     let newer = async {
         let newer_status =
             status.wait_for(|current_status| current_status.version > follower.version);
-        // An error means that the node has ended; the process follows.
+        // An error means that the replica task has ended; the process ends soon after.
         let ended = newer_status.await.is_err();
         sleep(if ended {
             CURRENT_INTERVAL
@@ -176,7 +177,7 @@
     tokio::select! {
         () = tx.cancelled() => false,
         () = replica.stopped() => false,
-        // Either way there is something to say.
+        // The caller sends an event after a timeout, too.
         _ = timeout(CURRENT_INTERVAL, newer) => true,
     }
 }
@@ -209,14 +210,20 @@
             return;
         }
     };
-    // Fails only where the asker is gone.
+    // Fails only if the caller has disconnected.
     let _ = tx.send(&reply.unwrap_or(PeerReply::Nothing)).await;
 }
 
-/// Sends a replica what the core has to tell it, in order, many at once where many wait.
+/// Sends another replica the core's messages to it, in order, several in one reply if several are
+/// queued.
 async fn send_messages(replica: &ReplicaHandle, id: ReplicaId, mut tx: ReplySender<PeerReply>) {
     let (queue, mut rx) = mpsc::channel(MESSAGE_QUEUE_LEN);
-    if replica.inbox.send(Input::Listen(id, queue)).await.is_err() {
+    if replica
+        .inbox
+        .send(Input::Subscribe(id, queue))
+        .await
+        .is_err()
+    {
         return;
     }
     let mut envelopes: Vec<Envelope> = Vec::new();
@@ -239,12 +246,12 @@
     }
 }
 
-/// Sends the newest snapshot.
+/// Sends the newest snapshot in chunks.
 async fn send_snapshot(replica: &ReplicaHandle, mut tx: ReplySender<PeerReply>) {
     let disk = replica.disk.clone();
     let loaded = tokio::task::spawn_blocking(move || snapshot::load(&disk)).await;
     let Ok(Ok(Some(snapshot))) = loaded else {
-        // Fails only where the asker is gone; so do the sends below.
+        // Fails only if the caller has disconnected; the same holds for the sends below.
         let _ = tx.send(&PeerReply::Nothing).await;
         return;
     };
--- a/crates/anvilreel/src/ledger_service/heartbeats.rs
+++ b/crates/anvilreel/src/ledger_service/heartbeats.rs
@@ -1,12 +1,14 @@
-//! Signs of life, as the leader keeps them in memory.
+//! Heartbeats of instances, which the leader keeps in memory.
 //!
-//! Failure: a process dies or is cut off without a word; work goes on being sent to it, and its
-//! grants stay open. After a short silence the leader marks it silent, which keeps new work away;
-//! it comes back by its next sign of life. Only after a silence longer than a router may serve out
-//! of touch is it declared gone, which ends its life and fences its grants: fenced any earlier, a
-//! router behind a partition would be refused by the sidecars it still reaches, with money in its
-//! grants. A new leader has heard nobody yet, so it counts the time from its election; nobody is
-//! declared gone because the leader changed.
+//! An instance that crashes or is cut off must not get new work for long, and its grants must not
+//! stay open for ever. When its heartbeats stop, the leader first sets its presence to `Silent`,
+//! which stops new work; the next heartbeat sets it back to `Live`. Only when they stop for longer
+//! than a router may serve without the ledger is the instance declared gone, which ends its
+//! incarnation and fences its grants. Fenced any earlier, a router behind a partition would be
+//! refused by sidecars that it still reaches, although it has tokens in its grants.
+//!
+//! A new leader has received no heartbeats yet, so it measures from its election: an election alone
+//! makes no instance be declared gone.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,7 +18,7 @@
 use anvil_world::command::{Join, SetPresence};
 use anvil_world::prelude::*;
 
-/// The last sign of life of one instance.
+/// The last heartbeat of one instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct LastHeartbeat {
     at: Duration,
@@ -24,33 +26,34 @@
     version: LogIndex,
 }
 
-/// How long a silence may last.
+/// Time without a heartbeat after which an instance's presence changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PresenceTimeouts {
-    /// Before the instance gets no new work.
+    /// After this time the instance gets no new work.
     pub silent: Duration,
-    /// Before its life is over. Longer than a router serves out of touch.
+    /// After this time the instance is declared gone. Longer than a router may serve without the
+    /// ledger.
     pub gone: Duration,
 }
 
-/// What a leader has heard since it was elected.
+/// Heartbeats received since this replica was elected.
 #[derive(Debug, Clone, Default)]
 pub struct HeartbeatTracker {
     since: Duration,
     last_by_instance: BTreeMap<InstanceId, LastHeartbeat>,
 }
 
-/// What is to be done about a heartbeat.
+/// What a heartbeat requires.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HeartbeatAction {
-    /// Nothing; it is held to be this.
+    /// No change; the instance's presence is this.
     Known(Presence),
-    /// Propose this first.
+    /// This command has to be proposed first.
     Propose(Command),
 }
 
 impl HeartbeatTracker {
-    /// Starts anew after an election.
+    /// Starts empty at an election.
     pub fn since_election(now: Duration) -> Self {
         Self {
             since: now,
@@ -58,7 +61,7 @@
         }
     }
 
-    /// Takes a heartbeat.
+    /// Records a heartbeat.
     pub fn record(
         &mut self,
         now: Duration,
@@ -67,9 +70,9 @@
     ) -> HeartbeatAction {
         let instance = &heartbeat.instance;
         let Some(member) = machine.state.members().get(&instance.id) else {
-            // Failure: the join is applied before the next heartbeat comes, and an instance that
-            // joins long after the election looks as if it had been silent since then. It would
-            // be declared gone a moment after it came. This sign counts for the new life.
+            // The heartbeat is stored for the incarnation that joins. Otherwise an instance that
+            // joins long after the election would seem to have sent none since then, and would be
+            // declared gone before its next heartbeat.
             self.store(now, heartbeat);
             return HeartbeatAction::Propose(join(instance));
         };
@@ -110,7 +113,7 @@
             .insert(instance.id.clone(), last_heartbeat);
     }
 
-    /// Instances that have been silent for too long, and what that makes of them.
+    /// Commands for the instances whose heartbeats have stopped for too long.
     pub fn presence_changes(
         &self,
         now: Duration,
@@ -139,7 +142,7 @@
             .filter(|last_heartbeat| last_heartbeat.incarnation == member.instance.incarnation)
     }
 
-    /// How far a version has spread.
+    /// The instances that have and that have not reached a version.
     pub fn version_rollout(
         &self,
         version: LogIndex,
@@ -164,7 +167,7 @@
     }
 }
 
-/// What a silence makes of an instance; nothing when it stays what it is.
+/// The presence after this time without a heartbeat; `None` if it doesn't change.
 fn presence_after(
     known: Presence,
     elapsed: Duration,
@@ -173,7 +176,7 @@
     match known {
         Presence::Live | Presence::Silent if elapsed >= timeouts.gone => Some(Presence::Gone),
         Presence::Live if elapsed >= timeouts.silent => Some(Presence::Silent),
-        // It said that it would go, so its silence means that it has.
+        // It announced a planned stop, so it has stopped.
         Presence::Leaving if elapsed >= timeouts.silent => Some(Presence::Gone),
         _ => None,
     }
--- a/crates/anvilreel/src/ledger_service/links.rs
+++ b/crates/anvilreel/src/ledger_service/links.rs
@@ -1,7 +1,7 @@
-//! Links to other replicas: this one listens to what they have to say.
+//! Links to other replicas, over which this one receives their messages.
 //!
-//! Each replica opens one stream to every other and is sent messages on it, so that they come in
-//! order and each costs a few bytes of framing only.
+//! Each replica opens one stream to every other one and receives messages on it, so that they
+//! arrive in order and each costs only a few bytes of framing.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -21,16 +21,16 @@
 use super::replica_task::Input;
 use crate::event;
 
-/// Pause before a lost link is tried again.
+/// Pause before a lost link is opened again.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// A link that says nothing for this long is opened anew. A leader beats several times a second,
-/// but two followers have nothing to say to each other.
+/// A link without messages for this long is opened again. A leader sends several heartbeats a
+/// second, but two followers have no messages for each other.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest time for a whole snapshot.
+/// Timeout for fetching a whole snapshot.
 const FETCH_TIMEOUT: Duration = Duration::from_mins(2);
 
 /// Keeps a link to every replica that the settings or the log name, and to the leader that this
-/// replica has asked to be taken in.
+/// replica has asked to join.
 pub async fn run(
     replica: ReplicaHandle,
     id: ReplicaId,
@@ -39,10 +39,10 @@
     log: Logger,
 ) {
     let mut known = BTreeSet::new();
-    // Dropped with this task, it ends the links.
+    // Dropping this set, when the task ends, ends the links.
     let mut links = JoinSet::new();
     let mut status = replica.status.clone();
-    let mut learned = replica.contacts.subscribe();
+    let mut learned = replica.peer_addresses.subscribe();
     loop {
         let named = cfg.founders.iter().filter(|peer| peer.id != cfg.id);
         let mut wanted: Vec<_> = named.map(|peer| peer.addr).collect();
@@ -76,7 +76,7 @@
                 };
                 if replica
                     .inbox
-                    .send(Input::Envelopes(envelopes))
+                    .send(Input::Messages(envelopes))
                     .await
                     .is_err()
                 {
@@ -88,7 +88,7 @@
     }
 }
 
-/// Logs when a link comes up or is lost, and nothing while it stays as it is.
+/// Logs when a link comes up or is lost, and nothing while its state is unchanged.
 fn log_change(log: &Logger, addr: SocketAddr, up: &mut bool, failure: Option<&WireError>) {
     match failure {
         None if !*up => event!(log, events::LEDGER_LINK_UP, "addr" => addr.to_string()),
@@ -101,7 +101,7 @@
     *up = failure.is_none();
 }
 
-/// Fetches a replica's newest snapshot whole.
+/// Fetches a replica's newest snapshot.
 pub async fn fetch(addr: SocketAddr) -> Option<(SnapshotMeta, Bytes)> {
     timeout(FETCH_TIMEOUT, fetch_snapshot(addr))
         .await
--- a/crates/anvilreel/src/ledger_service/peer.rs
+++ b/crates/anvilreel/src/ledger_service/peer.rs
@@ -1,4 +1,4 @@
-//! What replicas ask of each other.
+//! Requests between replicas.
 
 use anvil_ledger::core::{Envelope, LedgerId, ReplicaId, Site, SnapshotMeta};
 use anvil_wire::Call;
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Exchange between replicas.
+/// A call from one replica to another.
 pub struct PeerCall;
 
 impl Call for PeerCall {
@@ -16,60 +16,60 @@
     type Resp = PeerReply;
 }
 
-/// What one replica asks of another.
+/// Request from one replica to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Who are you? Reply: `Hello`.
+    /// Requests the replica's identity. Reply: `Hello`.
     Hello,
-    /// Send me what you have to tell me, as it comes. Replies: `Envelope`s, until dropped.
+    /// Subscribes to the replica's messages. Replies: `Envelopes`, until the call is dropped.
     Listen {
-        /// The asker's disk.
+        /// Identifier of the caller's disk.
         id: ReplicaId,
     },
-    /// Take me in as a learner. Reply: `Joining` or `NotLeader`.
+    /// Asks to be added as a learner. Reply: `Joining` or `NotLeader`.
     Join {
-        /// The asker's disk.
+        /// Identifier of the caller's disk.
         id: ReplicaId,
-        /// Where it runs.
+        /// The caller's instance and address.
         site: Site,
     },
-    /// Take this instance's replica out for good. Reply: `Removing` or `NotLeader`.
+    /// Removes this instance's replica for good. Reply: `Removing` or `NotLeader`.
     Remove(InstanceId),
-    /// Your newest snapshot, please. Replies: `Snapshot`, then `Chunk`s.
+    /// Requests the newest snapshot. Replies: `Snapshot`, then `Chunk`s.
     Fetch,
 }
 
-/// Who a replica is.
+/// Identity of a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Its disk.
+    /// Identifier of its disk.
     pub id: ReplicaId,
     /// Its instance.
     pub instance: InstanceId,
-    /// The ledger it belongs to, 0 for none: its disk is empty.
+    /// The ledger it belongs to; 0 if its disk is empty.
     pub ledger: LedgerId,
 }
 
-/// What a replica answers another.
+/// Reply of a replica to another one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// Who it is.
+    /// Identity of the replica.
     Hello(Hello),
     /// Messages of the core, in order.
     Envelopes(Vec<Envelope>),
-    /// The leader will take the asker in.
+    /// The leader will add the caller.
     Joining,
-    /// The leader will take the instance out as soon as that is safe.
+    /// The leader will remove the instance as soon as that is safe.
     Removing,
-    /// Another one leads.
+    /// Another replica leads.
     NotLeader {
-        /// Its address, where known.
+        /// The leader's address, if known.
         leader: Option<SocketAddr>,
     },
-    /// What the chunks that follow stand for.
+    /// Position and membership of the snapshot whose chunks follow.
     Snapshot(SnapshotMeta),
-    /// A part of the state.
+    /// Part of the snapshot's data.
     Chunk(Bytes),
-    /// There is no snapshot, or the disk has failed.
+    /// There is no readable snapshot, or the replica task has ended.
     Nothing,
 }
--- a/crates/anvilreel/src/ledger_service/peer_addresses.rs
+++ b/crates/anvilreel/src/ledger_service/peer_addresses.rs
@@ -1,43 +1,42 @@
-//! Where other replicas are, beyond what this one's own log names.
+//! Addresses of other replicas, beyond those in this replica's own log.
 
 use std::net::SocketAddr;
 
 use tokio::sync::watch;
 
-/// Addresses of other replicas that a replica is told while it runs. Cheap to clone; all clones say
-/// the same.
+/// Addresses of other replicas that a replica learns while it runs. Clones share the same state.
 ///
-/// Failure: a replica with a new disk hears only those whom its settings name, because its log is
-/// empty. A leader that isn't among them takes it in as a learner and never reaches it; or none of them
-/// is there any more, and nobody takes it in. Either way it doesn't vote, and the next loss leaves the
-/// ledger without a majority. So it listens to the leader that it was directed to, wherever that is,
-/// and asks those, too, whom its settings have come to name.
+/// The log of a replica with a new disk is empty, so it would connect only to the replicas in its
+/// settings. A leader that is not among them would add it as a learner and never receive its
+/// answers, or none of the named replicas would exist any more and it could not join at all. Either
+/// way it would not vote, and the next loss would leave the ledger without a majority. So it also
+/// connects to the leader that it was referred to, and asks the seeds that its settings name later.
 #[derive(Clone, Default)]
 pub struct Contacts {
     learned: watch::Sender<LearnedAddresses>,
 }
 
-/// What a replica was told of others.
+/// Addresses learned while the replica runs.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LearnedAddresses {
-    /// Whom its settings name now, beyond the founders.
+    /// Replicas that the settings name now, beyond the founders.
     pub seeds: Vec<SocketAddr>,
-    /// Where the leader is, as it or another replica said.
+    /// The leader's address, as it or another replica reported it.
     pub leader: Option<SocketAddr>,
 }
 
 impl Contacts {
-    /// Takes other seeds, as the settings name them now.
+    /// Replaces the seeds by those that the settings name now.
     pub fn set_seeds(&self, seeds: &[SocketAddr]) {
         self.change(|learned| seeds.clone_into(&mut learned.seeds));
     }
 
-    /// Notes where the leader is.
+    /// Records the leader's address.
     pub fn set_leader(&self, addr: SocketAddr) {
         self.change(|learned| learned.leader = Some(addr));
     }
 
-    /// What was told, and each change of it.
+    /// The learned addresses and their changes.
     pub fn subscribe(&self) -> watch::Receiver<LearnedAddresses> {
         self.learned.subscribe()
     }
--- a/crates/anvilreel/src/ledger_service/pending.rs
+++ b/crates/anvilreel/src/ledger_service/pending.rs
@@ -1,4 +1,4 @@
-//! Who waits for what.
+//! Proposals and reads in flight, with the channels on which they are answered.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 use anvil_world::prelude::*;
 use tokio::sync::oneshot;
 
-/// The way back to whoever asked.
+/// Channel on which a request is answered.
 pub type ReplyTx = oneshot::Sender<LedgerReply>;
 
-/// Proposals and reads under way.
+/// Proposals and reads in flight.
 #[derive(Default)]
 pub struct Pending {
     last_id: RequestId,
@@ -20,28 +20,28 @@
 }
 
 impl Pending {
-    /// Keeps whoever proposed and gives the proposal a number.
+    /// Registers a proposal and returns its identifier.
     pub fn propose(&mut self, reply: ReplyTx) -> RequestId {
         self.last_id += 1;
         self.proposed.insert(self.last_id, reply);
         self.last_id
     }
 
-    /// Keeps whoever reads and gives the read a number.
+    /// Registers a read and returns its identifier.
     pub fn read(&mut self, query: Query, reply: ReplyTx) -> RequestId {
         self.last_id += 1;
         self.reads.insert(self.last_id, (query, reply));
         self.last_id
     }
 
-    /// A proposal stands in the log.
+    /// Records the log position of an accepted proposal.
     pub fn accept(&mut self, id: RequestId, entry: EntryId) {
         if let Some(reply) = self.proposed.remove(&id) {
             self.accepted.insert(entry.index, (entry.term, reply));
         }
     }
 
-    /// An entry was applied.
+    /// Answers the proposal whose entry was applied.
     pub fn applied(&mut self, entry: EntryId, answer: Answer) {
         let Some((term, reply)) = self.accepted.remove(&entry.index) else {
             return;
@@ -52,18 +52,18 @@
                 answer,
             }
         } else {
-            // Another entry was committed in its place, so it never will be.
+            // Another entry was committed at its position, so this one never will be.
             LedgerReply::NotLeader { leader: None }
         };
         send_reply(reply, value);
     }
 
-    /// A read may be answered.
+    /// Removes and returns a confirmed read.
     pub fn confirmed(&mut self, id: RequestId) -> Option<(Query, ReplyTx)> {
         self.reads.remove(&id)
     }
 
-    /// A proposal or read was not taken.
+    /// Answers a proposal or read that the core refused.
     pub fn refused(&mut self, id: RequestId, reply: &LedgerReply) {
         let proposed = self.proposed.remove(&id);
         let read = self.reads.remove(&id).map(|(_, reply)| reply);
@@ -72,14 +72,14 @@
         }
     }
 
-    /// What stands in the log is in doubt.
+    /// Answers all proposals in the log: whether they will be committed is unknown.
     pub fn deposed(&mut self) {
         for (_, reply) in std::mem::take(&mut self.accepted).into_values() {
             send_reply(reply, LedgerReply::InDoubt);
         }
     }
 
-    /// The replica has stopped: nothing more will be answered.
+    /// Answers all requests when the replica stops for good.
     pub fn stopped(&mut self) {
         self.deposed();
         for reply in std::mem::take(&mut self.proposed).into_values() {
@@ -91,8 +91,8 @@
     }
 }
 
-/// Answers whoever asked.
+/// Answers a request.
 pub fn send_reply(reply: ReplyTx, value: LedgerReply) {
-    // Fails only where the asker is gone.
+    // Fails only if the caller has disconnected.
     let _ = reply.send(value);
 }
--- a/crates/anvilreel/src/ledger_service/queries.rs
+++ b/crates/anvilreel/src/ledger_service/queries.rs
@@ -1,4 +1,4 @@
-//! Answers to reads, out of the applied state.
+//! Answers to reads, from the applied state.
 
 use std::time::Duration;
 
@@ -10,20 +10,20 @@
 
 use super::heartbeats::HeartbeatTracker;
 
-/// Most budgets in one answer.
+/// Maximum number of budgets in one answer.
 const MAX_BUDGETS: u32 = 10_000;
-/// Most lines of the audit trail in one answer.
+/// Maximum number of audit entries in one answer.
 const MAX_AUDIT: u32 = 10_000;
 
-/// What a read looks at.
+/// State that reads are answered from.
 pub struct QueryContext<'a> {
-    /// Who answers.
+    /// The answering instance.
     pub instance: &'a InstanceId,
-    /// The log.
+    /// Core of the replica.
     pub replica: &'a Replica,
     /// The applied state.
     pub machine: &'a Machine,
-    /// Who was heard of.
+    /// Heartbeats received by the leader.
     pub heartbeats: &'a HeartbeatTracker,
     /// Time since the process started.
     pub now: Duration,
@@ -103,8 +103,8 @@
     }
 }
 
-fn bounded_count(asked: u32, max: u32) -> usize {
-    usize::try_from(asked.min(max)).unwrap_or(usize::MAX)
+fn bounded_count(requested: u32, max: u32) -> usize {
+    usize::try_from(requested.min(max)).unwrap_or(usize::MAX)
 }
 
 fn budget_view(id: &BudgetId, budget: &Budget) -> BudgetView {
--- a/crates/anvilreel/src/ledger_service/removal.rs
+++ b/crates/anvilreel/src/ledger_service/removal.rs
@@ -1,4 +1,4 @@
-//! How an operator takes a replica out of the ledger for good.
+//! Permanent removal of a replica from the ledger by an operator.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,18 +9,18 @@
 
 use super::peer::{PeerCall, PeerReply, PeerRequest};
 
-/// Longest wait for one replica's answer.
+/// Timeout of a request to one replica.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// No leader took the request; nothing was done.
+/// No leader accepted the request; nothing was done.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("no leader of the ledger could be reached; nothing was done"))]
 pub struct NoLeader;
 
-/// Asks the leader to take an instance's replica out, learner or voter.
+/// Asks the leader to remove an instance's replica, learner or voter.
 ///
-/// The leader does it as soon as that is safe, so success means that it has begun; read the
-/// ledger's status for the outcome. Asking again changes nothing.
+/// The leader removes it as soon as that is safe, so success means that the removal has begun; the
+/// ledger's status shows the outcome. The request is idempotent.
 pub async fn remove(replicas: &[SocketAddr], instance: &InstanceId) -> Result<(), NoLeader> {
     let req = PeerRequest::Remove(instance.clone());
     for addr in replicas {
--- a/crates/anvilreel/src/ledger_service/replica_task.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task.rs
@@ -1,4 +1,6 @@
-//! The task that owns a replica: it feeds the core and carries out what the core wants.
+//! The task that owns a replica. It feeds inputs to the core, carries out the core's actions, and
+//! applies committed entries to the state machine. All inputs arrive over one channel, so that the
+//! replica needs no locks.
 
 mod disk;
 mod leader_checks;
@@ -36,69 +38,70 @@
 use outbox::Outbox;
 pub use status::ReplicaStatus;
 
-/// How often the core is told that time has passed.
+/// Interval of the core's `Tick` events.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Events taken at once, so that many proposals share one write.
+/// Maximum number of inputs handled at once; proposals among them share one write.
 const MAX_BATCH: usize = 1_024;
 
-/// The way to the node.
+/// Sending half of the replica task's input channel.
 pub type Inbox = mpsc::Sender<Input>;
 
-/// What a node is asked and told.
+/// Input of the replica task.
 pub enum Input {
-    /// A command for the log.
+    /// Appends a command to the log.
     Propose(Box<Command>, ReplyTx),
-    /// A read.
+    /// A linearizable read.
     Query(Query, ReplyTx),
-    /// A sign of life.
+    /// Heartbeat of an instance.
     Heartbeat(Box<Heartbeat>, ReplyTx),
-    /// What would bring this follower up to date?
+    /// Requests the event that brings this follower up to date.
     CatchUp(Follower, oneshot::Sender<Option<FollowEvent>>),
-    /// Who are you?
+    /// Requests the identity of this replica.
     Hello(oneshot::Sender<Hello>),
-    /// A replica listens for what this one has to say.
-    Listen(ReplicaId, mpsc::Sender<Envelope>),
-    /// Another replica said this.
-    Envelopes(Vec<Envelope>),
-    /// A replica wants to be taken in; answered with the leader's address when this isn't it.
+    /// Registers the queue for messages to another replica.
+    Subscribe(ReplicaId, mpsc::Sender<Envelope>),
+    /// Messages from another replica.
+    Messages(Vec<Envelope>),
+    /// Adds a replica to the ledger; answered with the leader's address if this replica doesn't
+    /// lead.
     Join(
         ReplicaId,
         Site,
         oneshot::Sender<Result<(), Option<SocketAddr>>>,
     ),
-    /// An operator takes an instance out; answered as `Join`.
+    /// Removes an instance's replica at an operator's request; answered like `Join`.
     Remove(InstanceId, oneshot::Sender<Result<(), Option<SocketAddr>>>),
-    /// Begin a ledger.
+    /// Founds a new ledger.
     Found(Membership),
-    /// The disk's thread has done something.
-    Disk(Report),
-    /// A snapshot of this replica is prepared.
-    Prepared(SnapshotMeta),
-    /// A snapshot of another replica has come; `None` when it could not be fetched.
-    Fetched(Option<(SnapshotMeta, Bytes)>),
-    /// A write outside the disk's thread failed.
+    /// Report from the writer thread.
+    DiskReport(Report),
+    /// A snapshot of this replica has been written and can be published.
+    SnapshotPrepared(SnapshotMeta),
+    /// A snapshot was fetched from another replica; `None` if that failed.
+    SnapshotFetched(Option<(SnapshotMeta, Bytes)>),
+    /// A write outside the writer thread failed.
     Failed(Fault),
 }
 
-/// What a node is made of.
+/// Parameters of a replica task.
 pub struct Setup {
-    /// The disk's number.
+    /// Identifier of the disk.
     pub id: ReplicaId,
     /// Name of the instance.
     pub instance: InstanceId,
     /// The data folder.
     pub disk: Disk,
-    /// The disk's thread.
+    /// The writer thread.
     pub writer: Writer,
-    /// What an operator need not set.
+    /// Parameters with defaults.
     pub tuning: Tuning,
-    /// Where log lines go.
+    /// Logger.
     pub log: Logger,
-    /// Where metrics go.
+    /// Destination of metrics.
     pub metrics: Metrics,
 }
 
-/// The task's state.
+/// State of the replica task.
 pub struct ReplicaTask {
     setup: Setup,
     started_at: Instant,
@@ -113,19 +116,19 @@
     snapshot_index: LogIndex,
     /// Bytes of entries applied since the last snapshot.
     bytes_since_snapshot: u64,
-    /// Writes a snapshot at this moment.
+    /// The running task that writes a snapshot.
     snapshot_task: Option<JoinHandle<()>>,
     next_check: Duration,
     next_gauges: Duration,
-    /// Learners of which it was said that they answer nothing.
+    /// Unresponsive learners that have been logged.
     logged_learners: BTreeSet<ReplicaId>,
-    /// The version at which fenced grants were last looked through; 0 at an election.
+    /// State version at which fenced grants were last evaluated; reset to 0 at an election.
     checked_version: LogIndex,
     stopped: bool,
 }
 
 impl ReplicaTask {
-    /// A node over what the data folder holds.
+    /// Creates the task from the contents of the data folder.
     pub fn new(
         setup: Setup,
         recovered: Recovered,
@@ -170,7 +173,7 @@
         Ok((task, status_rx))
     }
 
-    /// Runs until told to stop; gives back the disk's thread, which still has to finish.
+    /// Runs until it is stopped; returns the writer thread, which still has to finish its jobs.
     pub async fn run(
         mut self,
         mut rx: mpsc::Receiver<Input>,
@@ -199,10 +202,10 @@
         self.finish().await
     }
 
-    /// Ends once nothing of it uses the data folder but the disk's thread.
+    /// Ends the task once only the writer thread still uses the data folder.
     ///
-    /// Failure: a replica is stopped while its snapshot is being written, and is started again in the
-    /// same process. It finds the folder locked, by itself, and does not start.
+    /// Otherwise a replica that is stopped while its snapshot is being written and started again in
+    /// the same process would find the folder locked by itself and would not start.
     async fn finish(self) -> Writer {
         if let Some(snapshot_task) = self.snapshot_task {
             // A panic in it was printed when it happened.
@@ -221,7 +224,7 @@
         self.send_gauges();
     }
 
-    /// Takes what has gathered; proposals that stand together share one write.
+    /// Handles queued inputs; consecutive proposals share one write.
     fn handle_inputs(&mut self, inputs: impl Iterator<Item = Input>) {
         let mut proposals = Vec::new();
         for input in inputs {
@@ -241,31 +244,32 @@
             Input::Query(query, reply) => self.read(query, reply),
             Input::Heartbeat(heartbeat, reply) => self.heartbeat(&heartbeat, reply),
             Input::CatchUp(follower, reply) => {
-                // Fails only where the follower is gone; so do the answers below.
+                // Fails only if the follower has disconnected; the same holds for the replies
+                // below.
                 let _ = reply.send(follower.catch_up(&self.machine));
             }
             Input::Hello(reply) => {
                 let _ = reply.send(self.hello());
             }
-            Input::Listen(id, tx) => self.outbox.open(id, tx),
-            Input::Envelopes(envelopes) => {
+            Input::Subscribe(id, tx) => self.outbox.open(id, tx),
+            Input::Messages(envelopes) => {
                 for envelope in envelopes {
                     self.feed(Event::Message(envelope));
                 }
             }
             Input::Join(id, site, reply) => {
-                let _ = reply.send(self.at_leader(Event::Join { id, site }));
+                let _ = reply.send(self.feed_if_leader(Event::Join { id, site }));
             }
             Input::Remove(instance, reply) => {
-                let _ = reply.send(self.at_leader(Event::Remove(instance)));
+                let _ = reply.send(self.feed_if_leader(Event::Remove(instance)));
             }
             Input::Found(membership) => {
                 event!(self.setup.log, events::LEDGER_FOUNDED);
                 self.feed(Event::Found(membership));
             }
-            Input::Disk(report) => self.disk_reported(report),
-            Input::Prepared(meta) => self.prepared(meta),
-            Input::Fetched(fetched) => self.fetched(fetched),
+            Input::DiskReport(report) => self.disk_reported(report),
+            Input::SnapshotPrepared(meta) => self.prepared(meta),
+            Input::SnapshotFetched(fetched) => self.fetched(fetched),
             Input::Failed(fault) => self.fail(&fault),
         }
     }
@@ -278,8 +282,8 @@
         }
     }
 
-    /// Feeds the core when this replica leads, or says who does.
-    fn at_leader(&mut self, event: Event) -> Result<(), Option<SocketAddr>> {
+    /// Feeds the core if this replica leads; otherwise returns the leader's address.
+    fn feed_if_leader(&mut self, event: Event) -> Result<(), Option<SocketAddr>> {
         if !self.replica.leads() {
             return Err(self.leader_addr());
         }
@@ -293,7 +297,7 @@
         Some(site.addr)
     }
 
-    /// Feeds the core and does what it wants.
+    /// Feeds the core and performs its actions.
     pub(super) fn feed(&mut self, event: Event) {
         if self.stopped {
             return;
@@ -302,7 +306,7 @@
         let actions = self.replica.handle(self.started_at.elapsed(), event);
         for action in actions {
             if self.stopped {
-                // An invariant failed in the action before; what follows rests on it.
+                // An invariant was violated in the previous action, and the next ones rely on it.
                 return;
             }
             self.perform(action);
@@ -348,7 +352,7 @@
         }
     }
 
-    /// The replica does nothing any more, and says so to everyone who asks.
+    /// Stops the replica for good; every later request is answered with `Stopped`.
     fn fail(&mut self, fault: &Fault) {
         if self.stopped {
             return;
--- a/crates/anvilreel/src/ledger_service/replica_task/disk.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task/disk.rs
@@ -1,4 +1,4 @@
-//! What the node has its disk do: writes, snapshots, fetched snapshots.
+//! Disk work of the replica task: log writes, applying entries, its own snapshots and fetched ones.
 
 use anvil_ledger::core::{Entry, Event, Payload, ReplicaId, SnapshotMeta, Write, WriteSeq};
 use anvil_ledger::machine::Machine;
@@ -25,7 +25,7 @@
     }
 
     fn submit(&mut self, job: Job) {
-        // When the thread has ended, its report of the failure is on the way.
+        // Fails only if the writer thread has ended; its failure report is already queued.
         let _ = self.setup.writer.submit(job);
     }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Applies committed entries and answers whoever proposed them.
+    /// Applies committed entries and answers their proposers.
     pub(super) fn apply(&mut self, entries: &[Entry]) {
         for entry in entries {
             if let Payload::Data(data) = &entry.payload {
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Writes a snapshot off this task: the log goes on meanwhile.
+    /// Starts writing a snapshot in a blocking task when one is due, so that the log is not
+    /// delayed.
     fn snapshot_if_due(&mut self) {
         let applied = self.machine.state.applied();
         let tuning = &self.setup.tuning;
@@ -88,10 +89,10 @@
         let inbox = self.inbox.clone();
         self.snapshot_task = Some(tokio::task::spawn_blocking(move || {
             let input = match prepare(&machine, &disk, &meta) {
-                Ok(()) => Input::Prepared(meta),
+                Ok(()) => Input::SnapshotPrepared(meta),
                 Err(fault) => Input::Failed(fault),
             };
-            // Fails only when the node has ended.
+            // Fails only if the replica task has ended.
             let _ = inbox.blocking_send(input);
         }));
     }
@@ -109,8 +110,8 @@
                 Some(site) => links::fetch(site.addr).await,
                 None => None,
             };
-            // Fails only when the node has ended.
-            let _ = inbox.send(Input::Fetched(fetched)).await;
+            // Fails only if the replica task has ended.
+            let _ = inbox.send(Input::SnapshotFetched(fetched)).await;
         });
     }
 
--- a/crates/anvilreel/src/ledger_service/replica_task/leader_checks.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task/leader_checks.rs
@@ -1,4 +1,5 @@
-//! What the leader does for the fleet: signs of life, lost instances, fenced grants.
+//! The leader's work for the fleet: heartbeats, lost replicas, unresponsive instances and fenced
+//! grants.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,9 +17,10 @@
 use crate::ledger_service::heartbeats::{HeartbeatAction, PresenceTimeouts};
 use crate::ledger_service::pending::{ReplyTx, send_reply};
 
-/// How often the leader looks for silent instances and for grants to close.
+/// Interval of the checks for unresponsive instances and for fenced grants that can be closed.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// A learner that connects answers within tenths of a second.
+/// Time after which a learner counts as unresponsive. One that connects answers within some tenths
+/// of a second.
 const LEARNER_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl ReplicaTask {
@@ -51,7 +53,8 @@
         }
     }
 
-    /// Proposes what the heartbeat asks for, and answers once that is applied.
+    /// Proposes the command that a heartbeat requires, and answers the heartbeat once it is
+    /// applied.
     fn propose_for_heartbeat(&mut self, command: Command, reply: ReplyTx) {
         let presence = match &command {
             Command::SetPresence(SetPresence { presence, .. }) => *presence,
@@ -88,7 +91,8 @@
         self.propose(&mut proposal.into_iter().collect());
     }
 
-    /// Looks for lost replicas, and now and then for silent instances and for grants to close.
+    /// Removes lost replicas, and every `CHECK_INTERVAL` checks instances, learners and fenced
+    /// grants.
     pub(super) fn check_fleet(&mut self) {
         let now = self.now();
         if self.stopped || !self.replica.leads() {
@@ -104,7 +108,7 @@
         self.close_grants();
     }
 
-    /// Says of each learner once that it answers nothing, and whether it has a link to this leader.
+    /// Logs each unresponsive learner once, with whether it has opened a link to this leader.
     fn log_unresponsive_learners(&mut self) {
         let unresponsive = self.replica.unresponsive_learners(LEARNER_TIMEOUT);
         let unlogged = unresponsive.filter(|(id, _)| !self.logged_learners.contains(id));
@@ -135,8 +139,8 @@
         }
     }
 
-    /// Closes fenced grants, when a fence or evidence has come since the last look: going through
-    /// all open grants every second would cost the node more than its commits do.
+    /// Closes fenced grants if a grant was fenced or evidence has arrived since the last check.
+    /// Going through all open grants every second would cost the replica more than its commits do.
     fn close_grants(&mut self) {
         let version = self.machine.state.version();
         if version == self.checked_version && !self.evidence.has_open_evidence() {
@@ -193,7 +197,8 @@
         }
     }
 
-    /// Proposes without anybody waiting: if it is lost, the next watch proposes it again.
+    /// Proposes a command whose result nobody waits for. If it is lost, the next check proposes it
+    /// again.
     fn propose_without_reply(&mut self, command: Command) {
         let (tx, _) = oneshot::channel();
         self.propose_one(command, tx);
--- a/crates/anvilreel/src/ledger_service/replica_task/outbox.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task/outbox.rs
@@ -1,31 +1,31 @@
-//! What waits to be sent to other replicas.
+//! Queues of messages to other replicas.
 
 use std::collections::BTreeMap;
 
 use anvil_ledger::core::{Envelope, ReplicaId};
 use tokio::sync::mpsc;
 
-/// One queue for each replica that listens.
+/// One queue for each connected replica.
 ///
-/// A full queue drops: the core repeats whatever matters, and a replica that does not read must
-/// not make the leader hold its messages without bound.
+/// Messages to a full queue are dropped: the core repeats whatever matters, and a replica that does
+/// not read must not make the leader buffer messages without bound.
 #[derive(Default)]
 pub struct Outbox {
     queues: BTreeMap<ReplicaId, mpsc::Sender<Envelope>>,
 }
 
 impl Outbox {
-    /// A replica listens; an older queue of it is closed.
+    /// Registers a replica's queue and closes its previous one.
     pub fn open(&mut self, id: ReplicaId, tx: mpsc::Sender<Envelope>) {
         self.queues.insert(id, tx);
     }
 
-    /// Whether a replica listens.
+    /// Whether a replica is connected.
     pub fn is_open(&self, id: ReplicaId) -> bool {
         self.queues.get(&id).is_some_and(|tx| !tx.is_closed())
     }
 
-    /// Sends, or drops when nobody listens or the queue is full.
+    /// Queues a message, or drops it if the replica is not connected or its queue is full.
     pub fn send(&mut self, envelope: Envelope) {
         let to = envelope.to;
         let Some(queue) = self.queues.get(&to) else {
--- a/crates/anvilreel/src/ledger_service/replica_task/requests.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task/requests.rs
@@ -1,4 +1,4 @@
-//! Proposals and reads, from the question to the answer.
+//! Handling of proposals and reads.
 
 use std::time::SystemTime;
 
@@ -12,7 +12,7 @@
 use crate::ledger_service::queries::QueryContext;
 
 impl ReplicaTask {
-    /// Checks a command before the log sees it, and puts the leader's time in.
+    /// Validates a command before it is appended to the log, and sets the leader's time in it.
     pub(super) fn proposal(&mut self, mut command: Command, reply: ReplyTx) -> Option<Proposal> {
         if self.stopped {
             send_reply(reply, LedgerReply::Stopped);
@@ -36,11 +36,11 @@
         Some(Proposal { id, data })
     }
 
-    /// Answers a routing table that is in force already or overtaken, without the log.
+    /// Answers a routing table whose version is in force or older without a log entry.
     ///
-    /// Failure: an operator's acknowledgement is lost, and it sends the same table of megabytes
-    /// again and again; each time the whole log carries it, and what is new waits behind. What is
-    /// applied here is committed, so the answer is true, also from a replica that leads no more.
+    /// An operator whose acknowledgements are lost resends the same table of several megabytes; if
+    /// each copy went through the log, new commands would wait behind them. Applied state is
+    /// committed, so the answer is correct even from a replica that no longer leads.
     fn routing_in_force(&self, command: &Command) -> Option<Answer> {
         let Command::ReplaceRouting(replace) = command else {
             return None;
@@ -82,7 +82,8 @@
         self.pending.refused(id, &reply);
     }
 
-    /// Everything up to the position that a read needs is applied when the core confirms it.
+    /// Answers a read. When the core confirms one, everything up to the position that it needs is
+    /// applied.
     pub(super) fn confirmed(&mut self, id: RequestId) {
         let Some((query, reply)) = self.pending.confirmed(id) else {
             return;
--- a/crates/anvilreel/src/ledger_service/replica_task/status.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task/status.rs
@@ -1,4 +1,4 @@
-//! What everybody may know of a node without asking it.
+//! Status of a replica that other tasks may read without asking the replica task.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,26 +10,26 @@
 use super::ReplicaTask;
 use crate::metrics;
 
-/// Time between two samples of the gauges.
+/// Interval of the gauges.
 const GAUGE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What everybody may know of a node without asking it.
+/// Status of a replica that other tasks may read without asking the replica task.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ReplicaStatus {
-    /// The newest version of the applied state.
+    /// Version of the applied state.
     pub version: LogIndex,
-    /// Whether the leader (or, at the leader, a majority) was heard of lately.
+    /// Whether the leader (or, at the leader, a majority) has responded recently.
     pub connected: bool,
-    /// Other replicas' addresses.
+    /// Addresses of the other replicas.
     pub peers: BTreeMap<ReplicaId, SocketAddr>,
-    /// Where the others think that it is reached, once it votes.
+    /// This replica's address in the membership, if it is a voter.
     pub voter_addr: Option<SocketAddr>,
-    /// Whether it has to ask to be taken in.
+    /// Whether it has to ask for membership.
     pub needs_to_join: bool,
 }
 
 impl ReplicaTask {
-    /// Sends the gauges now and then.
+    /// Sends the gauges every `GAUGE_INTERVAL`.
     pub(super) fn send_gauges(&mut self) {
         let now = self.now();
         if now < self.next_gauges {
@@ -42,11 +42,11 @@
         metrics.gauge(metrics::LOG_TERM, self.replica.term());
         metrics.gauge(metrics::LOG_LEADS, leads);
         metrics.gauge(metrics::SETTINGS_VERSION, self.machine.state.version());
-        let (heard, voters) = self.replica.responsive_voters();
+        let (responsive, voters) = self.replica.responsive_voters();
         let learners = self.replica.membership().learners.len();
         metrics.gauge(metrics::LOG_VOTERS, voters as u64);
         metrics.gauge(metrics::LOG_LEARNERS, learners as u64);
-        metrics.gauge(metrics::LOG_VOTERS_HEARD, heard as u64);
+        metrics.gauge(metrics::LOG_VOTERS_HEARD, responsive as u64);
     }
 
     fn listed_addr(&self) -> Option<SocketAddr> {
--- a/crates/anvilreel/tests/ledger_followers_and_evidence.rs
+++ b/crates/anvilreel/tests/ledger_followers_and_evidence.rs
@@ -1,4 +1,4 @@
-//! What followers are sent, and how fenced grants are closed, without a network.
+//! Events sent to followers, and closing of fenced grants, without a network.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, SystemTime};
@@ -18,7 +18,7 @@
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
-/// A state machine that applies one command after the other.
+/// A state machine to which commands are applied one by one.
 #[derive(Default)]
 struct Ledger {
     machine: Machine,
@@ -51,7 +51,7 @@
         self.apply(&Command::Join(Join { instance }))
     }
 
-    /// A budget of 1,000 tokens, two sidecars, and a fenced router with a grant.
+    /// A ledger with a budget of 1,000 tokens, two sidecars, and a fenced router with a grant.
     fn with_fenced_grant() -> Result<(Self, Grant), Failure> {
         let mut ledger = Self::default();
         ledger.put("organisations/coop", 0, "")?;
@@ -108,7 +108,7 @@
     }
 }
 
-/// Evidence of one sidecar, with one run's charge.
+/// A sidecar's heartbeat with evidence, optionally with one charge.
 fn evidence_heartbeat(
     sidecar: &str,
     incarnation: Incarnation,
@@ -135,9 +135,9 @@
     }
 }
 
-/// A router dies with an open grant. Its rest comes back only when every sidecar has said what it
-/// charged: the sum is billed, no more and no less, and only after the closing is committed does a
-/// sidecar forget its evidence.
+/// Guards against a lost router's grant that is closed too early or with the wrong charge. Its rest
+/// returns to the budget only when every sidecar has reported its charges; exactly their sum is
+/// charged, and a sidecar may discard its evidence only after the closing is committed.
 #[test]
 fn a_fenced_grant_closes_only_when_all_sidecars_have_reported() -> Result<(), Failure> {
     let (mut ledger, grant) = Ledger::with_fenced_grant()?;
@@ -161,9 +161,9 @@
     Ok(())
 }
 
-/// A router and a sidecar are lost together, and the sidecar comes back in a new life that knows
-/// nothing of its old runs. The grant stays outstanding and is named once for an operator: what
-/// the lost life charged is not granted again.
+/// Guards against tokens that are granted twice when a router and a sidecar are lost together and
+/// the sidecar's new incarnation knows nothing of earlier runs. The grant stays outstanding,
+/// because the lost incarnation may have charged it, and is reported once for an operator.
 #[test]
 fn a_lost_sidecar_incarnation_keeps_the_grant_outstanding() -> Result<(), Failure> {
     let (mut ledger, grant) = Ledger::with_fenced_grant()?;
@@ -181,8 +181,8 @@
     Ok(())
 }
 
-/// A sidecar is only cut off and declared gone; it may be running still. Its share stays
-/// outstanding as well, also for a leader that was elected since.
+/// As above for a sidecar that is cut off, declared gone and may still be running; also at a leader
+/// that was elected since.
 #[test]
 fn a_sidecar_declared_gone_keeps_the_grant_outstanding() -> Result<(), Failure> {
     let (mut ledger, _) = Ledger::with_fenced_grant()?;
@@ -209,8 +209,8 @@
     }
 }
 
-/// A follower moves to a replica that lags behind it. It is sent nothing until that replica has
-/// caught up, so that no accepted change is taken back before its eyes.
+/// Guards against accepted changes that are reverted at a follower. A follower that moves to a
+/// replica that lags behind it receives nothing until that replica has caught up.
 #[test]
 fn a_lagging_replica_sends_no_older_version() -> Result<(), Failure> {
     let mut ledger = Ledger::default();
@@ -231,8 +231,8 @@
     Ok(())
 }
 
-/// A sidecar is sent the fleet's document, its own presence and the fences, and nothing of other
-/// teams.
+/// Guards against sidecars that receive other teams' documents: a sidecar receives the fleet's
+/// document, its own presence and the fences.
 #[test]
 fn a_sidecar_receives_only_what_it_needs() -> Result<(), Failure> {
     let (mut ledger, _) = Ledger::with_fenced_grant()?;
@@ -254,7 +254,8 @@
     Ok(())
 }
 
-/// Guards against routers that are not told which requests crash endpoints, or that go on holding one.
+/// Guards against routers that don't learn which requests crash endpoints, or that keep one that
+/// was cleared.
 #[test]
 fn routers_receive_suspected_requests() -> Result<(), Failure> {
     let mut ledger = Ledger::default();
@@ -281,7 +282,7 @@
     Ok(())
 }
 
-/// Guards against routers that are not told what an endpoint takes, or that its limit is over.
+/// Guards against routers that don't learn an endpoint's rate limit, or that it has ended.
 #[test]
 fn routers_receive_endpoint_limits() -> Result<(), Failure> {
     let mut ledger = Ledger::default();
--- a/crates/anvilreel/tests/ledger_heartbeats.rs
+++ b/crates/anvilreel/tests/ledger_heartbeats.rs
@@ -1,4 +1,4 @@
-//! When the leader holds an instance to be lost.
+//! When the leader marks an instance silent and when it declares it gone.
 
 use std::time::Duration;
 
@@ -38,9 +38,10 @@
     machine.state.apply(index, 1, &command);
 }
 
-/// An operator starts routers half a minute after the ledger. Each one joins, is declared gone
-/// a moment later, is fenced and refuses every caller for as long as it lives: its first sign of
-/// life was answered with a join and not noted, so it looked silent since the election.
+/// Guards against routers that are declared gone right after they have joined, half a minute or
+/// more after the election. They are fenced and refuse every caller for the rest of their
+/// incarnation. It happens if the heartbeat that leads to the join is not stored: the router then
+/// seems to have sent none since the election.
 #[test]
 fn an_instance_that_joins_long_after_the_election_is_not_declared_gone() {
     let mut machine = Machine::default();
@@ -73,10 +74,10 @@
     })
 }
 
-/// A partition of five minutes cuts a router off from the ledger, not from the sidecars.
-/// Declared gone after ten seconds it was fenced, so the sidecars refused it although it had
-/// money in its grants and might serve out of touch for ten minutes; and it stayed refused after
-/// the partition healed, for a life that is gone never comes back.
+/// Guards against fencing a router that a partition of five minutes cuts off from the ledger but
+/// not from the sidecars. If it were declared gone after ten seconds, the sidecars would refuse it
+/// although it has tokens in its grants and may serve without the ledger for ten minutes, also
+/// after the partition heals, since an incarnation that is gone never comes back.
 #[test]
 fn a_partitioned_router_is_not_fenced_while_it_may_serve() {
     let mut machine = Machine::default();
--- a/crates/anvilreel/tests/ledger_leader_search.rs
+++ b/crates/anvilreel/tests/ledger_leader_search.rs
@@ -1,4 +1,4 @@
-//! Finding the leader through replicas that know less than they say.
+//! Finding the leader through replicas whose information is outdated.
 
 #[path = "support/ports.rs"]
 mod ports;
@@ -16,9 +16,9 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A replica that answers every question alike; returns how often it was asked.
+/// A replica that gives every request the same reply; returns its number of calls.
 async fn replica(addr: SocketAddr, reply: LedgerReply) -> Arc<AtomicUsize> {
-    let server = Server::bind(addr).await.expect("an address");
+    let server = Server::bind(addr).await.expect("bind the address");
     let calls = Arc::new(AtomicUsize::new(0));
     let call_count = calls.clone();
     let handlers = Handlers::default().with::<LedgerCall, _, _>(move |_, tx| {
@@ -45,8 +45,8 @@
     LedgerReply::Read(QueryAnswer::Members(std::collections::BTreeMap::new()))
 }
 
-/// Guards against a client that is sent to and fro between a leader that was deposed and a follower that
-/// has not heard of it, and never asks the leader that all others follow.
+/// Guards against a client that is referred back and forth between a deposed leader and a follower
+/// that has not learned of that, and never calls the leader that the other replicas follow.
 #[tokio::test]
 async fn a_hint_to_a_deposed_leader_does_not_hide_the_new_leader() {
     let replicas = addrs(3);
@@ -62,7 +62,7 @@
     assert_eq!(calls.load(Ordering::Relaxed), 1);
 }
 
-/// Guards against a leader that is asked last because it was asked before it led.
+/// Guards against a client that calls the leader last although another replica has named it.
 #[tokio::test]
 async fn a_leader_hint_is_followed_before_other_replicas() {
     let replicas = addrs(4);
--- a/crates/anvilreel/tests/ledger_service/cluster.rs
+++ b/crates/anvilreel/tests/ledger_service/cluster.rs
@@ -1,4 +1,4 @@
-//! Replicas of a ledger in this process, over real sockets and folders.
+//! A cluster of ledger replicas in this process, over real sockets and data folders.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime};
@@ -20,25 +20,26 @@
 
 pub use crate::ports::free_addr;
 
-/// What ends a test.
+/// Error of a test.
 pub type Failure = Box<dyn std::error::Error + Send + Sync>;
 
-/// Longest wait for something that must come.
+/// Timeout for conditions that must become true.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A replica that runs.
+/// A running replica.
 pub struct Running {
-    pub contacts: Contacts,
+    pub peer_addresses: Contacts,
     pub stop: oneshot::Sender<()>,
     pub handle: LedgerHandle,
 }
 
-/// Replicas with their folders; some may be stopped.
+/// Replicas with their data folders; some may be stopped.
 pub struct Cluster {
     pub folder: TempDir,
     pub peers: Vec<Peer>,
     pub take_out: Option<TakeOut>,
-    /// Whom a replica's settings name, where those aren't all; it founds no ledger then.
+    /// Replicas named in a replica's settings, if they are not all of them; it can't found a ledger
+    /// then.
     pub known_peers: BTreeMap<usize, Vec<usize>>,
     pub running: Vec<Option<Running>>,
 }
@@ -88,14 +89,14 @@
         known.iter().map(|at| self.peers[*at].clone()).collect()
     }
 
-    /// Takes a replica's disk away; it has to be stopped.
+    /// Deletes the data folder of a stopped replica.
     pub fn wipe(&self, number: usize) -> Result<(), Failure> {
         Ok(std::fs::remove_dir_all(
             self.folder.path().join(number.to_string()),
         )?)
     }
 
-    /// Whether the newest membership on a replica's disk names that very disk as a voter.
+    /// Whether the newest membership on a replica's disk names that disk as a voter.
     pub fn is_voter(&self, number: usize) -> bool {
         let disk = Disk::read_only(&self.folder.path().join(number.to_string()));
         let Ok(Some(id)) = read_identity(&disk) else {
@@ -105,7 +106,7 @@
         membership.is_some_and(|membership| membership.voters.contains_key(&id))
     }
 
-    /// Returns when a replica votes with the disk that it has now.
+    /// Waits until a replica votes with its present disk.
     pub async fn wait_until_voter(&self, number: usize) -> Result<(), Failure> {
         let voting = async {
             while !self.is_voter(number) {
@@ -116,13 +117,13 @@
     }
 
     pub async fn status(&self) -> Result<LedgerStatus, Failure> {
-        match self.ask(&LedgerRequest::Query(Query::Status)).await? {
+        match self.request(&LedgerRequest::Query(Query::Status)).await? {
             LedgerReply::Read(QueryAnswer::Status(status)) => Ok(status),
             other => Err(format!("{other:?}").into()),
         }
     }
 
-    /// Number of the replica that leads.
+    /// Number of the leading replica.
     pub async fn leader(&self) -> Result<usize, Failure> {
         let status = self.status().await?;
         let mut peers = self.peers.iter();
@@ -161,7 +162,7 @@
             gone_after: Duration::from_secs(1),
             snapshot_every: 200,
             take_out: self.take_out,
-            // A short log, so that a new disk has to fetch a snapshot.
+            // A short log, so that a replica with a new disk has to fetch a snapshot.
             core: CoreSettings {
                 trailing_entries: 50,
                 ..CoreSettings::default()
@@ -169,11 +170,11 @@
             ..Tuning::default()
         };
         let cfg = self.settings(number);
-        let contacts = Contacts::default();
+        let peer_addresses = Contacts::default();
         let disk = open_disk(&cfg)?;
-        let handle = start_on(disk, cfg, tuning, contacts.clone(), log, stopped).await?;
+        let handle = start_on(disk, cfg, tuning, peer_addresses.clone(), log, stopped).await?;
         self.running[number] = Some(Running {
-            contacts,
+            peer_addresses,
             stop,
             handle,
         });
@@ -193,7 +194,7 @@
         }
     }
 
-    pub async fn ask(&self, req: &LedgerRequest) -> Result<LedgerReply, Failure> {
+    pub async fn request(&self, req: &LedgerRequest) -> Result<LedgerReply, Failure> {
         let retrying = async {
             loop {
                 for peer in &self.peers {
@@ -218,7 +219,7 @@
     }
 
     pub async fn propose(&self, command: Command) -> Result<Answer, Failure> {
-        match self.ask(&LedgerRequest::Propose(command)).await? {
+        match self.request(&LedgerRequest::Propose(command)).await? {
             LedgerReply::Applied { answer, .. } => Ok(answer),
             other => Err(format!("{other:?}").into()),
         }
@@ -226,7 +227,7 @@
 
     pub async fn budget(&self, id: &str) -> Result<Budget, Failure> {
         let query = LedgerRequest::Query(Query::Budget(id.into()));
-        match self.ask(&query).await? {
+        match self.request(&query).await? {
             LedgerReply::Read(QueryAnswer::Budgets(budgets)) => {
                 let budget = budgets.into_iter().next().ok_or("no budget")?;
                 Ok(budget.budget)
@@ -236,7 +237,7 @@
     }
 }
 
-/// Sets a document that is not there yet.
+/// Creates a document.
 pub fn put(path: &str, text: &str) -> Result<Command, Failure> {
     Ok(Command::Change(Change {
         id: change_id(SystemTime::now(), path),
@@ -248,7 +249,7 @@
     }))
 }
 
-/// Ten tokens more for the budget `nairobi`.
+/// Adds ten tokens to the budget `nairobi`.
 pub fn top_up(number: u64) -> Command {
     Command::TopUp(TopUp {
         id: change_id(SystemTime::now(), &format!("top-up-{number}")),
@@ -259,7 +260,7 @@
     })
 }
 
-/// Declares the budget `nairobi`.
+/// Declares the budget `nairobi` and its organisation.
 pub async fn declare_budget(cluster: &Cluster) -> Result<(), Failure> {
     let organisation = put("organisations/coop", "weight = 1\n")?;
     cluster.propose(organisation).await?;
--- a/crates/anvilreel/tests/ledger_service/failures.rs
+++ b/crates/anvilreel/tests/ledger_service/failures.rs
@@ -1,4 +1,4 @@
-//! A ledger that can do nothing says so.
+//! Replicas that can't serve report it: no majority, or a failed disk.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,9 +16,10 @@
 
 use crate::cluster::{Cluster, Failure, TEST_TIMEOUT, declare_budget, free_addr, put, top_up};
 
-/// Two of three replicas are gone. The third one says within seconds that no majority can be
-/// reached, so that operators and routers know that nothing was done; it confirms no read, and a
-/// follower is told no more that its settings are current.
+/// Guards against a replica without a majority that claims to be current. After the loss of two of
+/// three replicas, the third one answers within seconds that there is no quorum, so that operators
+/// and routers know that nothing was done. It confirms no read, and sends its followers no more
+/// `Current` events.
 #[tokio::test(flavor = "multi_thread")]
 async fn without_a_majority_nothing_is_confirmed() -> Result<(), Failure> {
     let mut cluster = Cluster::start(3).await?;
@@ -46,16 +47,19 @@
         first,
         Some(LedgerReply::Follow(FollowEvent::Full { .. }))
     ));
-    // Silence or the stream's end: nothing more may be said.
+    // No further event may come: the stream stays idle or ends.
     let second = timeout(Duration::from_secs(3), replies.next()).await;
     let confirmed = matches!(second, Ok(Ok(Some(_))));
-    assert!(!confirmed, "said to be current: {second:?}");
+    assert!(
+        !confirmed,
+        "event from a replica without a majority: {second:?}"
+    );
     cluster.stop_all().await;
     Ok(())
 }
 
-/// The disk is full. The change under way is in doubt, and from then on the replica says that it
-/// has stopped, instead of acknowledging what it can't keep.
+/// Guards against a replica that acknowledges what it can't store. When the disk is full, the
+/// proposal in flight is in doubt, and from then on the replica answers `Stopped`.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_full_disk_is_reported() -> Result<(), Failure> {
     let folder = tempfile::tempdir()?;
@@ -97,10 +101,10 @@
     .await?;
     let channel = Channel::new(addr);
     let within = Duration::from_secs(2);
-    let ask = LedgerRequest::Propose(put("organisations/coop", "")?);
+    let req = LedgerRequest::Propose(put("organisations/coop", "")?);
     let ready = async {
         while !matches!(
-            channel.call::<LedgerCall>(&ask, within).await,
+            channel.call::<LedgerCall>(&req, within).await,
             Ok(LedgerReply::Applied { .. })
         ) {
             sleep(Duration::from_millis(50)).await;
@@ -108,10 +112,10 @@
     };
     timeout(TEST_TIMEOUT, ready).await?;
     full.store(true, Ordering::Relaxed);
-    let ask = LedgerRequest::Propose(put("organisations/union", "")?);
-    let first = channel.call::<LedgerCall>(&ask, within).await?;
+    let req = LedgerRequest::Propose(put("organisations/union", "")?);
+    let first = channel.call::<LedgerCall>(&req, within).await?;
     assert_eq!(first, LedgerReply::InDoubt);
-    let second = channel.call::<LedgerCall>(&ask, within).await?;
+    let second = channel.call::<LedgerCall>(&req, within).await?;
     assert_eq!(second, LedgerReply::Stopped);
     let _ = stop.send(());
     handle.stopped().await;
--- a/crates/anvilreel/tests/ledger_service/followers.rs
+++ b/crates/anvilreel/tests/ledger_service/followers.rs
@@ -1,4 +1,4 @@
-//! What followers of a replica are told.
+//! Events that a replica sends to its followers.
 
 use std::time::{Duration, SystemTime};
 
@@ -15,8 +15,8 @@
 
 use crate::cluster::{Cluster, Failure, TEST_TIMEOUT, declare_budget, free_addr, put};
 
-/// A router follows any replica: all documents first, then each change, in order of versions. A
-/// sidecar is sent the fleet's document, itself and the fences only.
+/// Guards against followers that miss changes: at each replica, a router receives all documents
+/// first, then each change with a higher version.
 #[tokio::test(flavor = "multi_thread")]
 async fn followers_receive_all_documents_then_changes() -> Result<(), Failure> {
     let mut cluster = Cluster::start(3).await?;
@@ -64,34 +64,36 @@
     Ok(())
 }
 
-/// A router follows a replica that is cut off from the other replicas, not from the router. It
-/// shows as a new route answered with 404 for seconds after it was acknowledged. The replica loses
-/// its majority, says nothing more, and the router waits out its whole patience with silence, at
-/// one such replica after the other.
+/// Guards against followers that stay at a replica without a majority. It is cut off from the other
+/// replicas but not from the router, which would wait out its timeout at one such replica after the
+/// other. Users would see 404 for a new route for seconds after it was acknowledged.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_without_a_majority_ends_its_follow_streams() -> Result<(), Failure> {
     let mut cluster = Cluster::start(3).await?;
     declare_budget(&cluster).await?;
     let channel = Channel::new(cluster.peers[0].addr);
-    let ask = LedgerRequest::Follow {
+    let req = LedgerRequest::Follow {
         instance: "router-1".into(),
         interest: FollowScope::Router,
         version: 0,
     };
-    let mut replies = channel.open::<LedgerCall>(&ask).await?;
+    let mut replies = channel.open::<LedgerCall>(&req).await?;
     assert!(replies.next().await?.is_some());
     cluster.stop(1).await;
     cluster.stop(2).await;
     let stream_end = async { while let Ok(Some(_)) = replies.next().await {} };
     let within = CoreSettings::default().election_timeout * 2 + Duration::from_secs(1);
-    assert!(timeout(within, stream_end).await.is_ok(), "left in silence");
+    assert!(
+        timeout(within, stream_end).await.is_ok(),
+        "the follow stream is still open"
+    );
     cluster.stop_all().await;
     Ok(())
 }
 
-/// An operator's acknowledgement is lost and it sends the same large routing table again and again.
-/// Were each copy put into the log, what is new would wait behind megabytes. A table that is in force
-/// is acknowledged without the log.
+/// Guards against new commands that wait behind copies of a large routing table, which an operator
+/// resends after its acknowledgement was lost. A table that is in force is acknowledged without a
+/// log entry.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resent_routing_table_is_acknowledged_without_a_log_entry() -> Result<(), Failure> {
     let mut cluster = Cluster::start(3).await?;
@@ -102,7 +104,7 @@
         credits: std::collections::BTreeMap::new(),
         at: SystemTime::UNIX_EPOCH,
     }));
-    let LedgerReply::Applied { answer, .. } = cluster.ask(&table).await? else {
+    let LedgerReply::Applied { answer, .. } = cluster.request(&table).await? else {
         return Err("not applied".into());
     };
     assert_eq!(answer, Answer::Routing(7));
@@ -111,21 +113,21 @@
         other => panic!("{other:?}"),
     };
     let status = LedgerRequest::Query(Query::Status);
-    let before = committed(cluster.ask(&status).await?);
+    let before = committed(cluster.request(&status).await?);
     for _ in 0..10 {
-        let LedgerReply::Applied { answer, .. } = cluster.ask(&table).await? else {
+        let LedgerReply::Applied { answer, .. } = cluster.request(&table).await? else {
             return Err("not acknowledged again".into());
         };
         assert_eq!(answer, Answer::Routing(7));
     }
-    assert_eq!(committed(cluster.ask(&status).await?), before);
+    assert_eq!(committed(cluster.request(&status).await?), before);
     cluster.stop_all().await;
     Ok(())
 }
 
-/// Operators and relays get no answer from a ledger that is well, for as long as its members don't
-/// change. Their settings have come to name replicas that can't be reached, and the ones that answered
-/// until then were forgotten for them.
+/// Guards against clients that forget the replicas that answer when their settings name replicas
+/// that can't be reached. Operators and relays would get no answer from a healthy ledger until its
+/// members change.
 #[tokio::test(flavor = "multi_thread")]
 async fn new_seeds_do_not_replace_replicas_that_answer() -> Result<(), Failure> {
     let mut cluster = Cluster::start(1).await?;
--- a/crates/anvilreel/tests/ledger_service/joining.rs
+++ b/crates/anvilreel/tests/ledger_service/joining.rs
@@ -1,12 +1,13 @@
-//! Replicas with an empty disk that join a ledger, knowing little of it.
+//! Replicas with an empty disk that join a ledger while their settings name only some replicas, or
+//! none.
 
 use crate::cluster::{Cluster, Failure, declare_budget, top_up};
 
-/// Users see every change refused from some moment on, and nothing served after a restart of all.
-/// Before that a replica lost its disk and came back; its settings named two replicas, and a third one
-/// led. It was taken in as a learner and never voted. With the next loss the ledger had no majority.
-/// Cause: a replica hears whom its settings and its own log name, and the log of a new disk is empty.
-/// Shown by the leader's line on a silent learner (`listens` false) and the newcomer's term of 0.
+/// Guards against a replica with a new disk that joins as a learner and never votes; after the next
+/// loss the ledger has no majority, so every change is refused, and after a restart of all replicas
+/// nothing is served. A replica connects to the replicas in its settings and in its log, but the
+/// log of a new disk is empty and the settings may not name the leader. It shows in the leader's
+/// event `ledger_learner_silent` with `listens` false, and in the new replica's term of 0.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_with_a_new_disk_votes_when_its_settings_do_not_name_the_leader()
 -> Result<(), Failure> {
@@ -29,15 +30,15 @@
     Ok(())
 }
 
-/// An instance is replaced, and its successor never joins the ledger; with the next loss nothing is
-/// taken any more. Its settings named replicas that were gone when it started. They name living ones a
-/// little later, and the running replica asked only those of its start.
+/// Guards against a replica that joins only through the replicas its settings named at its start.
+/// If those no longer exist, it would never join, although its settings name running ones later,
+/// and after the next loss no change would be accepted.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_with_a_new_disk_joins_through_seeds_set_later() -> Result<(), Failure> {
     joins_through_a_later_seed(|leader| (leader + 1) % 4).await
 }
 
-/// As above; the seed that is named later is the leader itself, so nobody directs the newcomer to it.
+/// As above, but the seed that is set later is the leader itself, so no other replica refers to it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_with_a_new_disk_joins_through_a_later_seed_that_leads() -> Result<(), Failure> {
     joins_through_a_later_seed(|leader| leader).await
@@ -55,7 +56,7 @@
     let seeds = [cluster.peers[seed(leader)].addr];
     let running = cluster.running[newcomer].as_ref();
     let running = running.ok_or("the replica was started above")?;
-    running.contacts.set_seeds(&seeds);
+    running.peer_addresses.set_seeds(&seeds);
     cluster.wait_until_voter(newcomer).await?;
     cluster.stop_all().await;
     Ok(())
--- a/crates/anvilreel/tests/ledger_service/main.rs
+++ b/crates/anvilreel/tests/ledger_service/main.rs
@@ -1,4 +1,4 @@
-//! Replicas over real TCP and real folders.
+//! Ledger replicas over real TCP connections and data folders.
 
 mod cluster;
 mod failures;
--- a/crates/anvilreel/tests/ledger_service/membership.rs
+++ b/crates/anvilreel/tests/ledger_service/membership.rs
@@ -1,4 +1,4 @@
-//! Replicas that move, and that are taken out.
+//! Replicas that move to another address, and replicas that are removed.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,8 +10,9 @@
 
 use crate::cluster::{Cluster, Failure, TEST_TIMEOUT, declare_budget, free_addr, top_up};
 
-/// A replica comes back with its disk at another address, and another one is lost. The two go on:
-/// the leader has noted the address, so the votes and acknowledgements of the moved one count.
+/// Guards against a moved replica whose votes and acknowledgements are lost. It restarts with its
+/// disk at another address and another replica is lost; the remaining two go on, because the leader
+/// has recorded the new address.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replica_that_moves_to_another_address_still_votes() -> Result<(), Failure> {
     let mut cluster = Cluster::start(3).await?;
@@ -34,16 +35,16 @@
     Ok(())
 }
 
-/// Whether the newest membership on the first replica's disk has another one's present address.
+/// Whether the newest membership on the first replica's disk has a replica's present address.
 fn is_listed(cluster: &Cluster, number: usize) -> bool {
     let addr = cluster.peers[number].addr;
     let listed = |membership: Membership| membership.voters.values().any(|site| site.addr == addr);
     cluster.membership(0).is_some_and(listed)
 }
 
-/// Four instances keep the ledger; one is gone for good and nobody is there to say so. Left in, it
-/// counts in the majority, and the next loss stops the ledger. It is taken out after its silence;
-/// below three voters none is.
+/// Guards against a permanently lost replica that stays a voter without an operator to remove it:
+/// it would count in the majority, and the next loss would stop the ledger. It is removed after its
+/// timeout, but never when fewer than three voters would remain.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_permanently_lost_replica_is_removed() -> Result<(), Failure> {
     let rule = TakeOut {
@@ -60,13 +61,13 @@
         Ok::<(), Failure>(())
     };
     timeout(TEST_TIMEOUT, shrunk).await??;
-    // Two of four would have been no majority.
+    // Two of four voters would be no majority.
     cluster.stop(2).await;
     cluster.propose(top_up(1)).await?;
     sleep(Duration::from_secs(3)).await;
     assert_eq!(cluster.status().await?.voters.len(), 3);
-    // Whoever comes back with its disk votes again, and makes room for taking out the one that is
-    // silent still.
+    // A replica that comes back with its disk votes again, so that the one that is still
+    // unresponsive can be removed.
     cluster.run(3).await?;
     let expected: BTreeSet<InstanceId> = [0, 1, 3].map(|n| cluster.peers[n].id.clone()).into();
     let joined = async {
--- a/crates/anvilreel/tests/ledger_service/presence.rs
+++ b/crates/anvilreel/tests/ledger_service/presence.rs
@@ -1,4 +1,4 @@
-//! Which instances are alive, and which are gone.
+//! Presence of instances, and removal of replicas.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 async fn presence_of_all(cluster: &Cluster) -> Result<Vec<Presence>, Failure> {
     let members = LedgerRequest::Query(Query::Members);
-    match cluster.ask(&members).await? {
+    match cluster.request(&members).await? {
         LedgerReply::Read(QueryAnswer::Members(members)) => {
             Ok(members.values().map(|member| member.presence).collect())
         }
@@ -34,9 +34,10 @@
     timeout(TEST_TIMEOUT, polling).await?
 }
 
-/// A router gives signs of life, then falls silent. It is joined at its first one, kept from new
-/// work after a short silence, and taken back by its next sign. After a silence longer than it
-/// may serve out of touch it is declared gone and fenced, so that its grants can come back.
+/// Guards against wrong presences of a router. It joins at its first heartbeat, is set to `Silent`
+/// a short time after its heartbeats stop, and back to `Live` by the next one. When they stop for
+/// longer than it may serve without the ledger, it is declared gone and fenced, so that its grants
+/// can be reclaimed.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unresponsive_router_is_declared_gone_and_fenced() -> Result<(), Failure> {
     let mut cluster = Cluster::start(1).await?;
@@ -56,27 +57,27 @@
         evidence: Vec::new(),
         leaving: false,
     });
-    let LedgerReply::Alive(joined) = cluster.ask(&heartbeat).await? else {
-        return Err("no sign of life taken".into());
+    let LedgerReply::Alive(joined) = cluster.request(&heartbeat).await? else {
+        return Err("the first heartbeat was not accepted".into());
     };
     assert_eq!(joined.presence, Presence::Live);
     wait_for_presence(&cluster, Presence::Silent).await?;
-    let LedgerReply::Alive(returned) = cluster.ask(&heartbeat).await? else {
-        return Err("no answer to a sign of life after a silence".into());
+    let LedgerReply::Alive(returned) = cluster.request(&heartbeat).await? else {
+        return Err("a heartbeat of a silent instance was not answered".into());
     };
     assert_eq!(returned.presence, Presence::Live);
     assert_eq!(presence_of_all(&cluster).await?, [Presence::Live]);
     wait_for_presence(&cluster, Presence::Gone).await?;
-    let LedgerReply::Alive(late) = cluster.ask(&heartbeat).await? else {
-        return Err("no answer to a late sign of life".into());
+    let LedgerReply::Alive(late) = cluster.request(&heartbeat).await? else {
+        return Err("a heartbeat of a gone instance was not answered".into());
     };
     assert_eq!(late.presence, Presence::Gone);
     cluster.stop_all().await;
     Ok(())
 }
 
-/// An instance is lost for good and an operator takes it out. The two that are left go on, and
-/// after one more loss and its replacement nothing is missed.
+/// Guards against a ledger that stops working when an operator removes a permanently lost instance:
+/// the two replicas that are left still accept changes.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_instance_is_removed_by_an_operator() -> Result<(), Failure> {
     let mut cluster = Cluster::start(3).await?;
@@ -86,7 +87,9 @@
     let removal = async {
         loop {
             let _ = remove(&addrs, &cluster.peers[2].id).await;
-            let status = cluster.ask(&LedgerRequest::Query(Query::Status)).await?;
+            let status = cluster
+                .request(&LedgerRequest::Query(Query::Status))
+                .await?;
             if let LedgerReply::Read(QueryAnswer::Status(status)) = status
                 && status.voters.len() == 2
             {
@@ -101,9 +104,9 @@
     Ok(())
 }
 
-/// An endpoint gets no work any more, though it and the ledger are well, until somebody restarts its
-/// sidecar. The one replica that the sidecar's settings name was replaced by another, and the sidecar
-/// knew no others.
+/// Guards against a sidecar that only knows the replicas in its settings. When the only one is
+/// lost, its endpoint would get no more work until the sidecar is restarted, although the endpoint
+/// and the ledger work.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_sidecar_survives_the_loss_of_its_configured_replica() -> Result<(), Failure> {
     let mut cluster = Cluster::start(4).await?;
@@ -130,7 +133,7 @@
     let sidecar = Sidecar::start(&settings, silent(), Metrics::silent("sidecar")).await?;
     wait_for_presence(&cluster, Presence::Live).await?;
     cluster.stop(configured).await;
-    // Signs of life from before the loss count no more.
+    // Heartbeats from before the loss no longer count.
     wait_for_presence(&cluster, Presence::Silent).await?;
     wait_for_presence(&cluster, Presence::Live).await?;
     sidecar.kill();
--- a/crates/anvilreel/tests/ledger_service/restart.rs
+++ b/crates/anvilreel/tests/ledger_service/restart.rs
@@ -1,4 +1,4 @@
-//! Restarts and lost disks: nothing acknowledged is lost.
+//! Restarts and lost disks lose nothing that was acknowledged.
 
 use anvil_ledger::storage::Disk;
 use anvil_ledger::storage::recover::recover;
@@ -20,21 +20,21 @@
     Ok(())
 }
 
-/// An operator makes 1,000 top-ups; the only replica is stopped and started again. The budget
-/// shows every token, because each top-up was on disk before it was answered.
+/// Guards against acknowledged changes that are lost when the only replica restarts: each top-up is
+/// on disk before it is answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_replica_restarts_after_1000_changes() -> Result<(), Failure> {
     survives_restart(1).await
 }
 
-/// As above with three replicas that all stop: the log and the snapshots of any two are enough.
+/// As above for three replicas that all stop: the logs and snapshots of any two are enough.
 #[tokio::test(flavor = "multi_thread")]
 async fn three_replicas_restart_after_1000_changes() -> Result<(), Failure> {
     survives_restart(3).await
 }
 
-/// A replica loses its disk and comes back empty; right after it has been taken in again, another
-/// one is lost. Operators still read every token: the new disk counts only since it caught up.
+/// Guards against data that is lost when a second replica fails right after another one has
+/// replaced its disk: the replica with the new disk becomes a voter only once it has caught up.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_second_loss_after_a_replaced_disk_loses_no_data() -> Result<(), Failure> {
     let mut cluster = Cluster::start(3).await?;
