--- a/crates/anvilreel/src/ledger_client.rs
+++ b/crates/anvilreel/src/ledger_client.rs
@@ -132,7 +132,7 @@
 
     /// Appends a command to the log and returns its answer.
     ///
-    /// Every command that routers and sidecars send may be resent: the log ignores duplicates.
+    /// Every command that routers and sidecars send may be resent: the ledger applies it once.
     pub async fn propose(&self, command: Command, within: Duration) -> Result<Answer, LedgerError> {
         let req = LedgerRequest::Propose(command);
         match self.ask(&req, within).await? {
@@ -168,11 +168,11 @@
     }
 
     fn add_learned(&self, replicas: &[SocketAddr]) {
-        let Some(named) = &self.configured else {
+        let Some(configured) = &self.configured else {
             return;
         };
         let mut wanted = replicas.to_vec();
-        wanted.extend(named.iter().filter(|addr| !replicas.contains(addr)));
+        wanted.extend(configured.iter().filter(|addr| !replicas.contains(addr)));
         self.set_ways(&wanted, &[]);
     }
 
@@ -248,8 +248,8 @@
     /// first answer and whether it is the second one's.
     ///
     /// If the address that answered last is cut off silently, requests would otherwise wait for
-    /// tokens until its timeout. Both replicas may carry out the same command: the log ignores
-    /// duplicates.
+    /// tokens until its timeout. Both replicas may propose the same command: the ledger applies
+    /// it once.
     async fn call_hedged(
         &self,
         attempt: &Attempt<'_>,
@@ -260,7 +260,7 @@
         let payload_bytes = payload_bytes(req);
         let within = time_left.min(self.replica_timeout + TIMEOUT_PER_BYTE * payload_bytes);
         let first_call = first.call::<LedgerCall>(req, within);
-        let is_small = payload_bytes < HEDGE_MAX_BYTES;
+        let is_small = payload_bytes < HEDGE_LIMIT_BYTES;
         let hedge = self.hedge.filter(|hedge| *hedge < within && is_small);
         let (Some(hedge), Some(second)) = (hedge, *second) else {
             return (first_call.await, false);
@@ -291,7 +291,7 @@
 ///
 /// A routing table of 400 KB takes longer than the hedge delay; each further copy would delay all
 /// others, and none would be answered in time.
-const HEDGE_MAX_BYTES: u32 = 32 << 10;
+const HEDGE_LIMIT_BYTES: u32 = 32 << 10;
 
 /// Size of a request in bytes; 0 for kinds that are always small.
 fn payload_bytes(req: &LedgerRequest) -> u32 {
--- a/crates/anvilreel/src/ledger_service/bootstrap.rs
+++ b/crates/anvilreel/src/ledger_service/bootstrap.rs
@@ -73,6 +73,7 @@
     }
 }
 
+/// What the other founders and the seeds have answered.
 enum ProbeResult {
     /// At least one replica belongs to a ledger.
     Ledger,
@@ -117,7 +118,7 @@
                 *joining_logged = true;
                 self.join().await;
             }
-            ProbeResult::Empty(founders) => self.found(founders).await,
+            ProbeResult::Empty(founders) => self.found_ledger(founders).await,
             ProbeResult::Incomplete => {}
         }
     }
@@ -152,7 +153,7 @@
         let mut empty = BTreeMap::from([(self.id, self.site())]);
         let mut incomplete = false;
         for peer in self.others() {
-            match hello(peer.addr).await {
+            match request_hello(peer.addr).await {
                 Some(hello) if hello.ledger != 0 => return ProbeResult::Ledger,
                 Some(hello) if hello.instance == peer.id => {
                     let site = Site {
@@ -176,7 +177,10 @@
         // founders could have two different first ones. So seeds are only probed for an existing
         // ledger.
         for addr in self.seeds() {
-            if hello(addr).await.is_some_and(|hello| hello.ledger != 0) {
+            if request_hello(addr)
+                .await
+                .is_some_and(|hello| hello.ledger != 0)
+            {
                 return ProbeResult::Ledger;
             }
         }
@@ -186,7 +190,7 @@
         ProbeResult::Empty(empty)
     }
 
-    async fn found(&self, voters: BTreeMap<ReplicaId, Site>) {
+    async fn found_ledger(&self, voters: BTreeMap<ReplicaId, Site>) {
         let membership = Membership {
             ledger: rand::random::<u64>().max(1),
             voters,
@@ -254,7 +258,7 @@
     }
 }
 
-async fn hello(addr: SocketAddr) -> Option<Hello> {
+async fn request_hello(addr: SocketAddr) -> Option<Hello> {
     let channel = Channel::new(addr);
     let response = channel.call::<PeerCall>(&PeerRequest::Hello, REPLY_TIMEOUT);
     match response.await.ok()? {
--- a/crates/anvilreel/src/ledger_service/events.rs
+++ b/crates/anvilreel/src/ledger_service/events.rs
@@ -1,5 +1,5 @@
-//! Numbered log events of a ledger replica, from 3001. docs/EVENTS.md describes their meaning and the
-//! response to each.
+//! Numbered log events of a ledger replica, from 3001. docs/EVENTS.md describes their meaning and
+//! the response to each.
 
 use slog::Level;
 
@@ -45,7 +45,7 @@
     LEDGER_INSTANCE_GONE = 3011 Warning "ledger_instance_gone":
         "An instance has sent no heartbeat for too long and is declared gone.";
     LEDGER_GRANT_HELD = 3012 Warning "ledger_grant_held":
-        "A fenced grant can't be closed: a lost sidecar may have charged it. See the write-off.";
+        "A fenced grant can't be closed, as a lost sidecar may have charged it; see `write-off`.";
     LEDGER_GRANT_CLOSED = 3013 Info "ledger_grant_closed":
         "A fenced grant is being closed by the evidence of all sidecars.";
     LEDGER_FETCH_FAILED = 3014 Warning "ledger_fetch_failed":
--- a/crates/anvilreel/src/ledger_service/handlers.rs
+++ b/crates/anvilreel/src/ledger_service/handlers.rs
@@ -21,7 +21,7 @@
 /// A replica that can't confirm its state for this long closes its follow streams, so that
 /// followers move to another one. With a limit shorter than an election, followers would be sent
 /// away by all replicas and only reconnect again and again.
-const MAX_SILENCE: Duration = Duration::from_millis(500);
+const UNCONFIRMED_TIMEOUT: Duration = Duration::from_millis(500);
 /// Changes within this time are sent to a follower as one event.
 const COALESCE_WINDOW: Duration = Duration::from_millis(20);
 /// Messages queued for one replica.
@@ -128,7 +128,7 @@
         }
         // Without this limit, a replica without a majority would keep its followers waiting while
         // another replica could send them newer changes. They move on as soon as the stream ends.
-        if last_event_at.elapsed() >= MAX_SILENCE
+        if last_event_at.elapsed() >= UNCONFIRMED_TIMEOUT
             || !wait_for_change(replica, &mut status, &follower, &mut tx).await
         {
             return;
--- a/crates/anvilreel/src/ledger_service/links.rs
+++ b/crates/anvilreel/src/ledger_service/links.rs
@@ -30,7 +30,7 @@
 const FETCH_TIMEOUT: Duration = Duration::from_mins(2);
 
 /// Keeps a link to every replica that the settings or the log name, and to the leader that this
-/// replica has asked to join.
+/// replica was referred to.
 pub async fn run(
     replica: ReplicaHandle,
     id: ReplicaId,
--- a/crates/anvilreel/src/ledger_service/replica_task.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task.rs
@@ -1,6 +1,5 @@
 //! The task that owns a replica. It feeds inputs to the core, carries out the core's actions, and
-//! applies committed entries to the state machine. All inputs arrive over one channel, so that the
-//! replica needs no locks.
+//! applies committed entries to the state machine. All inputs but the clock arrive over one channel.
 
 mod disk;
 mod leader_checks;
@@ -50,7 +49,7 @@
 pub enum Input {
     /// Appends a command to the log.
     Propose(Box<Command>, ReplyTx),
-    /// A linearizable read.
+    /// A read, answered once the core has confirmed it.
     Query(Query, ReplyTx),
     /// Heartbeat of an instance.
     Heartbeat(Box<Heartbeat>, ReplyTx),
