--- a/crates/anvilreel/src/ledger_service.rs
+++ b/crates/anvilreel/src/ledger_service.rs
@@ -213,7 +213,7 @@
         let serving = server.serve(handlers::all(&replica), async move {
             tokio::select! {
                 () = stop => {}
-                // The replica task has failed and `end_when_failed` is set, or it has panicked.
+                // The replica task has failed and is set to end the replica then, or it has panicked.
                 _ = task_ended.wait_for(|ended| *ended) => {}
             }
             // Can't fail: this task holds a receiver.
--- a/crates/anvilreel/tests/ledger_service/cluster.rs
+++ b/crates/anvilreel/tests/ledger_service/cluster.rs
@@ -37,7 +37,7 @@
 pub struct Cluster {
     pub folder: TempDir,
     pub peers: Vec<Peer>,
-    pub take_out: Option<TakeOut>,
+    pub auto_removal: Option<TakeOut>,
     /// Replicas named in a replica's settings, if they are not all of them; it can't found a ledger
     /// then.
     pub known_peers: BTreeMap<usize, Vec<usize>>,
@@ -62,7 +62,7 @@
         Self::start_with(size, None).await
     }
 
-    pub async fn start_with(size: usize, take_out: Option<TakeOut>) -> Result<Self, Failure> {
+    pub async fn start_with(size: usize, auto_removal: Option<TakeOut>) -> Result<Self, Failure> {
         let mut peers = Vec::new();
         for number in 0..size {
             let id = format!("ledger-{number}").into();
@@ -71,7 +71,7 @@
         }
         let mut cluster = Self {
             folder: tempfile::tempdir()?,
-            take_out,
+            auto_removal,
             known_peers: BTreeMap::new(),
             running: (0..size).map(|_| None).collect(),
             peers,
@@ -161,7 +161,7 @@
             silent_after: Duration::from_millis(500),
             gone_after: Duration::from_secs(1),
             snapshot_every: 200,
-            take_out: self.take_out,
+            take_out: self.auto_removal,
             // A short log, so that a replica with a new disk has to fetch a snapshot.
             core: CoreSettings {
                 trailing_entries: 50,
