--- a/crates/anvilreel/src/ledger_service/handlers.rs
+++ b/crates/anvilreel/src/ledger_service/handlers.rs
@@ -1,4 +1,4 @@
-//! What a replica answers over the wire.
+//! Handlers of a replica's requests from clients and from other replicas.
 
 use std::time::Duration;
 
@@ -9,87 +9,88 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep, timeout};
 
-use super::contacts::Contacts;
 use super::follow::{Follower, version_of};
-use super::node::{Inbox, Input, Public};
 use super::peer::{PeerCall, PeerReply, PeerRequest};
-use super::pending::Reply;
-
-/// Time between two ticks of a follow stream on which nothing changes. A follower leaves after
-/// some of them have failed to come, so this bounds how long it believes a replica that is cut off.
-const CURRENT: Duration = Duration::from_millis(300);
-/// A replica that has nothing true to say for so long sends its followers away. Shorter than an
-/// election, and followers that all replicas send away would do nothing but come back.
-const MUTE: Duration = Duration::from_millis(500);
-/// Changes within this time go to a follower as one.
-const GATHER: Duration = Duration::from_millis(20);
-/// Messages that wait for one replica.
-const OUTBOX: usize = 4_096;
-/// Messages sent as one.
-const ENVELOPES: usize = 64;
-/// Bytes of a snapshot sent as one.
-const CHUNK: usize = 1 << 20;
-
-/// What handlers need of the node.
+use super::peer_addresses::Contacts;
+use super::pending::ReplyTx;
+use super::replica_task::{Inbox, Input, ReplicaStatus};
+
+/// Interval of `Current` events on a follow stream without changes. A follower disconnects after
+/// several of them are missing, so this bounds for how long it trusts a replica that is cut off.
+const CURRENT_INTERVAL: Duration = Duration::from_millis(300);
+/// A replica that can't confirm its state for this long closes its follow streams, so that
+/// followers move to another one. With a limit shorter than an election, followers would be sent
+/// away by all replicas and only reconnect again and again.
+const UNCONFIRMED_TIMEOUT: Duration = Duration::from_millis(500);
+/// Changes within this time are sent to a follower as one event.
+const COALESCE_WINDOW: Duration = Duration::from_millis(20);
+/// Messages queued for one replica.
+const MESSAGE_QUEUE_LEN: usize = 4_096;
+/// Maximum number of messages sent in one reply.
+const MAX_ENVELOPES_PER_REPLY: usize = 64;
+/// Size of one chunk of a snapshot.
+const CHUNK_BYTES: usize = 1 << 20;
+
+/// Access to the replica task for handlers and for the tasks that connect to other replicas.
 #[derive(Clone)]
-pub struct Reach {
-    /// The way to it.
+pub struct ReplicaHandle {
+    /// Input channel of the replica task.
     pub inbox: Inbox,
-    /// What everybody may know of it.
-    pub public: watch::Receiver<Public>,
+    /// Status of the replica.
+    pub status: watch::Receiver<ReplicaStatus>,
     /// Whether the process is ending.
     pub stopping: watch::Receiver<bool>,
-    /// Where others are, beyond what the log names.
-    pub contacts: Contacts,
+    /// Addresses of other replicas, beyond those in the log's membership.
+    pub peer_addresses: Contacts,
     /// The data folder.
     pub disk: anvil_ledger::storage::Disk,
 }
 
-impl Reach {
-    /// Sends and waits for the answer; `None` when the node has ended.
-    pub async fn ask<T>(&self, input: impl FnOnce(oneshot::Sender<T>) -> Input) -> Option<T> {
+impl ReplicaHandle {
+    /// Sends an input and waits for its answer; `None` if the replica task has ended.
+    pub async fn request<T>(&self, input: impl FnOnce(oneshot::Sender<T>) -> Input) -> Option<T> {
         let (tx, rx) = oneshot::channel();
         self.inbox.send(input(tx)).await.ok()?;
         rx.await.ok()
     }
 
-    async fn reply(&self, input: impl FnOnce(Reply) -> Input) -> LedgerReply {
-        self.ask(input).await.unwrap_or(LedgerReply::Stopped)
+    async fn reply(&self, input: impl FnOnce(ReplyTx) -> Input) -> LedgerReply {
+        self.request(input).await.unwrap_or(LedgerReply::Stopped)
     }
 
     async fn stopped(&self) {
         let mut stopping = self.stopping.clone();
-        // An error means that the process has ended, too.
+        // An error means that the process has ended as well.
         let _ = stopping.wait_for(|stop| *stop).await;
     }
 }
 
 /// All handlers of a replica.
-pub fn all(reach: &Reach) -> Handlers {
-    let ledger = reach.clone();
-    let peer = reach.clone();
+pub fn all(replica: &ReplicaHandle) -> Handlers {
+    let ledger = replica.clone();
+    let peer = replica.clone();
     Handlers::default()
         .with::<LedgerCall, _, _>(move |req, tx| {
-            let reach = ledger.clone();
-            async move { answer(&reach, req, tx).await }
+            let replica = ledger.clone();
+            async move { handle_ledger(&replica, req, tx).await }
         })
         .with::<PeerCall, _, _>(move |req, tx| {
-            let reach = peer.clone();
-            async move { answer_peer(&reach, req, tx).await }
+            let replica = peer.clone();
+            async move { handle_peer(&replica, req, tx).await }
         })
 }
 
-async fn answer(reach: &Reach, req: LedgerRequest, tx: ReplySender<LedgerReply>) {
+async fn handle_ledger(replica: &ReplicaHandle, req: LedgerRequest, tx: ReplySender<LedgerReply>) {
     let reply = match req {
         LedgerRequest::Propose(command) => {
             let command = Box::new(command);
-            reach.reply(|reply| Input::Propose(command, reply)).await
+            replica.reply(|reply| Input::Propose(command, reply)).await
         }
-        LedgerRequest::Query(query) => reach.reply(|reply| Input::Query(query, reply)).await,
+        LedgerRequest::Query(query) => replica.reply(|reply| Input::Query(query, reply)).await,
         LedgerRequest::Heartbeat(heartbeat) => {
             let heartbeat = Box::new(heartbeat);
             let input = |reply| Input::Heartbeat(heartbeat, reply);
-            reach.reply(input).await
+            replica.reply(input).await
         }
         LedgerRequest::Follow {
             instance,
@@ -101,120 +102,136 @@
                 interest,
                 version,
             };
-            follow(reach, follower, tx).await;
+            follow(replica, follower, tx).await;
             return;
         }
     };
-    // Fails only where the asker is gone.
+    // Fails only if the caller has disconnected.
     let _ = tx.finish(&reply).await;
 }
 
-/// Sends a follower what it lacks, now and whenever that changes.
-async fn follow(reach: &Reach, mut follower: Follower, mut tx: ReplySender<LedgerReply>) {
-    let mut public = reach.public.clone();
-    let mut spoke = Instant::now();
+/// Sends a follower the changes that it lacks, until the stream ends.
+async fn follow(replica: &ReplicaHandle, mut follower: Follower, mut tx: ReplySender<LedgerReply>) {
+    let mut status = replica.status.clone();
+    let mut last_event_at = Instant::now();
     loop {
-        if let Some(event) = next_event(reach, &public, &follower).await {
-            spoke = Instant::now();
+        if let Some(event) = next_event(replica, &status, &follower).await {
+            last_event_at = Instant::now();
             follower.version = follower.version.max(version_of(&event));
             let reply = LedgerReply::Follow(event);
             tokio::select! {
                 sent = tx.send(&reply) => if sent.is_err() {
                     return;
                 },
-                () = reach.stopped() => return,
+                () = replica.stopped() => return,
             }
         }
-        // Failure: a replica without a majority keeps its followers in silence while another one
-        // could tell them what has changed. The end of the stream sends them on at once.
-        if spoke.elapsed() >= MUTE || !wait(reach, &mut public, &follower, &mut tx).await {
+        // Without this limit, a replica without a majority would keep its followers waiting while
+        // another replica could send them newer changes. They move on as soon as the stream ends.
+        if last_event_at.elapsed() >= UNCONFIRMED_TIMEOUT
+            || !wait_for_change(replica, &mut status, &follower, &mut tx).await
+        {
             return;
         }
     }
 }
 
-/// What is new, or that nothing is. Nothing at all while out of touch or behind the follower:
-/// silence tells it to look elsewhere.
+/// The changes since the follower's version, or `Current` if there are none. Returns `None` while
+/// the replica is disconnected or behind the follower, so that the follower moves to another one.
 async fn next_event(
-    reach: &Reach,
-    public: &watch::Receiver<Public>,
+    replica: &ReplicaHandle,
+    status: &watch::Receiver<ReplicaStatus>,
     follower: &Follower,
 ) -> Option<FollowEvent> {
-    let seen = public.borrow().clone();
-    if seen.version > follower.version {
+    let current_status = status.borrow().clone();
+    if current_status.version > follower.version {
         let follower = follower.clone();
         let input = |reply| Input::CatchUp(follower, reply);
-        return reach.ask(input).await.flatten();
+        return replica.request(input).await.flatten();
     }
-    let version = seen.version;
-    let current = seen.in_touch && version == follower.version;
+    let version = current_status.version;
+    let current = current_status.connected && version == follower.version;
     current.then_some(FollowEvent::Current { version })
 }
 
-/// Waits for a newer version or for the next tick; false when the follower or the process is
-/// leaving.
-async fn wait(
-    reach: &Reach,
-    public: &mut watch::Receiver<Public>,
+/// Waits for a newer version or for the next `Current` event; false if the follower has
+/// disconnected or the process is stopping.
+async fn wait_for_change(
+    replica: &ReplicaHandle,
+    status: &mut watch::Receiver<ReplicaStatus>,
     follower: &Follower,
     tx: &mut ReplySender<LedgerReply>,
 ) -> bool {
     let newer = async {
-        let seen = public.wait_for(|seen| seen.version > follower.version);
-        // An error means that the node has ended; the process follows.
-        let ended = seen.await.is_err();
-        sleep(if ended { CURRENT } else { GATHER }).await;
+        let newer_status =
+            status.wait_for(|current_status| current_status.version > follower.version);
+        // An error means that the replica task has ended; the process ends soon after.
+        let ended = newer_status.await.is_err();
+        sleep(if ended {
+            CURRENT_INTERVAL
+        } else {
+            COALESCE_WINDOW
+        })
+        .await;
     };
     tokio::select! {
         () = tx.cancelled() => false,
-        () = reach.stopped() => false,
-        // Either way there is something to say.
-        _ = timeout(CURRENT, newer) => true,
+        () = replica.stopped() => false,
+        // The caller sends an event after a timeout, too.
+        _ = timeout(CURRENT_INTERVAL, newer) => true,
     }
 }
 
-async fn answer_peer(reach: &Reach, req: PeerRequest, mut tx: ReplySender<PeerReply>) {
+async fn handle_peer(replica: &ReplicaHandle, req: PeerRequest, mut tx: ReplySender<PeerReply>) {
     let reply = match req {
-        PeerRequest::Hello => reach.ask(Input::Hello).await.map(PeerReply::Hello),
+        PeerRequest::Hello => replica.request(Input::Hello).await.map(PeerReply::Hello),
         PeerRequest::Join { id, site } => {
-            let joined = reach.ask(|reply| Input::Join(id, site, reply)).await;
+            let joined = replica.request(|reply| Input::Join(id, site, reply)).await;
             joined.map(|joined| match joined {
                 Ok(()) => PeerReply::Joining,
                 Err(leader) => PeerReply::NotLeader { leader },
             })
         }
         PeerRequest::Remove(instance) => {
-            let removed = reach.ask(|reply| Input::Remove(instance, reply)).await;
+            let removed = replica
+                .request(|reply| Input::Remove(instance, reply))
+                .await;
             removed.map(|removed| match removed {
                 Ok(()) => PeerReply::Removing,
                 Err(leader) => PeerReply::NotLeader { leader },
             })
         }
         PeerRequest::Listen { id } => {
-            speak(reach, id, tx).await;
+            send_messages(replica, id, tx).await;
             return;
         }
         PeerRequest::Fetch => {
-            hand_out(reach, tx).await;
+            send_snapshot(replica, tx).await;
             return;
         }
     };
-    // Fails only where the asker is gone.
+    // Fails only if the caller has disconnected.
     let _ = tx.send(&reply.unwrap_or(PeerReply::Nothing)).await;
 }
 
-/// Sends a replica what the core has to tell it, in order, many at once where many wait.
-async fn speak(reach: &Reach, id: ReplicaId, mut tx: ReplySender<PeerReply>) {
-    let (queue, mut rx) = mpsc::channel(OUTBOX);
-    if reach.inbox.send(Input::Listen(id, queue)).await.is_err() {
+/// Sends another replica the core's messages to it, in order, several in one reply if several are
+/// queued.
+async fn send_messages(replica: &ReplicaHandle, id: ReplicaId, mut tx: ReplySender<PeerReply>) {
+    let (queue, mut rx) = mpsc::channel(MESSAGE_QUEUE_LEN);
+    if replica
+        .inbox
+        .send(Input::Subscribe(id, queue))
+        .await
+        .is_err()
+    {
         return;
     }
     let mut envelopes: Vec<Envelope> = Vec::new();
     loop {
         let count = tokio::select! {
-            count = rx.recv_many(&mut envelopes, ENVELOPES) => count,
+            count = rx.recv_many(&mut envelopes, MAX_ENVELOPES_PER_REPLY) => count,
             () = tx.cancelled() => return,
-            () = reach.stopped() => return,
+            () = replica.stopped() => return,
         };
         if count == 0 {
             return;
@@ -224,17 +241,17 @@
             sent = tx.send(&reply) => if sent.is_err() {
                 return;
             },
-            () = reach.stopped() => return,
+            () = replica.stopped() => return,
         }
     }
 }
 
-/// Sends the newest snapshot.
-async fn hand_out(reach: &Reach, mut tx: ReplySender<PeerReply>) {
-    let disk = reach.disk.clone();
+/// Sends the newest snapshot in chunks.
+async fn send_snapshot(replica: &ReplicaHandle, mut tx: ReplySender<PeerReply>) {
+    let disk = replica.disk.clone();
     let loaded = tokio::task::spawn_blocking(move || snapshot::load(&disk)).await;
     let Ok(Ok(Some(snapshot))) = loaded else {
-        // Fails only where the asker is gone; so do the sends below.
+        // Fails only if the caller has disconnected; the same holds for the sends below.
         let _ = tx.send(&PeerReply::Nothing).await;
         return;
     };
@@ -243,7 +260,7 @@
     }
     let mut rest = snapshot.data;
     while !rest.is_empty() {
-        let chunk = rest.split_to(CHUNK.min(rest.len()));
+        let chunk = rest.split_to(CHUNK_BYTES.min(rest.len()));
         if tx.send(&PeerReply::Chunk(chunk)).await.is_err() {
             return;
         }
--- a/crates/anvilreel/src/ledger_service/pending.rs
+++ b/crates/anvilreel/src/ledger_service/pending.rs
@@ -1,4 +1,4 @@
-//! Who waits for what.
+//! Proposals and reads in flight, with the channels on which they are answered.
 
 use std::collections::BTreeMap;
 
@@ -7,92 +7,92 @@
 use anvil_world::prelude::*;
 use tokio::sync::oneshot;
 
-/// The way back to whoever asked.
-pub type Reply = oneshot::Sender<LedgerReply>;
+/// Channel on which a request is answered.
+pub type ReplyTx = oneshot::Sender<LedgerReply>;
 
-/// Proposals and reads under way.
+/// Proposals and reads in flight.
 #[derive(Default)]
 pub struct Pending {
-    last: RequestId,
-    proposed: BTreeMap<RequestId, Reply>,
-    accepted: BTreeMap<LogIndex, (Term, Reply)>,
-    reads: BTreeMap<RequestId, (Query, Reply)>,
+    last_id: RequestId,
+    proposed: BTreeMap<RequestId, ReplyTx>,
+    accepted: BTreeMap<LogIndex, (Term, ReplyTx)>,
+    reads: BTreeMap<RequestId, (Query, ReplyTx)>,
 }
 
 impl Pending {
-    /// Keeps whoever proposed and gives the proposal a number.
-    pub fn propose(&mut self, reply: Reply) -> RequestId {
-        self.last += 1;
-        self.proposed.insert(self.last, reply);
-        self.last
+    /// Registers a proposal and returns its identifier.
+    pub fn propose(&mut self, reply: ReplyTx) -> RequestId {
+        self.last_id += 1;
+        self.proposed.insert(self.last_id, reply);
+        self.last_id
     }
 
-    /// Keeps whoever reads and gives the read a number.
-    pub fn read(&mut self, query: Query, reply: Reply) -> RequestId {
-        self.last += 1;
-        self.reads.insert(self.last, (query, reply));
-        self.last
+    /// Registers a read and returns its identifier.
+    pub fn read(&mut self, query: Query, reply: ReplyTx) -> RequestId {
+        self.last_id += 1;
+        self.reads.insert(self.last_id, (query, reply));
+        self.last_id
     }
 
-    /// A proposal stands in the log.
+    /// Records the log position of an accepted proposal.
     pub fn accept(&mut self, id: RequestId, entry: EntryId) {
         if let Some(reply) = self.proposed.remove(&id) {
             self.accepted.insert(entry.index, (entry.term, reply));
         }
     }
 
-    /// An entry was applied.
+    /// Answers the proposal whose entry was applied.
     pub fn applied(&mut self, entry: EntryId, answer: Answer) {
         let Some((term, reply)) = self.accepted.remove(&entry.index) else {
             return;
         };
-        let told = if term == entry.term {
+        let value = if term == entry.term {
             LedgerReply::Applied {
                 index: entry.index,
                 answer,
             }
         } else {
-            // Another entry was committed in its place, so it never will be.
+            // Another entry was committed at its position, so this one never will be.
             LedgerReply::NotLeader { leader: None }
         };
-        tell(reply, told);
+        send_reply(reply, value);
     }
 
-    /// A read may be answered.
-    pub fn confirmed(&mut self, id: RequestId) -> Option<(Query, Reply)> {
+    /// Removes and returns a confirmed read.
+    pub fn confirmed(&mut self, id: RequestId) -> Option<(Query, ReplyTx)> {
         self.reads.remove(&id)
     }
 
-    /// A proposal or read was not taken.
+    /// Answers a proposal or read that the core refused.
     pub fn refused(&mut self, id: RequestId, reply: &LedgerReply) {
         let proposed = self.proposed.remove(&id);
         let read = self.reads.remove(&id).map(|(_, reply)| reply);
         for waiting in proposed.into_iter().chain(read) {
-            tell(waiting, reply.clone());
+            send_reply(waiting, reply.clone());
         }
     }
 
-    /// What stands in the log is in doubt.
+    /// Answers all proposals in the log: whether they will be committed is unknown.
     pub fn deposed(&mut self) {
         for (_, reply) in std::mem::take(&mut self.accepted).into_values() {
-            tell(reply, LedgerReply::InDoubt);
+            send_reply(reply, LedgerReply::InDoubt);
         }
     }
 
-    /// The replica has stopped: nothing more will be answered.
+    /// Answers all requests when the replica stops for good.
     pub fn stopped(&mut self) {
         self.deposed();
         for reply in std::mem::take(&mut self.proposed).into_values() {
-            tell(reply, LedgerReply::Stopped);
+            send_reply(reply, LedgerReply::Stopped);
         }
         for (_, reply) in std::mem::take(&mut self.reads).into_values() {
-            tell(reply, LedgerReply::Stopped);
+            send_reply(reply, LedgerReply::Stopped);
         }
     }
 }
 
-/// Answers whoever asked.
-pub fn tell(reply: Reply, told: LedgerReply) {
-    // Fails only where the asker is gone.
-    let _ = reply.send(told);
+/// Answers a request.
+pub fn send_reply(reply: ReplyTx, value: LedgerReply) {
+    // Fails only if the caller has disconnected.
+    let _ = reply.send(value);
 }
--- a/crates/anvilreel/src/ledger_service/node.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task.rs
@@ -1,10 +1,11 @@
-//! The task that owns a replica: it feeds the core and carries out what the core wants.
+//! The task that owns a replica. It feeds inputs to the core, carries out the core's actions, and
+//! applies committed entries to the state machine. All inputs but the clock arrive over one channel.
 
 mod disk;
-mod fleet;
+mod leader_checks;
 mod outbox;
-mod public;
 mod requests;
+mod status;
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -27,110 +28,111 @@
 use super::error::Fault;
 use super::events;
 use super::follow::Follower;
+use super::grant_evidence::GrantEvidence;
+use super::heartbeats::HeartbeatTracker;
 use super::peer::Hello;
-use super::pending::{Pending, Reply};
-use super::signs::Signs;
-use super::testimony::Testimony;
+use super::pending::{Pending, ReplyTx};
 use crate::event;
 use crate::metrics::Metrics;
 use outbox::Outbox;
-pub use public::Public;
+pub use status::ReplicaStatus;
 
-/// How often the core is told that time has passed.
-const TICK: Duration = Duration::from_millis(20);
-/// Events taken at once, so that many proposals share one write.
-const BATCH: usize = 1_024;
+/// Interval of the core's `Tick` events.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of inputs handled at once; proposals among them share one write.
+const MAX_BATCH: usize = 1_024;
 
-/// The way to the node.
+/// Sending half of the replica task's input channel.
 pub type Inbox = mpsc::Sender<Input>;
 
-/// What a node is asked and told.
+/// Input of the replica task.
 pub enum Input {
-    /// A command for the log.
-    Propose(Box<Command>, Reply),
-    /// A read.
-    Query(Query, Reply),
-    /// A sign of life.
-    Heartbeat(Box<Heartbeat>, Reply),
-    /// What would bring this follower up to date?
+    /// Appends a command to the log.
+    Propose(Box<Command>, ReplyTx),
+    /// A read, answered once the core has confirmed it.
+    Query(Query, ReplyTx),
+    /// Heartbeat of an instance.
+    Heartbeat(Box<Heartbeat>, ReplyTx),
+    /// Requests the event that brings this follower up to date.
     CatchUp(Follower, oneshot::Sender<Option<FollowEvent>>),
-    /// Who are you?
+    /// Requests the identity of this replica.
     Hello(oneshot::Sender<Hello>),
-    /// A replica listens for what this one has to say.
-    Listen(ReplicaId, mpsc::Sender<Envelope>),
-    /// Another replica said this.
-    Envelopes(Vec<Envelope>),
-    /// A replica wants to be taken in; answered with the leader's address when this isn't it.
+    /// Registers the queue for messages to another replica.
+    Subscribe(ReplicaId, mpsc::Sender<Envelope>),
+    /// Messages from another replica.
+    Messages(Vec<Envelope>),
+    /// Adds a replica to the ledger; answered with the leader's address if this replica doesn't
+    /// lead.
     Join(
         ReplicaId,
         Site,
         oneshot::Sender<Result<(), Option<SocketAddr>>>,
     ),
-    /// An operator takes an instance out; answered as `Join`.
+    /// Removes an instance's replica at an operator's request; answered like `Join`.
     Remove(InstanceId, oneshot::Sender<Result<(), Option<SocketAddr>>>),
-    /// Begin a ledger.
+    /// Founds a new ledger.
     Found(Membership),
-    /// The disk's thread has done something.
-    Disk(Report),
-    /// A snapshot of this replica is prepared.
-    Prepared(SnapshotMeta),
-    /// A snapshot of another replica has come; `None` when it could not be fetched.
-    Fetched(Option<(SnapshotMeta, Bytes)>),
-    /// A write outside the disk's thread failed.
+    /// Report from the writer thread.
+    DiskReport(Report),
+    /// A snapshot of this replica has been written and can be published.
+    SnapshotPrepared(SnapshotMeta),
+    /// A snapshot was fetched from another replica; `None` if that failed.
+    SnapshotFetched(Option<(SnapshotMeta, Bytes)>),
+    /// A write outside the writer thread failed.
     Failed(Fault),
 }
 
-/// What a node is made of.
+/// Parameters of a replica task.
 pub struct Setup {
-    /// The disk's number.
+    /// Identifier of the disk.
     pub id: ReplicaId,
     /// Name of the instance.
     pub instance: InstanceId,
     /// The data folder.
     pub disk: Disk,
-    /// The disk's thread.
+    /// The writer thread.
     pub writer: Writer,
-    /// What an operator need not set.
+    /// Parameters with defaults.
     pub tuning: Tuning,
-    /// Where log lines go.
+    /// Logger.
     pub log: Logger,
-    /// Where metrics go.
+    /// Destination of metrics.
     pub metrics: Metrics,
 }
 
-/// The task's state.
-pub struct Node {
+/// State of the replica task.
+pub struct ReplicaTask {
     setup: Setup,
-    begun: Instant,
+    started_at: Instant,
     replica: Replica,
     machine: Machine,
     pending: Pending,
-    signs: Signs,
-    testimony: Testimony,
+    heartbeats: HeartbeatTracker,
+    evidence: GrantEvidence,
     outbox: Outbox,
-    public: watch::Sender<Public>,
+    status: watch::Sender<ReplicaStatus>,
     inbox: Inbox,
-    covered: LogIndex,
+    snapshot_index: LogIndex,
     /// Bytes of entries applied since the last snapshot.
-    uncovered_bytes: u64,
-    /// Writes a snapshot at this moment.
-    preparing: Option<JoinHandle<()>>,
-    next_watch: Duration,
-    next_measure: Duration,
-    /// Learners of which it was said that they answer nothing.
-    told_silent: BTreeSet<ReplicaId>,
-    /// The version at which fenced grants were last looked through; 0 at an election.
-    examined: LogIndex,
+    bytes_since_snapshot: u64,
+    /// The running task that writes a snapshot.
+    snapshot_task: Option<JoinHandle<()>>,
+    next_check: Duration,
+    next_gauges: Duration,
+    /// Unresponsive learners that have been logged.
+    logged_learners: BTreeSet<ReplicaId>,
+    /// State version at which fenced grants were last evaluated; reset to 0 at an election.
+    checked_version: LogIndex,
     stopped: bool,
 }
 
-impl Node {
-    /// A node over what the data folder holds.
+impl ReplicaTask {
+    /// Creates the task from the contents of the data folder.
     pub fn new(
         setup: Setup,
         recovered: Recovered,
         inbox: Inbox,
-    ) -> Result<(Self, watch::Receiver<Public>), MachineError> {
+    ) -> Result<(Self, watch::Receiver<ReplicaStatus>), MachineError> {
         let snapshot = recovered.snapshot;
         let machine = match &snapshot {
             Some(snapshot) => Machine::restore(&snapshot.data)?,
@@ -145,49 +147,49 @@
         };
         let core = setup.tuning.core;
         let replica = Replica::new(restored, core, rand::random(), Duration::ZERO);
-        let (public, seen) = watch::channel(Public::default());
-        let mut node = Self {
+        let (status, status_rx) = watch::channel(ReplicaStatus::default());
+        let mut task = Self {
             setup,
-            begun: Instant::now(),
-            covered: replica.committed(),
+            started_at: Instant::now(),
+            snapshot_index: replica.committed(),
             replica,
             machine,
-            uncovered_bytes: 0,
+            bytes_since_snapshot: 0,
             pending: Pending::default(),
-            signs: Signs::default(),
-            testimony: Testimony::default(),
+            heartbeats: HeartbeatTracker::default(),
+            evidence: GrantEvidence::default(),
             outbox: Outbox::default(),
-            public,
+            status,
             inbox,
-            preparing: None,
-            next_watch: Duration::ZERO,
-            next_measure: Duration::ZERO,
-            told_silent: BTreeSet::new(),
-            examined: 0,
+            snapshot_task: None,
+            next_check: Duration::ZERO,
+            next_gauges: Duration::ZERO,
+            logged_learners: BTreeSet::new(),
+            checked_version: 0,
             stopped: false,
         };
-        node.publish();
-        Ok((node, seen))
+        task.publish();
+        Ok((task, status_rx))
     }
 
-    /// Runs until told to stop; gives back the disk's thread, which still has to finish.
+    /// Runs until it is stopped; returns the writer thread, which still has to finish its jobs.
     pub async fn run(
         mut self,
         mut rx: mpsc::Receiver<Input>,
         mut stop: watch::Receiver<bool>,
     ) -> Writer {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut inputs = Vec::with_capacity(BATCH);
+        let mut inputs = Vec::with_capacity(MAX_BATCH);
         loop {
             tokio::select! {
                 _ = stop.wait_for(|stop| *stop) => break,
                 _ = ticks.tick() => self.tick(),
-                count = rx.recv_many(&mut inputs, BATCH) => {
+                count = rx.recv_many(&mut inputs, MAX_BATCH) => {
                     if count == 0 {
                         break;
                     }
-                    self.take(inputs.drain(..));
+                    self.handle_inputs(inputs.drain(..));
                 }
             }
             self.publish();
@@ -196,33 +198,33 @@
             }
         }
         drop(rx);
-        self.end().await
+        self.finish().await
     }
 
-    /// Ends once nothing of it uses the data folder but the disk's thread.
+    /// Ends the task once only the writer thread still uses the data folder.
     ///
-    /// Failure: a replica is stopped while its snapshot is being written, and is started again in the
-    /// same process. It finds the folder locked, by itself, and does not start.
-    async fn end(self) -> Writer {
-        if let Some(preparing) = self.preparing {
+    /// Otherwise a replica that is stopped while its snapshot is being written and started again in
+    /// the same process would find the folder locked by itself and would not start.
+    async fn finish(self) -> Writer {
+        if let Some(snapshot_task) = self.snapshot_task {
             // A panic in it was printed when it happened.
-            let _ = preparing.await;
+            let _ = snapshot_task.await;
         }
         self.setup.writer
     }
 
     fn now(&self) -> Duration {
-        self.begun.elapsed()
+        self.started_at.elapsed()
     }
 
     fn tick(&mut self) {
         self.feed(Event::Tick);
-        self.watch_fleet();
-        self.measure();
+        self.check_fleet();
+        self.send_gauges();
     }
 
-    /// Takes what has gathered; proposals that stand together share one write.
-    fn take(&mut self, inputs: impl Iterator<Item = Input>) {
+    /// Handles queued inputs; consecutive proposals share one write.
+    fn handle_inputs(&mut self, inputs: impl Iterator<Item = Input>) {
         let mut proposals = Vec::new();
         for input in inputs {
             if let Input::Propose(command, reply) = input {
@@ -230,42 +232,43 @@
                 continue;
             }
             self.propose(&mut proposals);
-            self.take_one(input);
+            self.handle_input(input);
         }
         self.propose(&mut proposals);
     }
 
-    fn take_one(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Propose(..) => {}
             Input::Query(query, reply) => self.read(query, reply),
-            Input::Heartbeat(heartbeat, reply) => self.hear(&heartbeat, reply),
+            Input::Heartbeat(heartbeat, reply) => self.heartbeat(&heartbeat, reply),
             Input::CatchUp(follower, reply) => {
-                // Fails only where the follower is gone; so do the answers below.
+                // Fails only if the follower has disconnected; the same holds for the replies
+                // below.
                 let _ = reply.send(follower.catch_up(&self.machine));
             }
             Input::Hello(reply) => {
                 let _ = reply.send(self.hello());
             }
-            Input::Listen(id, tx) => self.outbox.open(id, tx),
-            Input::Envelopes(envelopes) => {
+            Input::Subscribe(id, tx) => self.outbox.open(id, tx),
+            Input::Messages(envelopes) => {
                 for envelope in envelopes {
                     self.feed(Event::Message(envelope));
                 }
             }
             Input::Join(id, site, reply) => {
-                let _ = reply.send(self.at_leader(Event::Join { id, site }));
+                let _ = reply.send(self.feed_if_leader(Event::Join { id, site }));
             }
             Input::Remove(instance, reply) => {
-                let _ = reply.send(self.at_leader(Event::Remove(instance)));
+                let _ = reply.send(self.feed_if_leader(Event::Remove(instance)));
             }
             Input::Found(membership) => {
                 event!(self.setup.log, events::LEDGER_FOUNDED);
                 self.feed(Event::Found(membership));
             }
-            Input::Disk(report) => self.disk_did(report),
-            Input::Prepared(meta) => self.prepared(meta),
-            Input::Fetched(fetched) => self.fetched(fetched),
+            Input::DiskReport(report) => self.disk_reported(report),
+            Input::SnapshotPrepared(meta) => self.prepared(meta),
+            Input::SnapshotFetched(fetched) => self.fetched(fetched),
             Input::Failed(fault) => self.fail(&fault),
         }
     }
@@ -278,8 +281,8 @@
         }
     }
 
-    /// Feeds the core when this replica leads, or says who does.
-    fn at_leader(&mut self, event: Event) -> Result<(), Option<SocketAddr>> {
+    /// Feeds the core if this replica leads; otherwise returns the leader's address.
+    fn feed_if_leader(&mut self, event: Event) -> Result<(), Option<SocketAddr>> {
         if !self.replica.leads() {
             return Err(self.leader_addr());
         }
@@ -293,30 +296,30 @@
         Some(site.addr)
     }
 
-    /// Feeds the core and does what it wants.
+    /// Feeds the core and performs its actions.
     pub(super) fn feed(&mut self, event: Event) {
         if self.stopped {
             return;
         }
         let led = self.replica.leads();
-        let actions = self.replica.handle(self.begun.elapsed(), event);
+        let actions = self.replica.handle(self.started_at.elapsed(), event);
         for action in actions {
             if self.stopped {
-                // An invariant failed in the action before; what follows rests on it.
+                // An invariant was violated in the previous action, and the next ones rely on it.
                 return;
             }
-            self.act(action);
+            self.perform(action);
         }
         if !led && self.replica.leads() {
             event!(self.setup.log, events::LEDGER_LEADS, "term" => self.replica.term());
-            self.signs = Signs::elected(self.now());
-            self.testimony = Testimony::default();
-            self.examined = 0;
-            self.told_silent.clear();
+            self.heartbeats = HeartbeatTracker::since_election(self.now());
+            self.evidence = GrantEvidence::default();
+            self.checked_version = 0;
+            self.logged_learners.clear();
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Write(write) => self.write(write),
             Action::Install { seq, meta, data } => self.install(seq, meta, data),
@@ -348,7 +351,7 @@
         }
     }
 
-    /// The replica does nothing any more, and says so to everyone who asks.
+    /// Stops the replica for good; every later request is answered with `Stopped`.
     fn fail(&mut self, fault: &Fault) {
         if self.stopped {
             return;
--- a/crates/anvilreel/src/ledger_service/node/requests.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task/requests.rs
@@ -1,4 +1,4 @@
-//! Proposals and reads, from the question to the answer.
+//! Handling of proposals and reads.
 
 use std::time::SystemTime;
 
@@ -6,42 +6,42 @@
 use anvil_wire::msg::{LedgerReply, Query};
 use anvil_world::prelude::*;
 
-use super::Node;
+use super::ReplicaTask;
 use crate::ledger_service::check;
-use crate::ledger_service::pending::{Reply, tell};
-use crate::ledger_service::queries::View;
+use crate::ledger_service::pending::{ReplyTx, send_reply};
+use crate::ledger_service::queries::QueryContext;
 
-impl Node {
-    /// Checks a command before the log sees it, and puts the leader's time in.
-    pub(super) fn proposal(&mut self, mut command: Command, reply: Reply) -> Option<Proposal> {
+impl ReplicaTask {
+    /// Validates a command before it is appended to the log, and sets the leader's time in it.
+    pub(super) fn proposal(&mut self, mut command: Command, reply: ReplyTx) -> Option<Proposal> {
         if self.stopped {
-            tell(reply, LedgerReply::Stopped);
+            send_reply(reply, LedgerReply::Stopped);
             return None;
         }
-        if let Some(answer) = self.overtaken(&command) {
+        if let Some(answer) = self.routing_in_force(&command) {
             let index = self.machine.state.applied();
-            tell(reply, LedgerReply::Applied { index, answer });
+            send_reply(reply, LedgerReply::Applied { index, answer });
             return None;
         }
-        if let Some(answer) = check::refuse(&command) {
-            tell(reply, LedgerReply::Applied { index: 0, answer });
+        if let Some(answer) = check::validate(&command) {
+            send_reply(reply, LedgerReply::Applied { index: 0, answer });
             return None;
         }
-        check::stamp(&mut command, SystemTime::now());
+        check::set_time(&mut command, SystemTime::now());
         let Ok(data) = anvil_ledger::machine::encode(&command) else {
-            tell(reply, LedgerReply::NoQuorum);
+            send_reply(reply, LedgerReply::NoQuorum);
             return None;
         };
         let id = self.pending.propose(reply);
         Some(Proposal { id, data })
     }
 
-    /// Answers a routing table that is in force already or overtaken, without the log.
+    /// Answers a routing table whose version is in force or older without a log entry.
     ///
-    /// Failure: an operator's acknowledgement is lost, and it sends the same table of megabytes
-    /// again and again; each time the whole log carries it, and what is new waits behind. What is
-    /// applied here is committed, so the answer is true, also from a replica that leads no more.
-    fn overtaken(&self, command: &Command) -> Option<Answer> {
+    /// An operator whose acknowledgements are lost resends the same table of several megabytes; if
+    /// each copy went through the log, new commands would wait behind them. Applied state is
+    /// committed, so the answer is correct even from a replica that no longer leads.
+    fn routing_in_force(&self, command: &Command) -> Option<Answer> {
         let Command::ReplaceRouting(replace) = command else {
             return None;
         };
@@ -63,9 +63,9 @@
         }
     }
 
-    pub(super) fn read(&mut self, query: Query, reply: Reply) {
+    pub(super) fn read(&mut self, query: Query, reply: ReplyTx) {
         if self.stopped {
-            tell(reply, LedgerReply::Stopped);
+            send_reply(reply, LedgerReply::Stopped);
             return;
         }
         let id = self.pending.read(query, reply);
@@ -82,18 +82,19 @@
         self.pending.refused(id, &reply);
     }
 
-    /// Everything up to the position that a read needs is applied when the core confirms it.
+    /// Answers a read. When the core confirms one, everything up to the position that it needs is
+    /// applied.
     pub(super) fn confirmed(&mut self, id: RequestId) {
         let Some((query, reply)) = self.pending.confirmed(id) else {
             return;
         };
-        let view = View {
+        let context = QueryContext {
             instance: &self.setup.instance,
             replica: &self.replica,
             machine: &self.machine,
-            signs: &self.signs,
+            heartbeats: &self.heartbeats,
             now: self.now(),
         };
-        tell(reply, LedgerReply::Read(view.answer(&query)));
+        send_reply(reply, LedgerReply::Read(context.answer(&query)));
     }
 }
--- a/crates/anvilreel/src/ledger_service/node/public.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task/status.rs
@@ -1,4 +1,4 @@
-//! What everybody may know of a node without asking it.
+//! Status of a replica that other tasks may read without asking the replica task.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,46 +7,46 @@
 use anvil_ledger::core::ReplicaId;
 use anvil_world::prelude::*;
 
-use super::Node;
+use super::ReplicaTask;
 use crate::metrics;
 
-/// Time between two samples of the gauges.
-const MEASURE: Duration = Duration::from_secs(5);
+/// Interval of the gauges.
+const GAUGE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What everybody may know of a node without asking it.
+/// Status of a replica that other tasks may read without asking the replica task.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Public {
-    /// The newest version of the applied state.
+pub struct ReplicaStatus {
+    /// Version of the applied state.
     pub version: LogIndex,
-    /// Whether the leader (or, at the leader, a majority) was heard of lately.
-    pub in_touch: bool,
-    /// Other replicas' addresses.
+    /// Whether the leader (or, at the leader, a majority) has responded recently.
+    pub connected: bool,
+    /// Addresses of the other replicas.
     pub peers: BTreeMap<ReplicaId, SocketAddr>,
-    /// Where the others think that it is reached, once it votes.
-    pub listed: Option<SocketAddr>,
-    /// Whether it has to ask to be taken in.
-    pub seeks_ledger: bool,
+    /// This replica's address in the membership, if it is a voter.
+    pub voter_addr: Option<SocketAddr>,
+    /// Whether it has to ask for membership.
+    pub needs_to_join: bool,
 }
 
-impl Node {
-    /// Sends the gauges now and then.
-    pub(super) fn measure(&mut self) {
+impl ReplicaTask {
+    /// Sends the gauges every `GAUGE_INTERVAL`.
+    pub(super) fn send_gauges(&mut self) {
         let now = self.now();
-        if now < self.next_measure {
+        if now < self.next_gauges {
             return;
         }
-        self.next_measure = now + MEASURE;
+        self.next_gauges = now + GAUGE_INTERVAL;
         let metrics = &self.setup.metrics;
         let leads = u64::from(self.replica.leads());
         metrics.gauge(metrics::LOG_COMMITTED, self.replica.committed());
         metrics.gauge(metrics::LOG_TERM, self.replica.term());
         metrics.gauge(metrics::LOG_LEADS, leads);
         metrics.gauge(metrics::SETTINGS_VERSION, self.machine.state.version());
-        let (heard, voters) = self.replica.responsive_voters();
+        let (responsive, voters) = self.replica.responsive_voters();
         let learners = self.replica.membership().learners.len();
         metrics.gauge(metrics::LOG_VOTERS, voters as u64);
         metrics.gauge(metrics::LOG_LEARNERS, learners as u64);
-        metrics.gauge(metrics::LOG_VOTERS_HEARD, heard as u64);
+        metrics.gauge(metrics::LOG_VOTERS_HEARD, responsive as u64);
     }
 
     fn listed_addr(&self) -> Option<SocketAddr> {
@@ -57,16 +57,16 @@
     pub(super) fn publish(&mut self) {
         let membership = self.replica.membership();
         let others = membership.replicas().filter(|(id, _)| *id != self.setup.id);
-        let public = Public {
+        let status = ReplicaStatus {
             version: self.machine.state.version(),
-            in_touch: self.replica.is_connected() && !self.stopped,
+            connected: self.replica.is_connected() && !self.stopped,
             peers: others.map(|(id, site)| (id, site.addr)).collect(),
-            listed: self.listed_addr(),
-            seeks_ledger: self.replica.needs_to_join(),
+            voter_addr: self.listed_addr(),
+            needs_to_join: self.replica.needs_to_join(),
         };
-        self.public.send_if_modified(|seen| {
-            let changed = *seen != public;
-            *seen = public;
+        self.status.send_if_modified(|current| {
+            let changed = *current != status;
+            *current = status;
             changed
         });
     }
--- a/crates/anvilreel/tests/ledger_spread.rs
+++ b/crates/anvilreel/tests/ledger_followers_and_evidence.rs
@@ -1,4 +1,4 @@
-//! What followers are sent, and how fenced grants are closed, without a network.
+//! Events sent to followers, and closing of fenced grants, without a network.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, SystemTime};
@@ -14,11 +14,11 @@
 use anvil_world::suspect::CrashedRun;
 use anvilreel::held::Held;
 use anvilreel::ledger_service::follow::Follower;
-use anvilreel::ledger_service::testimony::{Findings, Testimony};
+use anvilreel::ledger_service::grant_evidence::{Findings, GrantEvidence};
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
-/// A state machine that applies one command after the other.
+/// A state machine to which commands are applied one by one.
 #[derive(Default)]
 struct Ledger {
     machine: Machine,
@@ -51,7 +51,7 @@
         self.apply(&Command::Join(Join { instance }))
     }
 
-    /// A budget of 1,000 tokens, two sidecars, and a fenced router with a grant.
+    /// A ledger with a budget of 1,000 tokens, two sidecars, and a fenced router with a grant.
     fn with_fenced_grant() -> Result<(Self, Grant), Failure> {
         let mut ledger = Self::default();
         ledger.put("organisations/coop", 0, "")?;
@@ -108,8 +108,8 @@
     }
 }
 
-/// Evidence of one sidecar, with one run's charge.
-fn testify(
+/// A sidecar's heartbeat with evidence, optionally with one charge.
+fn evidence_heartbeat(
     sidecar: &str,
     incarnation: Incarnation,
     charge: Option<(GrantId, Tokens)>,
@@ -135,54 +135,54 @@
     }
 }
 
-/// A router dies with an open grant. Its rest comes back only when every sidecar has said what it
-/// charged: the sum is billed, no more and no less, and only after the closing is committed does a
-/// sidecar forget its evidence.
+/// Guards against a lost router's grant that is closed too early or with the wrong charge. Its rest
+/// returns to the budget only when every sidecar has reported its charges; exactly their sum is
+/// charged, and a sidecar may discard its evidence only after the closing is committed.
 #[test]
-fn a_fenced_grant_closes_when_all_sidecars_have_testified() -> Result<(), Failure> {
+fn a_fenced_grant_closes_only_when_all_sidecars_have_reported() -> Result<(), Failure> {
     let (mut ledger, grant) = Ledger::with_fenced_grant()?;
-    let mut testimony = Testimony::default();
-    let first = testify("sidecar-1", 1, Some((grant.id, 30)));
-    assert!(testimony.hear(&first, &ledger.machine).is_empty());
-    assert_eq!(testimony.examine(&ledger.machine), Findings::default());
-    let second = testify("sidecar-2", 1, Some((grant.id, 12)));
-    testimony.hear(&second, &ledger.machine);
-    let findings = testimony.examine(&ledger.machine);
+    let mut evidence = GrantEvidence::default();
+    let first = evidence_heartbeat("sidecar-1", 1, Some((grant.id, 30)));
+    assert!(evidence.record(&first, &ledger.machine).is_empty());
+    assert_eq!(evidence.evaluate(&ledger.machine), Findings::default());
+    let second = evidence_heartbeat("sidecar-2", 1, Some((grant.id, 12)));
+    evidence.record(&second, &ledger.machine);
+    let findings = evidence.evaluate(&ledger.machine);
     let close = Command::CloseGrant {
         grant: grant.id,
         charged: 42,
     };
     assert_eq!(findings.close, std::slice::from_ref(&close));
     ledger.apply(&close)?;
-    let taken = testimony.hear(&first, &ledger.machine);
-    assert_eq!(taken, [("router-1".into(), 1)]);
+    let settled_routers = evidence.record(&first, &ledger.machine);
+    assert_eq!(settled_routers, [("router-1".into(), 1)]);
     let budget = ledger.machine.state.budget("nairobi").ok_or("no budget")?;
     assert_eq!((budget.billed, budget.left()), (42, 958));
     Ok(())
 }
 
-/// A router and a sidecar are lost together, and the sidecar comes back in a new life that knows
-/// nothing of its old runs. The grant stays outstanding and is named once for an operator: what
-/// the lost life charged is not granted again.
+/// Guards against tokens that are granted twice when a router and a sidecar are lost together and
+/// the sidecar's new incarnation knows nothing of earlier runs. The grant stays outstanding,
+/// because the lost incarnation may have charged it, and is reported once for an operator.
 #[test]
-fn a_lost_sidecar_keeps_the_grant_outstanding() -> Result<(), Failure> {
+fn a_lost_sidecar_incarnation_keeps_the_grant_outstanding() -> Result<(), Failure> {
     let (mut ledger, grant) = Ledger::with_fenced_grant()?;
     ledger.join(instance("sidecar-2", Role::Sidecar, 2))?;
-    let mut testimony = Testimony::default();
-    testimony.hear(&testify("sidecar-1", 1, None), &ledger.machine);
-    testimony.hear(&testify("sidecar-2", 2, None), &ledger.machine);
-    let findings = testimony.examine(&ledger.machine);
+    let mut evidence = GrantEvidence::default();
+    evidence.record(&evidence_heartbeat("sidecar-1", 1, None), &ledger.machine);
+    evidence.record(&evidence_heartbeat("sidecar-2", 2, None), &ledger.machine);
+    let findings = evidence.evaluate(&ledger.machine);
     assert!(findings.close.is_empty());
     assert_eq!(findings.held.len(), 1);
     assert_eq!(findings.held[0].grant, grant.id);
-    assert_eq!(testimony.examine(&ledger.machine), Findings::default());
+    assert_eq!(evidence.evaluate(&ledger.machine), Findings::default());
     let budget = ledger.machine.state.budget("nairobi").ok_or("no budget")?;
     assert_eq!(budget.left(), 800);
     Ok(())
 }
 
-/// A sidecar is only cut off and declared gone; it may be running still. Its share stays
-/// outstanding as well, also for a leader that was elected since.
+/// As above for a sidecar that is cut off, declared gone and may still be running; also at a leader
+/// that was elected since.
 #[test]
 fn a_sidecar_declared_gone_keeps_the_grant_outstanding() -> Result<(), Failure> {
     let (mut ledger, _) = Ledger::with_fenced_grant()?;
@@ -193,9 +193,9 @@
     }))?;
     let saved = ledger.machine.save()?;
     let machine = Machine::restore(&saved)?;
-    let mut testimony = Testimony::default();
-    testimony.hear(&testify("sidecar-1", 1, None), &machine);
-    let findings = testimony.examine(&machine);
+    let mut evidence = GrantEvidence::default();
+    evidence.record(&evidence_heartbeat("sidecar-1", 1, None), &machine);
+    let findings = evidence.evaluate(&machine);
     assert!(findings.close.is_empty());
     assert_eq!(findings.held.len(), 1);
     Ok(())
@@ -209,10 +209,10 @@
     }
 }
 
-/// A follower moves to a replica that lags behind it. It is sent nothing until that replica has
-/// caught up, so that no accepted change is taken back before its eyes.
+/// Guards against accepted changes that are reverted at a follower. A follower that moves to a
+/// replica that lags behind it receives nothing until that replica has caught up.
 #[test]
-fn a_lagging_replica_sends_nothing_older() -> Result<(), Failure> {
+fn a_lagging_replica_sends_no_older_version() -> Result<(), Failure> {
     let mut ledger = Ledger::default();
     ledger.put("organisations/coop", 0, "weight = 1\n")?;
     let ahead = follower(FollowScope::Router, 2);
@@ -231,10 +231,10 @@
     Ok(())
 }
 
-/// A sidecar is sent the fleet's document, its own presence and the fences, and nothing of other
-/// teams.
+/// Guards against sidecars that receive other teams' documents: a sidecar receives the fleet's
+/// document, its own presence and the fences.
 #[test]
-fn a_sidecar_is_sent_only_what_it_needs() -> Result<(), Failure> {
+fn a_sidecar_receives_only_what_it_needs() -> Result<(), Failure> {
     let (mut ledger, _) = Ledger::with_fenced_grant()?;
     ledger.put("fleet", 0, "")?;
     let event = follower(FollowScope::Sidecar, 0).catch_up(&ledger.machine);
@@ -254,9 +254,10 @@
     Ok(())
 }
 
-/// Guards against routers that are not told which requests crash endpoints, or that go on holding one.
+/// Guards against routers that don't learn which requests crash endpoints, or that keep one that
+/// was cleared.
 #[test]
-fn routers_are_told_of_suspected_requests() -> Result<(), Failure> {
+fn routers_receive_suspected_requests() -> Result<(), Failure> {
     let mut ledger = Ledger::default();
     for endpoint in ["a", "b"] {
         ledger.apply(&Command::ReportCrash(ReportCrash {
@@ -281,9 +282,9 @@
     Ok(())
 }
 
-/// Guards against routers that are not told what an endpoint takes, or that its limit is over.
+/// Guards against routers that don't learn an endpoint's rate limit, or that it has ended.
 #[test]
-fn routers_are_told_of_endpoints_limits() -> Result<(), Failure> {
+fn routers_receive_endpoint_limits() -> Result<(), Failure> {
     let mut ledger = Ledger::default();
     let mut held = Held::default();
     for limit in [Some(1_000), Some(500), None] {
--- a/crates/anvilreel/tests/ledger_service/cluster.rs
+++ b/crates/anvilreel/tests/ledger_service/cluster.rs
@@ -1,4 +1,4 @@
-//! Replicas of a ledger in this process, over real sockets and folders.
+//! A cluster of ledger replicas in this process, over real sockets and data folders.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime};
@@ -20,26 +20,27 @@
 
 pub use crate::ports::free_addr;
 
-/// What ends a test.
+/// Error of a test.
 pub type Failure = Box<dyn std::error::Error + Send + Sync>;
 
-/// Longest wait for something that must come.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for conditions that must become true.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A replica that runs.
+/// A running replica.
 pub struct Running {
-    pub contacts: Contacts,
+    pub peer_addresses: Contacts,
     pub stop: oneshot::Sender<()>,
     pub handle: LedgerHandle,
 }
 
-/// Replicas with their folders; some may be stopped.
+/// Replicas with their data folders; some may be stopped.
 pub struct Cluster {
     pub folder: TempDir,
     pub peers: Vec<Peer>,
-    pub take_out: Option<TakeOut>,
-    /// Whom a replica's settings name, where those aren't all; it founds no ledger then.
-    pub knows: BTreeMap<usize, Vec<usize>>,
+    pub auto_removal: Option<TakeOut>,
+    /// Replicas named in a replica's settings, if they are not all of them; it can't found a ledger
+    /// then.
+    pub known_peers: BTreeMap<usize, Vec<usize>>,
     pub running: Vec<Option<Running>>,
 }
 
@@ -61,7 +62,7 @@
         Self::start_with(size, None).await
     }
 
-    pub async fn start_with(size: usize, take_out: Option<TakeOut>) -> Result<Self, Failure> {
+    pub async fn start_with(size: usize, auto_removal: Option<TakeOut>) -> Result<Self, Failure> {
         let mut peers = Vec::new();
         for number in 0..size {
             let id = format!("ledger-{number}").into();
@@ -70,8 +71,8 @@
         }
         let mut cluster = Self {
             folder: tempfile::tempdir()?,
-            take_out,
-            knows: BTreeMap::new(),
+            auto_removal,
+            known_peers: BTreeMap::new(),
             running: (0..size).map(|_| None).collect(),
             peers,
         };
@@ -81,22 +82,22 @@
         Ok(cluster)
     }
 
-    fn known_to(&self, number: usize) -> Vec<Peer> {
-        let Some(known) = self.knows.get(&number) else {
+    fn founders_of(&self, number: usize) -> Vec<Peer> {
+        let Some(known) = self.known_peers.get(&number) else {
             return self.peers.clone();
         };
         known.iter().map(|at| self.peers[*at].clone()).collect()
     }
 
-    /// Takes a replica's disk away; it has to be stopped.
+    /// Deletes the data folder of a stopped replica.
     pub fn wipe(&self, number: usize) -> Result<(), Failure> {
         Ok(std::fs::remove_dir_all(
             self.folder.path().join(number.to_string()),
         )?)
     }
 
-    /// Whether the newest membership on a replica's disk names that very disk as a voter.
-    pub fn votes(&self, number: usize) -> bool {
+    /// Whether the newest membership on a replica's disk names that disk as a voter.
+    pub fn is_voter(&self, number: usize) -> bool {
         let disk = Disk::read_only(&self.folder.path().join(number.to_string()));
         let Ok(Some(id)) = read_identity(&disk) else {
             return false;
@@ -105,24 +106,24 @@
         membership.is_some_and(|membership| membership.voters.contains_key(&id))
     }
 
-    /// Returns when a replica votes with the disk that it has now.
-    pub async fn until_it_votes(&self, number: usize) -> Result<(), Failure> {
+    /// Waits until a replica votes with its present disk.
+    pub async fn wait_until_voter(&self, number: usize) -> Result<(), Failure> {
         let voting = async {
-            while !self.votes(number) {
+            while !self.is_voter(number) {
                 sleep(Duration::from_millis(50)).await;
             }
         };
-        Ok(timeout(PATIENCE, voting).await?)
+        Ok(timeout(TEST_TIMEOUT, voting).await?)
     }
 
     pub async fn status(&self) -> Result<LedgerStatus, Failure> {
-        match self.ask(&LedgerRequest::Query(Query::Status)).await? {
+        match self.request(&LedgerRequest::Query(Query::Status)).await? {
             LedgerReply::Read(QueryAnswer::Status(status)) => Ok(status),
             other => Err(format!("{other:?}").into()),
         }
     }
 
-    /// Number of the replica that leads.
+    /// Number of the leading replica.
     pub async fn leader(&self) -> Result<usize, Failure> {
         let status = self.status().await?;
         let mut peers = self.peers.iter();
@@ -137,8 +138,8 @@
             wire_listen: self.peers[number].addr,
             bind: None,
             data: self.folder.path().join(number.to_string()),
-            founders: self.known_to(number),
-            join: self.knows.contains_key(&number),
+            founders: self.founders_of(number),
+            join: self.known_peers.contains_key(&number),
             log_json: false,
             statsd: None,
         }
@@ -160,8 +161,8 @@
             silent_after: Duration::from_millis(500),
             gone_after: Duration::from_secs(1),
             snapshot_every: 200,
-            take_out: self.take_out,
-            // A short log, so that a new disk has to fetch a snapshot.
+            take_out: self.auto_removal,
+            // A short log, so that a replica with a new disk has to fetch a snapshot.
             core: CoreSettings {
                 trailing_entries: 50,
                 ..CoreSettings::default()
@@ -169,11 +170,11 @@
             ..Tuning::default()
         };
         let cfg = self.settings(number);
-        let contacts = Contacts::default();
+        let peer_addresses = Contacts::default();
         let disk = open_disk(&cfg)?;
-        let handle = start_on(disk, cfg, tuning, contacts.clone(), log, stopped).await?;
+        let handle = start_on(disk, cfg, tuning, peer_addresses.clone(), log, stopped).await?;
         self.running[number] = Some(Running {
-            contacts,
+            peer_addresses,
             stop,
             handle,
         });
@@ -193,8 +194,8 @@
         }
     }
 
-    pub async fn ask(&self, req: &LedgerRequest) -> Result<LedgerReply, Failure> {
-        let asking = async {
+    pub async fn request(&self, req: &LedgerRequest) -> Result<LedgerReply, Failure> {
+        let retrying = async {
             loop {
                 for peer in &self.peers {
                     let channel = Channel::new(peer.addr);
@@ -214,11 +215,11 @@
                 sleep(Duration::from_millis(50)).await;
             }
         };
-        Ok(timeout(PATIENCE, asking).await?)
+        Ok(timeout(TEST_TIMEOUT, retrying).await?)
     }
 
     pub async fn propose(&self, command: Command) -> Result<Answer, Failure> {
-        match self.ask(&LedgerRequest::Propose(command)).await? {
+        match self.request(&LedgerRequest::Propose(command)).await? {
             LedgerReply::Applied { answer, .. } => Ok(answer),
             other => Err(format!("{other:?}").into()),
         }
@@ -226,7 +227,7 @@
 
     pub async fn budget(&self, id: &str) -> Result<Budget, Failure> {
         let query = LedgerRequest::Query(Query::Budget(id.into()));
-        match self.ask(&query).await? {
+        match self.request(&query).await? {
             LedgerReply::Read(QueryAnswer::Budgets(budgets)) => {
                 let budget = budgets.into_iter().next().ok_or("no budget")?;
                 Ok(budget.budget)
@@ -236,7 +237,7 @@
     }
 }
 
-/// Sets a document that is not there yet.
+/// Creates a document.
 pub fn put(path: &str, text: &str) -> Result<Command, Failure> {
     Ok(Command::Change(Change {
         id: change_id(SystemTime::now(), path),
@@ -248,7 +249,7 @@
     }))
 }
 
-/// Ten tokens more for the budget `nairobi`.
+/// Adds ten tokens to the budget `nairobi`.
 pub fn top_up(number: u64) -> Command {
     Command::TopUp(TopUp {
         id: change_id(SystemTime::now(), &format!("top-up-{number}")),
@@ -259,8 +260,8 @@
     })
 }
 
-/// Declares the budget `nairobi`.
-pub async fn declare(cluster: &Cluster) -> Result<(), Failure> {
+/// Declares the budget `nairobi` and its organisation.
+pub async fn declare_budget(cluster: &Cluster) -> Result<(), Failure> {
     let organisation = put("organisations/coop", "weight = 1\n")?;
     cluster.propose(organisation).await?;
     let budget = put("budgets/nairobi", "organisation = \"coop\"\n")?;
