--- a/crates/anvilreel/tests/proof_soak.rs
+++ b/crates/anvilreel/tests/proof_soak.rs
@@ -1,4 +1,4 @@
-//! A short piece of the seeded randomised run, with fixed seeds, for CI. The long one is
+//! A short seeded randomised simulation with fixed seeds, for CI. The long one is
 //! `cargo run --release -p anvilreel --example soak`.
 
 #[path = "soak/world.rs"]
@@ -6,9 +6,9 @@
 
 use world::{Plan, World};
 
-/// Routers and sidecars are killed, frozen, cut off and stopped while callers ask and come back.
-/// Whatever the order, no budget is overspent, every key is billed once, every answer is whole,
-/// "not run" is true and no order runs twice.
+/// Routers and sidecars are killed, frozen, partitioned and stopped while callers send requests and
+/// retry. In any order of these faults, no budget is overspent, every key is charged once, every
+/// response is complete, a request reported as not run has not run, and no order runs twice.
 #[test]
 fn invariants_hold_over_fixed_seeds() {
     let mut completed = 0;
@@ -21,14 +21,15 @@
         let world = world.unwrap_or_else(|e| panic!("{e}"));
         completed += world.counts["completed"];
     }
-    // Of 2,400 callers; the others met a fault that outlasted their patience.
+    // Out of 2,400 callers; the others met faults that outlasted their timeouts and attempts.
     assert!(completed > 1_200, "{completed}");
 }
 
-/// The same world with the holders' vouching taken out. It must not pass: a proof that can't fail
-/// is none. (The other guards were taken out by hand, see docs/PROOFS.md.)
+/// The same simulation with one guard disabled: holders confirm claims without checking their history.
+/// The checks must notice it; otherwise they would prove nothing. The other guards were disabled by
+/// hand, see docs/PROOFS.md.
 #[test]
-fn a_guard_taken_out_is_noticed() {
+fn a_disabled_guard_is_detected() {
     let broken = (1..=GUARD_SEEDS).any(|seed| {
         let plan = Plan {
             seed,
@@ -37,8 +38,11 @@
         };
         World::new(plan).run().is_err()
     });
-    assert!(broken, "without vouching nothing was noticed");
+    assert!(
+        broken,
+        "no violation found with the confirmation of claims disabled"
+    );
 }
 
-/// Seeds within which its absence shows.
+/// Number of seeds, one of which must show the missing guard.
 const GUARD_SEEDS: u64 = 60;
--- a/crates/anvilreel/tests/soak/callers.rs
+++ b/crates/anvilreel/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: each wants one answer and comes back with its key when it gets none.
+//! Callers: each wants one response and retries with its key until it has one or its attempts are used up.
 
 use std::time::Duration;
 
@@ -10,72 +10,72 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use super::{Happening, World};
+use super::{SimEvent, World};
 
 /// Bytes of one token's text.
 pub const TOKEN_BYTES: u64 = 8;
-/// What an order costs, in tokens.
+/// Cost of an order, in tokens.
 pub const ORDER_COST: Tokens = 5;
-/// How long a caller waits for the next byte.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// How often it comes back.
-const TRIES: u32 = 6;
+/// Time after which a caller hangs up without a complete response.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum number of attempts of one caller.
+const MAX_ATTEMPTS: u32 = 6;
 
 #[derive(Debug, Clone)]
 pub struct Caller {
     pub id: usize,
     pub key: RequestKey,
-    pub named: bool,
-    pub once: bool,
+    pub has_own_key: bool,
+    pub at_most_once: bool,
     pub prompt: Tokens,
     pub output: Tokens,
-    pub tries: u32,
-    pub got: Vec<u8>,
-    pub got_whole: bool,
+    pub attempts: u32,
+    pub received: Vec<u8>,
+    pub completed: bool,
     pub outcomes: Vec<Outcome>,
-    /// Exchanges for it that ended in doubt, whether the caller still listened or not.
-    pub doubts: u32,
-    pub at_router: Option<(usize, Incarnation, u64)>,
+    /// Exchanges for this caller with an unknown outcome, whether it was still connected or not.
+    pub unknown_outcomes: u32,
+    pub current_exchange: Option<(usize, Incarnation, u64)>,
 }
 
 impl Caller {
     pub fn draw(id: usize, rng: &mut ChaCha8Rng) -> Self {
-        let once = rng.random_range(0..5) == 0;
+        let at_most_once = rng.random_range(0..5) == 0;
         Self {
             id,
             key: RequestKey {
                 team: "counter".into(),
                 id: format!("q{id}").into(),
             },
-            named: once || rng.random_range(0..2) == 0,
-            once,
+            has_own_key: at_most_once || rng.random_range(0..2) == 0,
+            at_most_once,
             prompt: rng.random_range(5..60),
             output: rng.random_range(5..120),
-            tries: 0,
-            got: Vec::new(),
-            got_whole: false,
+            attempts: 0,
+            received: Vec::new(),
+            completed: false,
             outcomes: Vec::new(),
-            doubts: 0,
-            at_router: None,
+            unknown_outcomes: 0,
+            current_exchange: None,
         }
     }
 
-    /// What the whole answer costs, in tokens.
+    /// Cost of the complete response, in tokens.
     pub fn full_cost(&self) -> Tokens {
-        if self.once {
+        if self.at_most_once {
             return ORDER_COST;
         }
         self.prompt + self.output
     }
 
-    /// The answer that the endpoint gives, byte for byte.
-    pub fn answer(&self) -> Vec<u8> {
-        let tokens = if self.once { 1 } else { self.output };
+    /// Bytes of the complete response.
+    pub fn expected_answer(&self) -> Vec<u8> {
+        let tokens = if self.at_most_once { 1 } else { self.output };
         (0..tokens).flat_map(|i| token(&self.key, i)).collect()
     }
 
     pub fn spec(&self, now: Now, claim_id: String) -> RequestSpec {
-        let work = if self.once {
+        let work = if self.at_most_once {
             Work::Plain {
                 method: "POST".into(),
                 tail: "orders".into(),
@@ -93,15 +93,15 @@
         RequestSpec {
             key: self.key.clone(),
             claim_id: claim_id.into(),
-            has_caller_key: self.named,
+            has_caller_key: self.has_own_key,
             body_hash: [1; 32],
-            at_most_once: self.once,
+            at_most_once: self.at_most_once,
             split: split.expect("a split"),
             price: Price {
                 call: ORDER_COST,
                 ..Price::default()
             },
-            bound: if self.once {
+            bound: if self.at_most_once {
                 ORDER_COST
             } else {
                 self.prompt + self.output + 40
@@ -109,14 +109,14 @@
             work,
             class: WorkClass::Interactive,
             deadline: now + Duration::from_mins(1),
-            retention: super::routers::KEEP,
+            retention: super::routers::RETENTION,
             holders: Vec::new(),
             probe_candidates: Vec::new(),
         }
     }
 }
 
-/// The text of one token of one answer.
+/// Text of token `i` of the response to this key.
 pub fn token(key: &RequestKey, i: u64) -> Vec<u8> {
     format!("{:>6}.{:<1}", key.id, i % 10).into_bytes()
 }
@@ -126,64 +126,64 @@
         let alive: Vec<_> = (0..self.routers.len())
             .filter(|slot| self.routers[*slot].alive && !self.routers[*slot].stopping)
             .collect();
-        if self.callers[id].got_whole || self.callers[id].tries >= TRIES {
+        if self.callers[id].completed || self.callers[id].attempts >= MAX_ATTEMPTS {
             return;
         }
         if alive.is_empty() {
-            return self.after(Duration::from_secs(1), Happening::Send(id));
+            return self.schedule_after(Duration::from_secs(1), SimEvent::CallerSends(id));
         }
         let slot = alive[self.rng.random_range(0..alive.len())];
         let caller = &mut self.callers[id];
-        caller.tries += 1;
-        caller.got.clear();
-        if !caller.named && caller.tries > 1 {
-            // Without a key of its own a retry is a new request.
-            caller.key.id = format!("q{id}-{}", caller.tries).into();
+        caller.attempts += 1;
+        caller.received.clear();
+        if !caller.has_own_key && caller.attempts > 1 {
+            // Without a key chosen by the caller, a retry is a new request.
+            caller.key.id = format!("q{id}-{}", caller.attempts).into();
         }
-        let tries = caller.tries;
-        self.begin_exchange(slot, id);
-        self.after(PATIENCE, Happening::CallerPatience(id, tries));
+        let attempts = caller.attempts;
+        self.start_exchange(slot, id);
+        self.schedule_after(CALLER_TIMEOUT, SimEvent::CallerTimeout(id, attempts));
     }
 
-    /// Its patience is over: the caller hangs up and comes back if it can.
-    pub fn caller_leaves(&mut self, id: usize, tries: u32) {
-        if self.callers[id].tries != tries || self.callers[id].at_router.is_none() {
+    /// The caller's timeout has passed: it hangs up, and retries if it has a key of its own.
+    pub fn caller_times_out(&mut self, id: usize, attempts: u32) {
+        if self.callers[id].attempts != attempts || self.callers[id].current_exchange.is_none() {
             return;
         }
-        let Some((slot, life, exchange)) = self.callers[id].at_router.take() else {
+        let Some((slot, incarnation, exchange)) = self.callers[id].current_exchange.take() else {
             return;
         };
-        self.feed(slot, life, exchange, Event::CallerGone);
-        if self.callers[id].named {
-            self.caller_comes_back(id);
+        self.feed(slot, incarnation, exchange, Event::CallerGone);
+        if self.callers[id].has_own_key {
+            self.schedule_retry(id);
         }
     }
 
-    pub fn caller_comes_back(&mut self, id: usize) {
-        let pause = self.between(Duration::from_millis(100), Duration::from_secs(3));
-        self.after(pause, Happening::Send(id));
+    pub fn schedule_retry(&mut self, id: usize) {
+        let pause = self.random_duration(Duration::from_millis(100), Duration::from_secs(3));
+        self.schedule_after(pause, SimEvent::CallerSends(id));
     }
 
-    /// Bytes for a caller; every one is compared with the truth at once.
-    pub fn caller_gets(&mut self, id: usize, bytes: &[u8]) {
+    /// Delivers bytes to a caller and compares them with the expected response at once.
+    pub fn deliver_to_caller(&mut self, id: usize, bytes: &[u8]) {
         let caller = &mut self.callers[id];
-        caller.got.extend_from_slice(bytes);
-        if !caller.answer().starts_with(&caller.got) {
-            let what = format!("caller {id} got bytes that are not its answer");
-            self.truth.violate(what);
+        caller.received.extend_from_slice(bytes);
+        if !caller.expected_answer().starts_with(&caller.received) {
+            let what = format!("caller {id} received bytes that are not part of its response");
+            self.truth.record_violation(what);
         }
     }
 
-    pub fn caller_ends(&mut self, id: usize, outcome: &Outcome) {
+    pub fn finish_for_caller(&mut self, id: usize, outcome: &Outcome) {
         let caller = &mut self.callers[id];
-        caller.at_router = None;
+        caller.current_exchange = None;
         caller.outcomes.push(outcome.clone());
         match outcome {
             Outcome::Completed(_) => {
-                caller.got_whole = true;
-                if caller.got != caller.answer() {
-                    let what = format!("caller {id}: an end that looks complete and is not");
-                    self.truth.violate(what);
+                caller.completed = true;
+                if caller.received != caller.expected_answer() {
+                    let what = format!("caller {id}: response ended as complete, but is not");
+                    self.truth.record_violation(what);
                 }
                 self.count("completed");
             }
@@ -197,12 +197,12 @@
                     Reason::Leaving => "not run: leaving",
                     _ => "not run: other",
                 });
-                self.caller_comes_back(id);
+                self.schedule_retry(id);
             }
             Outcome::Unknown(_) => {
                 self.count("unknown");
-                if self.callers[id].named {
-                    self.caller_comes_back(id);
+                if self.callers[id].has_own_key {
+                    self.schedule_retry(id);
                 }
             }
         }
--- a/crates/anvilreel/tests/soak/faults.rs
+++ b/crates/anvilreel/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, by the seed.
+//! The injected faults: drawn from the seed, and applied to the simulation.
 
 use std::time::Duration;
 
@@ -13,89 +13,91 @@
     KillRouter(usize),
     KillSidecar(usize),
     FreezeRouter(usize, Duration),
-    CutPair(usize, usize, Duration),
-    CutHalf(u64, Duration),
-    CutFromLedger(usize, Duration),
+    PartitionPair(usize, usize, Duration),
+    PartitionHalves(u64, Duration),
+    PartitionFromLedger(usize, Duration),
     ResetStreams(usize),
-    LoseEngine(usize, bool),
+    BreakEngine(usize, bool),
     StopRouter(usize),
-    Leave(usize),
-    TopUpTwice,
-    CrossFrames(usize),
+    DrainSidecar(usize),
+    RepeatTopUp,
+    InjectForeignFrame(usize),
 }
 
 impl Fault {
     pub fn draw(rng: &mut ChaCha8Rng, routers: usize, sidecars: usize) -> Self {
         let r = rng.random_range(0..routers);
         let s = rng.random_range(0..sidecars);
-        let long = Duration::from_secs(rng.random_range(1..60));
+        let duration = Duration::from_secs(rng.random_range(1..60));
         let resumable = rng.random_range(0..2) == 0;
         match rng.random_range(0..13) {
             0 | 1 => Self::KillRouter(r),
             2 => Self::KillSidecar(s),
-            3 => Self::FreezeRouter(r, long),
-            4 => Self::CutPair(r, s, long),
-            5 => Self::CutHalf(rng.random(), long),
-            6 | 7 => Self::CutFromLedger(r, long),
+            3 => Self::FreezeRouter(r, duration),
+            4 => Self::PartitionPair(r, s, duration),
+            5 => Self::PartitionHalves(rng.random(), duration),
+            6 | 7 => Self::PartitionFromLedger(r, duration),
             8 => Self::ResetStreams(r),
-            9 => Self::LoseEngine(s, resumable),
+            9 => Self::BreakEngine(s, resumable),
             10 => Self::StopRouter(r),
-            11 => Self::Leave(s),
-            _ if resumable => Self::TopUpTwice,
-            _ => Self::CrossFrames(s),
+            11 => Self::DrainSidecar(s),
+            _ if resumable => Self::RepeatTopUp,
+            _ => Self::InjectForeignFrame(s),
         }
     }
 }
 
 impl World {
-    pub fn fault(&mut self, fault: &Fault) {
+    pub fn inject(&mut self, fault: &Fault) {
         let now = self.now;
         match fault {
             Fault::KillRouter(slot) => self.kill_router(*slot),
             Fault::KillSidecar(slot) => self.kill_sidecar(*slot),
-            Fault::FreezeRouter(slot, long) => {
-                self.routers[*slot].frozen_until = now + *long;
+            Fault::FreezeRouter(slot, duration) => {
+                self.routers[*slot].frozen_until = now + *duration;
                 self.count("routers frozen");
             }
-            Fault::CutPair(r, s, long) => {
+            Fault::PartitionPair(r, s, duration) => {
                 self.net
-                    .cut(&format!("r{r}"), &format!("s{s}"), now + *long);
-                self.count("links cut");
+                    .partition(&format!("r{r}"), &format!("s{s}"), now + *duration);
+                self.count("links partitioned");
             }
-            Fault::CutHalf(bits, long) => self.cut_half(*bits, now + *long),
-            Fault::CutFromLedger(r, long) => {
-                self.net.cut(&format!("r{r}"), "ledger", now + *long);
-                self.count("routers cut from ledger");
+            Fault::PartitionHalves(bits, duration) => self.partition_halves(*bits, now + *duration),
+            Fault::PartitionFromLedger(r, duration) => {
+                self.net
+                    .partition(&format!("r{r}"), "ledger", now + *duration);
+                self.count("routers partitioned from ledger");
             }
             Fault::ResetStreams(r) => {
                 self.reset_streams(|stream| stream.router == *r);
                 self.count("streams reset");
             }
-            Fault::LoseEngine(s, resumable) => self.lose_engine(*s, *resumable),
+            Fault::BreakEngine(s, resumable) => self.break_engine(*s, *resumable),
             Fault::StopRouter(slot) => self.stop_router(*slot),
-            Fault::Leave(s) => self.leave_sidecar(*s),
-            Fault::TopUpTwice => {
-                self.ledger.top_up_twice(now);
-                self.count("top-ups sent twice");
+            Fault::DrainSidecar(s) => self.drain_sidecar(*s),
+            Fault::RepeatTopUp => {
+                self.ledger.repeat_top_up(now);
+                self.count("top-ups repeated");
             }
-            Fault::CrossFrames(s) => {
-                self.sidecars[*s].cross_next = true;
-                self.count("frames crossed");
+            Fault::InjectForeignFrame(s) => {
+                self.sidecars[*s].inject_foreign_frame = true;
+                self.count("foreign frames injected");
             }
         }
     }
 
-    /// A silent partition between two halves of all nodes.
-    fn cut_half(&mut self, bits: u64, until: Now) {
-        let nodes: Vec<_> = self.nodes().into_iter().collect();
+    /// Partitions all processes into two halves, without connection errors.
+    fn partition_halves(&mut self, bits: u64, until: Now) {
+        let process_names: Vec<_> = self.process_names().into_iter().collect();
         let side = |i: usize| bits >> (i % 64) & 1;
-        for a in 0..nodes.len() {
-            for b in a + 1..nodes.len() {
+        for a in 0..process_names.len() {
+            for b in a + 1..process_names.len() {
                 if side(a) != side(b) {
-                    self.net.cut(&nodes[a], &nodes[b], until);
+                    self.net
+                        .partition(&process_names[a], &process_names[b], until);
                 }
             }
         }
-        self.count("halves cut");
+        self.count("partitions into halves");
     }
 }
--- a/crates/anvilreel/tests/soak/net.rs
+++ b/crates/anvilreel/tests/soak/net.rs
@@ -1,4 +1,5 @@
-//! Links: latency, silent partitions, and streams that break when they are cut.
+//! Simulated links: latency, partitions that drop messages without an error, and streams that break
+//! when their link is partitioned.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,65 +8,65 @@
 use anvil_world::prelude::*;
 use anvilreel::request::{Dispatch, Event};
 
-use super::{Happening, World};
+use super::{SimEvent, World};
 
 pub type StreamId = u64;
 
-/// After so long without an answered ping a cut stream breaks, as the wire's keepalive does it.
-const NOTICED: Duration = Duration::from_secs(5);
+/// Time after which a stream over a partitioned link breaks, as the keepalive of `anvil_wire` does it.
+const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One call of a router's exchange to a sidecar.
+/// A call to a sidecar that belongs to an exchange of a router.
 #[derive(Debug, Clone)]
 pub struct Stream {
     pub router: usize,
-    pub router_life: Incarnation,
+    pub router_incarnation: Incarnation,
     pub exchange: u64,
     pub dispatch: Dispatch,
     pub sidecar: usize,
-    pub life: Option<Incarnation>,
+    pub sidecar_incarnation: Option<Incarnation>,
     pub open: bool,
     breaking: bool,
-    /// Replies are in order: none arrives before the last one.
-    last: Now,
+    /// Arrival time of the last reply. Replies stay in order: none arrives earlier.
+    last_reply_at: Now,
 }
 
 #[derive(Debug, Default)]
 pub struct Net {
-    pub cuts: BTreeMap<(String, String), Now>,
+    pub partitions: BTreeMap<(String, String), Now>,
     pub streams: BTreeMap<StreamId, Stream>,
     next: StreamId,
 }
 
 impl Net {
-    pub fn cut(&mut self, a: &str, b: &str, until: Now) {
-        let pair = ordered(a, b);
-        let known = self.cuts.entry(pair).or_default();
+    pub fn partition(&mut self, a: &str, b: &str, until: Now) {
+        let pair = ordered_pair(a, b);
+        let known = self.partitions.entry(pair).or_default();
         *known = (*known).max(until);
     }
 
-    pub fn is_cut(&self, now: Now, a: &str, b: &str) -> bool {
-        self.cuts
-            .get(&ordered(a, b))
+    pub fn is_partitioned(&self, now: Now, a: &str, b: &str) -> bool {
+        self.partitions
+            .get(&ordered_pair(a, b))
             .is_some_and(|until| now < *until)
     }
 }
 
-fn ordered(a: &str, b: &str) -> (String, String) {
+fn ordered_pair(a: &str, b: &str) -> (String, String) {
     let (a, b) = if a < b { (a, b) } else { (b, a) };
     (a.to_owned(), b.to_owned())
 }
 
 impl World {
     pub fn latency(&mut self) -> Duration {
-        self.between(Duration::from_micros(300), Duration::from_millis(4))
+        self.random_duration(Duration::from_micros(300), Duration::from_millis(4))
     }
 
     pub fn open_stream(&mut self, stream: Stream, req: SidecarRequest) {
         self.net.next += 1;
         let id = self.net.next;
         self.net.streams.insert(id, stream);
-        let pause = self.latency();
-        self.after(pause, Happening::StreamOut(id, Box::new(req)));
+        let delay = self.latency();
+        self.schedule_after(delay, SimEvent::StreamRequest(id, Box::new(req)));
     }
 
     pub fn new_stream(
@@ -77,19 +78,19 @@
     ) -> Stream {
         Stream {
             router,
-            router_life: self.routers[router].life,
+            router_incarnation: self.routers[router].incarnation,
             exchange,
             dispatch,
             sidecar: to,
-            life: None,
+            sidecar_incarnation: None,
             open: true,
             breaking: false,
-            last: Now::ZERO,
+            last_reply_at: Now::ZERO,
         }
     }
 
-    /// Whether the stream's link lets a message pass now; a cut one begins to break.
-    fn passes(&mut self, id: StreamId) -> bool {
+    /// Whether the stream's link lets a message pass now. A stream over a partitioned link begins to break.
+    fn lets_pass(&mut self, id: StreamId) -> bool {
         let Some(stream) = self.net.streams.get_mut(&id) else {
             return false;
         };
@@ -100,107 +101,112 @@
             format!("r{}", stream.router),
             format!("s{}", stream.sidecar),
         );
-        let cuts = &self.net.cuts;
-        let until = cuts.get(&ordered(&r, &s));
+        let partitions = &self.net.partitions;
+        let until = partitions.get(&ordered_pair(&r, &s));
         if until.is_none_or(|until| self.now >= *until) {
             return true;
         }
         stream.breaking = true;
-        self.after(NOTICED, Happening::StreamBroken(id, false));
+        self.schedule_after(KEEPALIVE_TIMEOUT, SimEvent::StreamBroken(id, false));
         false
     }
 
-    pub fn stream_out(&mut self, id: StreamId, req: SidecarRequest) {
+    pub fn deliver_request(&mut self, id: StreamId, req: SidecarRequest) {
         let Some(stream) = self.net.streams.get(&id).cloned() else {
             return;
         };
         if !self.sidecars[stream.sidecar].alive {
-            return self.after(Duration::from_millis(2), Happening::StreamBroken(id, true));
+            return self.schedule_after(Duration::from_millis(2), SimEvent::StreamBroken(id, true));
         }
-        if !self.passes(id) {
+        if !self.lets_pass(id) {
             return;
         }
-        let life = self.sidecars[stream.sidecar].life;
+        let sidecar_incarnation = self.sidecars[stream.sidecar].incarnation;
         if let Some(stream) = self.net.streams.get_mut(&id) {
-            stream.life = Some(life);
+            stream.sidecar_incarnation = Some(sidecar_incarnation);
         }
-        self.sidecar_request(stream.sidecar, id, req);
+        self.handle_sidecar_request(stream.sidecar, id, req);
     }
 
-    /// Sends a reply back along a stream, in order.
-    pub fn send_back(&mut self, id: StreamId, reply: SidecarReply) {
-        if !self.passes(id) {
+    /// Sends a reply to the router over a stream, in order.
+    pub fn send_reply(&mut self, id: StreamId, reply: SidecarReply) {
+        if !self.lets_pass(id) {
             return;
         }
-        let pause = self.latency();
+        let delay = self.latency();
         let now = self.now;
         let Some(stream) = self.net.streams.get_mut(&id) else {
             return;
         };
-        let when = (now + pause).max(stream.last + Duration::from_nanos(1));
-        stream.last = when;
-        self.at(when, Happening::StreamBack(id, Box::new(reply)));
+        let when = (now + delay).max(stream.last_reply_at + Duration::from_nanos(1));
+        stream.last_reply_at = when;
+        self.schedule_at(when, SimEvent::StreamReply(id, Box::new(reply)));
     }
 
-    pub fn stream_back(&mut self, id: StreamId, reply: SidecarReply) {
+    pub fn deliver_reply(&mut self, id: StreamId, reply: SidecarReply) {
         let Some(stream) = self.net.streams.get(&id).cloned() else {
             return;
         };
-        if let Some(until) = self.frozen(stream.router, stream.router_life) {
-            return self.at(until, Happening::StreamBack(id, Box::new(reply)));
+        if let Some(until) = self.frozen(stream.router, stream.router_incarnation) {
+            return self.schedule_at(until, SimEvent::StreamReply(id, Box::new(reply)));
         }
-        if !self.passes(id) {
+        if !self.lets_pass(id) {
             return;
         }
         let more = matches!(reply, SidecarReply::Head(_) | SidecarReply::Frame(_));
         let dispatch = stream.dispatch;
         self.feed(
             stream.router,
-            stream.router_life,
+            stream.router_incarnation,
             stream.exchange,
             Event::Reply { dispatch, reply },
         );
-        if more && let Some(life) = stream.life {
-            self.after(
+        if more && let Some(sidecar_incarnation) = stream.sidecar_incarnation {
+            self.schedule_after(
                 Duration::from_millis(1),
-                Happening::Ready(stream.sidecar, life, id),
+                SimEvent::ReaderReady(stream.sidecar, sidecar_incarnation, id),
             );
         }
     }
 
-    /// A stream is over for both sides.
-    pub fn stream_broken(&mut self, id: StreamId, never_sent: bool) {
+    /// A stream has broken for both sides.
+    pub fn break_stream(&mut self, id: StreamId, never_sent: bool) {
         let Some(stream) = self.net.streams.get(&id).cloned() else {
             return;
         };
-        if let Some(until) = self.frozen(stream.router, stream.router_life) {
-            return self.at(until, Happening::StreamBroken(id, never_sent));
+        if let Some(until) = self.frozen(stream.router, stream.router_incarnation) {
+            return self.schedule_at(until, SimEvent::StreamBroken(id, never_sent));
         }
-        self.stream_gone(id);
+        self.close_stream(id);
         let dispatch = stream.dispatch;
         let event = Event::CallBroken {
             dispatch,
             never_sent,
         };
-        self.feed(stream.router, stream.router_life, stream.exchange, event);
+        self.feed(
+            stream.router,
+            stream.router_incarnation,
+            stream.exchange,
+            event,
+        );
     }
 
-    /// The sidecar hears that the router's side is gone.
-    pub fn stream_gone(&mut self, id: StreamId) {
+    /// The router's side has closed a stream; its sidecar notices.
+    pub fn close_stream(&mut self, id: StreamId) {
         if let Some(stream) = self.net.streams.remove(&id)
-            && let Some(life) = stream.life
+            && let Some(sidecar_incarnation) = stream.sidecar_incarnation
         {
-            self.reader_gone(stream.sidecar, life, id);
+            self.reader_gone(stream.sidecar, sidecar_incarnation, id);
         }
     }
 
-    /// Breaks every stream for which this holds, as a reset connection does.
+    /// Breaks every stream that `which` selects, as a reset connection does.
     pub fn reset_streams(&mut self, which: impl Fn(&Stream) -> bool) {
-        let hit = self.net.streams.iter().filter(|(_, stream)| which(stream));
-        let hit: Vec<_> = hit.map(|(id, _)| *id).collect();
-        for id in hit {
-            let pause = self.latency();
-            self.after(pause, Happening::StreamBroken(id, false));
+        let affected = self.net.streams.iter().filter(|(_, stream)| which(stream));
+        let affected: Vec<_> = affected.map(|(id, _)| *id).collect();
+        for id in affected {
+            let delay = self.latency();
+            self.schedule_after(delay, SimEvent::StreamBroken(id, false));
         }
     }
 }
--- a/crates/anvilreel/tests/soak/routers.rs
+++ b/crates/anvilreel/tests/soak/routers.rs
@@ -1,4 +1,5 @@
-//! Router nodes: a shell as thin as the real one around account, claims and exchanges.
+//! Simulated routers: a thin I/O layer, like the real one, around the real grant account, claims and
+//! exchanges.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -13,72 +14,72 @@
 use anvilreel::request::{Action, ClaimAnswer, Dispatch, Event, Exchange, Holder, Target};
 use rand::RngExt;
 
-use super::ledger::{Asked, ToLedger};
+use super::ledger::{LedgerMessage, LedgerRequest};
 use super::net::StreamId;
-use super::{Happening, World};
+use super::{SimEvent, World};
 
-/// How long an answer to a claim is waited for.
 /// How long answers and claims are kept.
-pub const KEEP: Duration = Duration::from_secs(150);
-const CLAIM_WITHIN: Duration = Duration::from_secs(2);
+pub const RETENTION: Duration = Duration::from_secs(150);
+/// Maximum wait for the answer to a claim.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Clone)]
-pub enum FromLedger {
+pub enum RouterMessage {
     Grants(GrantBatchAnswer),
     Denied(Denial),
     Claimed(u64, Box<ClaimRecord>),
-    ClaimLost(u64, Holder),
-    Placed(u64, InstanceId, Option<IdempotentClaim>),
+    ClaimTimedOut(u64, Holder),
+    PeerClaimAnswer(u64, InstanceId, Option<IdempotentClaim>),
     Members(BTreeMap<InstanceId, Member>, bool),
 }
 
-/// A claim on its way to a peer.
+/// A claim sent to another router.
 #[derive(Debug, Clone)]
-pub struct PeerClaim {
+pub struct ClaimMessage {
     pub from: (usize, Incarnation, u64),
     pub claim: IdempotentClaim,
     pub holders: Vec<ClaimHolder>,
 }
 
-pub struct Running {
+pub struct RunningExchange {
     pub exchange: Exchange,
     pub caller: usize,
     pub streams: BTreeMap<Dispatch, StreamId>,
 }
 
-pub struct RouterNode {
+pub struct SimulatedRouter {
     pub slot: usize,
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     pub alive: bool,
     pub stopping: bool,
     pub frozen_until: Now,
     pub account: Arc<GrantAccount>,
     pub claim_store: ClaimStore,
     pub holder_history: HolderHistory,
-    /// When the ledger was last heard of.
-    pub heard: Now,
+    /// When members were last received from the ledger.
+    pub ledger_contact: Now,
     pub members: BTreeMap<InstanceId, Member>,
-    pub running: BTreeMap<u64, Running>,
-    next: u64,
-    last_alive: Now,
+    pub running: BTreeMap<u64, RunningExchange>,
+    next_exchange: u64,
+    last_heartbeat: Now,
 }
 
-impl RouterNode {
+impl SimulatedRouter {
     pub fn new(slot: usize) -> Self {
         Self {
             slot,
-            life: 0,
+            incarnation: 0,
             alive: false,
             stopping: false,
             frozen_until: Now::ZERO,
             account: new_account(slot, 0),
             claim_store: ClaimStore::default(),
-            holder_history: HolderHistory::new("ke-central".into(), KEEP, Now::ZERO),
-            heard: Now::ZERO,
+            holder_history: HolderHistory::new("ke-central".into(), RETENTION, Now::ZERO),
+            ledger_contact: Now::ZERO,
             members: BTreeMap::new(),
             running: BTreeMap::new(),
-            next: 0,
-            last_alive: Now::ZERO,
+            next_exchange: 0,
+            last_heartbeat: Now::ZERO,
         }
     }
 
@@ -89,7 +90,7 @@
     pub fn instance(&self) -> Instance {
         Instance {
             id: self.id(),
-            incarnation: self.life,
+            incarnation: self.incarnation,
             role: Role::Router,
             zone: zone(self.slot),
             addr: addr(),
@@ -98,9 +99,9 @@
     }
 }
 
-fn new_account(slot: usize, life: Incarnation) -> Arc<GrantAccount> {
+fn new_account(slot: usize, incarnation: Incarnation) -> Arc<GrantAccount> {
     let id = format!("r{slot}").into();
-    Arc::new(GrantAccount::new(id, life, GrantPolicy::default()))
+    Arc::new(GrantAccount::new(id, incarnation, GrantPolicy::default()))
 }
 
 pub fn zone(slot: usize) -> Zone {
@@ -117,22 +118,23 @@
 impl World {
     pub fn join_router(&mut self, slot: usize) {
         let router = &mut self.routers[slot];
-        let life = router.life + 1;
-        let next = router.next;
-        *router = RouterNode::new(slot);
-        router.life = life;
-        router.next = next;
+        let incarnation = router.incarnation + 1;
+        let next_exchange = router.next_exchange;
+        *router = SimulatedRouter::new(slot);
+        router.incarnation = incarnation;
+        router.next_exchange = next_exchange;
         router.alive = true;
-        router.account = new_account(slot, life);
+        router.account = new_account(slot, incarnation);
         let now = self.now;
-        router.holder_history = HolderHistory::new("ke-central".into(), KEEP, now);
-        self.at(now, Happening::RouterTick(slot, life));
+        router.holder_history = HolderHistory::new("ke-central".into(), RETENTION, now);
+        self.schedule_at(now, SimEvent::RouterTick(slot, incarnation));
     }
 
-    /// When a frozen router goes on.
-    pub fn frozen(&self, slot: usize, life: Incarnation) -> Option<Now> {
+    /// When this incarnation continues, if it is frozen now.
+    pub fn frozen(&self, slot: usize, incarnation: Incarnation) -> Option<Now> {
         let router = &self.routers[slot];
-        (router.life == life && self.now < router.frozen_until).then_some(router.frozen_until)
+        (router.incarnation == incarnation && self.now < router.frozen_until)
+            .then_some(router.frozen_until)
     }
 
     pub fn kill_router(&mut self, slot: usize) {
@@ -140,27 +142,29 @@
             return;
         }
         self.count("routers killed");
-        self.drop_router(slot);
-        let pause = self.between(Duration::from_millis(500), Duration::from_secs(20));
-        let life = self.routers[slot].life;
-        // The new life begins with its first tick.
-        self.after(pause, Happening::RouterTick(slot, life + 1));
+        self.shut_down_router(slot);
+        let pause = self.random_duration(Duration::from_millis(500), Duration::from_secs(20));
+        let incarnation = self.routers[slot].incarnation;
+        // The new incarnation begins with its first tick.
+        self.schedule_after(pause, SimEvent::RouterTick(slot, incarnation + 1));
     }
 
-    fn drop_router(&mut self, slot: usize) {
+    fn shut_down_router(&mut self, slot: usize) {
         let router = &mut self.routers[slot];
         router.alive = false;
         let running = std::mem::take(&mut router.running);
         self.reset_streams(|stream| stream.router == slot);
         for running in running.into_values() {
             let caller = running.caller;
-            if self.callers[caller].at_router.take().is_some() && self.callers[caller].named {
-                self.caller_comes_back(caller);
+            if self.callers[caller].current_exchange.take().is_some()
+                && self.callers[caller].has_own_key
+            {
+                self.schedule_retry(caller);
             }
         }
     }
 
-    /// A planned stop: nothing new, streams finish, grants go back, claims are handed over.
+    /// Begins a planned stop: no new requests, streams finish, grants are returned, claims are handed over.
     pub fn stop_router(&mut self, slot: usize) {
         if !self.routers[slot].alive || self.routers[slot].stopping {
             return;
@@ -192,117 +196,127 @@
         }
     }
 
-    pub fn router_tick(&mut self, slot: usize, life: Incarnation) {
-        if let Some(until) = self.frozen(slot, life) {
-            return self.at(until, Happening::RouterTick(slot, life));
+    pub fn router_tick(&mut self, slot: usize, incarnation: Incarnation) {
+        if let Some(until) = self.frozen(slot, incarnation) {
+            return self.schedule_at(until, SimEvent::RouterTick(slot, incarnation));
         }
-        if self.routers[slot].life + 1 == life && !self.routers[slot].alive {
+        if self.routers[slot].incarnation + 1 == incarnation && !self.routers[slot].alive {
             return self.join_router(slot);
         }
-        if self.routers[slot].life != life || !self.routers[slot].alive {
+        if self.routers[slot].incarnation != incarnation || !self.routers[slot].alive {
             return;
         }
         let urgent = self.routers[slot].account.is_urgent();
         let pause = Duration::from_millis(if urgent { 50 } else { 200 });
-        self.after(pause, Happening::RouterTick(slot, life));
-        if self.finished_stopping(slot) {
+        self.schedule_after(pause, SimEvent::RouterTick(slot, incarnation));
+        if self.finish_planned_stop(slot) {
             return;
         }
         let now = self.now;
         if let Some(batch) = self.routers[slot].account.next_batch(now) {
-            self.ask_ledger(slot, Asked::Batch(batch));
+            self.send_from_router(slot, LedgerRequest::Batch(batch));
         }
-        if now >= self.routers[slot].last_alive + Duration::from_secs(1) {
-            self.routers[slot].last_alive = now;
+        if now >= self.routers[slot].last_heartbeat + Duration::from_secs(1) {
+            self.routers[slot].last_heartbeat = now;
             let instance = Box::new(self.routers[slot].instance());
-            self.ask_ledger(slot, Asked::Alive(instance, Vec::new()));
+            self.send_from_router(slot, LedgerRequest::Heartbeat(instance, Vec::new()));
         }
     }
 
-    fn finished_stopping(&mut self, slot: usize) -> bool {
+    fn finish_planned_stop(&mut self, slot: usize) -> bool {
         let router = &self.routers[slot];
         if !router.stopping || !router.running.is_empty() || !router.account.is_empty() {
             return false;
         }
         self.count("routers stopped cleanly");
-        self.drop_router(slot);
-        let life = self.routers[slot].life;
-        self.after(
+        self.shut_down_router(slot);
+        let incarnation = self.routers[slot].incarnation;
+        self.schedule_after(
             Duration::from_secs(3),
-            Happening::RouterTick(slot, life + 1),
+            SimEvent::RouterTick(slot, incarnation + 1),
         );
         true
     }
 
-    fn ask_ledger(&mut self, slot: usize, what: Asked) {
-        let life = self.routers[slot].life;
-        self.send_ledger(ToLedger {
+    fn send_from_router(&mut self, slot: usize, body: LedgerRequest) {
+        let incarnation = self.routers[slot].incarnation;
+        self.send_to_ledger(LedgerMessage {
             from: format!("r{slot}"),
             slot,
-            life,
-            what,
+            incarnation,
+            body,
         });
     }
 
-    pub fn router_hears(&mut self, slot: usize, life: Incarnation, msg: FromLedger) {
-        if let Some(until) = self.frozen(slot, life) {
-            return self.at(until, Happening::ToRouter(slot, life, msg));
+    pub fn handle_router_message(
+        &mut self,
+        slot: usize,
+        incarnation: Incarnation,
+        msg: RouterMessage,
+    ) {
+        if let Some(until) = self.frozen(slot, incarnation) {
+            return self.schedule_at(until, SimEvent::RouterMessage(slot, incarnation, msg));
         }
-        if self.routers[slot].life != life || !self.routers[slot].alive {
+        if self.routers[slot].incarnation != incarnation || !self.routers[slot].alive {
             return;
         }
         let now = self.now;
         let account = self.routers[slot].account.clone();
         match msg {
-            FromLedger::Grants(answer) => {
+            RouterMessage::Grants(answer) => {
                 if let Err(e) = account.apply_answer(now, &answer) {
-                    self.truth.violate(e.to_string());
+                    self.truth.record_violation(e.to_string());
                 }
                 self.feed_all(slot, || Event::GrantsChanged);
             }
-            FromLedger::Denied(denial) => {
+            RouterMessage::Denied(denial) => {
                 if account.apply_denial(now, &denial) {
-                    self.fenced_out(slot);
+                    self.restart_fenced_router(slot);
                 }
             }
-            FromLedger::Claimed(exchange, record) => {
+            RouterMessage::Claimed(exchange, record) => {
                 let event = Event::Claimed {
                     holder: Holder::Ledger,
-                    answer: ledger_answer(*record),
+                    answer: answer_from_record(*record),
                 };
-                self.feed(slot, life, exchange, event);
+                self.feed(slot, incarnation, exchange, event);
             }
-            FromLedger::ClaimLost(exchange, holder) => {
+            RouterMessage::ClaimTimedOut(exchange, holder) => {
                 let answer = ClaimAnswer::Unavailable;
-                self.feed(slot, life, exchange, Event::Claimed { holder, answer });
+                self.feed(
+                    slot,
+                    incarnation,
+                    exchange,
+                    Event::Claimed { holder, answer },
+                );
             }
-            FromLedger::Placed(exchange, holder, claim) => {
+            RouterMessage::PeerClaimAnswer(exchange, holder, claim) => {
                 let event = Event::Claimed {
                     holder: Holder::Router(holder),
-                    answer: claim.map_or(ClaimAnswer::Unavailable, placed_answer),
+                    answer: claim.map_or(ClaimAnswer::Unavailable, answer_from_peer),
                 };
-                self.feed(slot, life, exchange, event);
+                self.feed(slot, incarnation, exchange, event);
             }
-            FromLedger::Members(_, false) => self.fenced_out(slot),
-            FromLedger::Members(members, true) => self.new_members(slot, members),
+            RouterMessage::Members(_, false) => self.restart_fenced_router(slot),
+            RouterMessage::Members(members, true) => self.apply_members(slot, members),
         }
     }
 
-    /// This life was declared lost while it was cut off: the process begins a new one.
-    fn fenced_out(&mut self, slot: usize) {
+    /// This incarnation was declared lost while it was partitioned: the process starts a new one.
+    fn restart_fenced_router(&mut self, slot: usize) {
         self.count("routers fenced out");
         self.routers[slot].account.fence();
-        self.drop_router(slot);
-        let life = self.routers[slot].life;
-        self.after(
+        self.shut_down_router(slot);
+        let incarnation = self.routers[slot].incarnation;
+        self.schedule_after(
             Duration::from_secs(1),
-            Happening::RouterTick(slot, life + 1),
+            SimEvent::RouterTick(slot, incarnation + 1),
         );
     }
 
-    fn new_members(&mut self, slot: usize, members: BTreeMap<InstanceId, Member>) {
+    fn apply_members(&mut self, slot: usize, members: BTreeMap<InstanceId, Member>) {
         let now = self.now;
-        self.routers[slot].heard = now;
+        self.routers[slot].ledger_contact = now;
         self.routers[slot]
             .holder_history
             .record_members(now, members.values());
@@ -324,18 +338,18 @@
     }
 
     fn feed_all(&mut self, slot: usize, event: impl Fn() -> Event) {
-        let life = self.routers[slot].life;
+        let incarnation = self.routers[slot].incarnation;
         let ids: Vec<_> = self.routers[slot].running.keys().copied().collect();
         for id in ids {
-            self.feed(slot, life, id, event());
+            self.feed(slot, incarnation, id, event());
         }
     }
 
-    pub fn begin_exchange(&mut self, slot: usize, caller: usize) {
+    pub fn start_exchange(&mut self, slot: usize, caller: usize) {
         let router = &mut self.routers[slot];
-        router.next += 1;
-        let (id, life) = (router.next, router.life);
-        let mut spec = self.callers[caller].spec(self.now, format!("r{slot}/{life}/{id}"));
+        router.next_exchange += 1;
+        let (id, incarnation) = (router.next_exchange, router.incarnation);
+        let mut spec = self.callers[caller].spec(self.now, format!("r{slot}/{incarnation}/{id}"));
         spec.holders = placement(&spec.key, "ke-central", router.members.values());
         let sidecars = router
             .members
@@ -349,26 +363,26 @@
                 .map(|m| Target::new(m.instance.id.clone(), m.instance.incarnation))
                 .collect();
         }
-        let running = Running {
+        let running = RunningExchange {
             exchange: Exchange::new(spec),
             caller,
             streams: BTreeMap::new(),
         };
         router.running.insert(id, running);
-        self.callers[caller].at_router = Some((slot, life, id));
-        self.feed(slot, life, id, Event::Begin);
+        self.callers[caller].current_exchange = Some((slot, incarnation, id));
+        self.feed(slot, incarnation, id, Event::Begin);
     }
 
-    pub fn router_wake(&mut self, slot: usize, life: Incarnation, id: u64) {
-        if let Some(until) = self.frozen(slot, life) {
-            return self.at(until, Happening::Wake(slot, life, id));
+    pub fn exchange_timer(&mut self, slot: usize, incarnation: Incarnation, id: u64) {
+        if let Some(until) = self.frozen(slot, incarnation) {
+            return self.schedule_at(until, SimEvent::ExchangeTimer(slot, incarnation, id));
         }
-        self.feed(slot, life, id, Event::TimerFired);
+        self.feed(slot, incarnation, id, Event::TimerFired);
     }
 
-    /// Feeds one event to an exchange and does what it wants, until it wants nothing more.
-    pub fn feed(&mut self, slot: usize, life: Incarnation, id: u64, event: Event) {
-        if self.routers[slot].life != life {
+    /// Feeds one event to an exchange and performs the resulting actions, until none are left.
+    pub fn feed(&mut self, slot: usize, incarnation: Incarnation, id: u64, event: Event) {
+        if self.routers[slot].incarnation != incarnation {
             return;
         }
         let account = self.routers[slot].account.clone();
@@ -381,12 +395,12 @@
                 return;
             };
             let key = running.exchange.spec().key.id.clone();
-            let what = format!("r{slot}/{life}/{id} {key} <- {event:?}");
+            let body = format!("r{slot}/{incarnation}/{id} {key} <- {event:?}");
             let actions = running.exchange.handle(self.now, &account, event);
-            self.trace(|| what);
+            self.trace(|| body);
             for action in actions {
-                self.trace(|| format!("r{slot}/{life}/{id} {key} -> {action:?}"));
-                events.extend(self.act(slot, id, action));
+                self.trace(|| format!("r{slot}/{incarnation}/{id} {key} -> {action:?}"));
+                events.extend(self.perform(slot, id, action));
             }
             let running = self.routers[slot].running.get(&id);
             if running.is_some_and(|r| r.exchange.is_finished()) && events.is_empty() {
@@ -395,8 +409,8 @@
         }
     }
 
-    fn act(&mut self, slot: usize, id: u64, action: Action) -> Option<Event> {
-        let life = self.routers[slot].life;
+    fn perform(&mut self, slot: usize, id: u64, action: Action) -> Option<Event> {
+        let incarnation = self.routers[slot].incarnation;
         let account = self.routers[slot].account.clone();
         let running = self.routers[slot].running.get(&id)?;
         let (caller, spec) = (running.caller, running.exchange.spec().clone());
@@ -406,11 +420,16 @@
             }
             Action::PutClaim { holder, claim } => self.put_claim(slot, id, &holder, claim),
             Action::PutLedgerClaim(claim) => {
-                self.ask_ledger(slot, Asked::Claim(id, claim));
-                let lost = FromLedger::ClaimLost(id, Holder::Ledger);
-                self.after(CLAIM_WITHIN, Happening::ToRouter(slot, life, lost));
+                self.send_from_router(slot, LedgerRequest::Claim(id, claim));
+                let lost = RouterMessage::ClaimTimedOut(id, Holder::Ledger);
+                self.schedule_after(
+                    CLAIM_TIMEOUT,
+                    SimEvent::RouterMessage(slot, incarnation, lost),
+                );
+            }
+            Action::SettleClaim(settle) => {
+                self.send_from_router(slot, LedgerRequest::Settle(settle));
             }
-            Action::SettleClaim(settle) => self.ask_ledger(slot, Asked::Settle(settle)),
             Action::Reserve => {
                 let reserved = account.reserve(self.now, &spec.split, spec.bound);
                 return Some(match reserved {
@@ -422,10 +441,11 @@
             Action::Settle { reservation, cost } => {
                 let grants = reservation.grants();
                 for (budget, tokens) in spec.split.divide(cost) {
-                    self.truth.settle(&spec.key, grants[budget].0, tokens);
+                    self.truth
+                        .record_settlement(&spec.key, grants[budget].0, tokens);
                 }
                 if let Err(e) = account.settle(reservation, cost) {
-                    self.truth.violate(e.to_string());
+                    self.truth.record_violation(e.to_string());
                 }
             }
             Action::Call {
@@ -440,113 +460,121 @@
             Action::DropCall { dispatch } => self.drop_call(slot, id, dispatch),
             Action::DeliverHead(_) => {}
             Action::Deliver(bytes) => {
-                if self.is_at(caller, slot, id) {
-                    self.caller_gets(caller, &bytes);
+                if self.is_served_by(caller, slot, id) {
+                    self.deliver_to_caller(caller, &bytes);
                 }
             }
-            Action::SetTimer(when) => self.at(when, Happening::Wake(slot, life, id)),
+            Action::SetTimer(when) => {
+                self.schedule_at(when, SimEvent::ExchangeTimer(slot, incarnation, id));
+            }
             Action::Finish { outcome, .. } => {
                 if matches!(outcome, Outcome::NotRun(_)) {
-                    self.truth.told_not_run.insert((slot, life, id));
+                    self.truth.reported_not_run.insert((slot, incarnation, id));
                 }
                 if matches!(outcome, Outcome::Unknown(_)) {
-                    self.callers[caller].doubts += 1;
+                    self.callers[caller].unknown_outcomes += 1;
                 }
-                if self.is_at(caller, slot, id) {
-                    self.caller_ends(caller, &outcome);
+                if self.is_served_by(caller, slot, id) {
+                    self.finish_for_caller(caller, &outcome);
                 }
             }
             Action::Violation(e) => {
-                self.count("crossed frames kept out");
-                if !self.counts.contains_key("frames crossed") {
-                    self.truth.violate(e.to_string());
+                self.count("foreign frames rejected");
+                if !self.counts.contains_key("foreign frames injected") {
+                    self.truth.record_violation(e.to_string());
                 }
             }
         }
         None
     }
 
-    fn is_at(&self, caller: usize, slot: usize, id: u64) -> bool {
-        let life = self.routers[slot].life;
-        self.callers[caller].at_router == Some((slot, life, id))
+    fn is_served_by(&self, caller: usize, slot: usize, id: u64) -> bool {
+        let incarnation = self.routers[slot].incarnation;
+        self.callers[caller].current_exchange == Some((slot, incarnation, id))
     }
 
     fn drop_call(&mut self, slot: usize, id: u64, dispatch: Dispatch) {
-        let life = self.routers[slot].life;
+        let incarnation = self.routers[slot].incarnation;
         let streams = self.net.streams.iter().filter(|(_, s)| {
-            s.router == slot && s.router_life == life && s.exchange == id && s.dispatch == dispatch
+            s.router == slot
+                && s.router_incarnation == incarnation
+                && s.exchange == id
+                && s.dispatch == dispatch
         });
         let streams: Vec<_> = streams.map(|(id, _)| *id).collect();
         for id in streams {
             let pause = self.latency();
-            self.after(pause, Happening::StreamGone(id));
+            self.schedule_after(pause, SimEvent::StreamClosed(id));
         }
     }
 
     fn choose(&mut self, slot: usize, exclude: &std::collections::BTreeSet<InstanceId>) -> Event {
         let members = self.routers[slot].members.values();
-        let good: Vec<_> = members
+        let candidates: Vec<_> = members
             .filter(|m| m.instance.role == Role::Sidecar && m.presence == Presence::Live)
             .filter(|m| !exclude.contains(&m.instance.id))
             .map(|m| Target::new(m.instance.id.clone(), m.instance.incarnation))
             .collect();
-        if good.is_empty() {
+        if candidates.is_empty() {
             let reason = Reason::NoEndpoint("demo".into());
             let refusal = Refusal::new(reason).with_retry_after(Duration::from_secs(1));
             return Event::NotChosen(refusal);
         }
-        let chosen = self.rng.random_range(0..good.len());
-        Event::Chosen(good[chosen].clone())
+        let chosen = self.rng.random_range(0..candidates.len());
+        Event::Chosen(candidates[chosen].clone())
     }
 
     fn put_claim(&mut self, slot: usize, id: u64, holder: &InstanceId, claim: IdempotentClaim) {
-        let life = self.routers[slot].life;
+        let incarnation = self.routers[slot].incarnation;
         let to = slot_of(holder);
-        let lost = FromLedger::ClaimLost(id, Holder::Router(holder.clone()));
-        self.after(CLAIM_WITHIN, Happening::ToRouter(slot, life, lost));
+        let lost = RouterMessage::ClaimTimedOut(id, Holder::Router(holder.clone()));
+        self.schedule_after(
+            CLAIM_TIMEOUT,
+            SimEvent::RouterMessage(slot, incarnation, lost),
+        );
         let pause = self.latency();
-        let from = (slot, life, id);
+        let from = (slot, incarnation, id);
         let holders = self.routers[slot].holder_history.holders(&claim.key);
-        let msg = PeerClaim {
+        let msg = ClaimMessage {
             from,
             claim,
             holders,
         };
-        self.after(pause, Happening::PeerClaim(to, msg));
+        self.schedule_after(pause, SimEvent::ClaimMessage(to, msg));
     }
 
-    pub fn peer_claim(&mut self, to: usize, msg: PeerClaim) {
-        let (slot, life, id) = msg.from;
+    pub fn handle_peer_claim(&mut self, to: usize, msg: ClaimMessage) {
+        let (slot, incarnation, id) = msg.from;
         let (a, b) = (format!("r{slot}"), format!("r{to}"));
-        let cut = slot != to && self.net.is_cut(self.now, &a, &b);
+        let cut = slot != to && self.net.is_partitioned(self.now, &a, &b);
         if cut || !self.routers[to].alive {
             return;
         }
-        if let Some(until) = self.frozen(to, self.routers[to].life) {
-            return self.at(until, Happening::PeerClaim(to, msg));
+        if let Some(until) = self.frozen(to, self.routers[to].incarnation) {
+            return self.schedule_at(until, SimEvent::ClaimMessage(to, msg));
         }
         let now = self.now;
-        let unguarded = self.without("vouching");
-        let RouterNode {
+        let unguarded = self.is_disabled("vouching");
+        let SimulatedRouter {
             claim_store,
             holder_history,
-            heard,
+            ledger_contact,
             ..
         } = &mut self.routers[to];
         let (claim, holders) = (msg.claim, msg.holders);
-        let me: InstanceId = b.as_str().into();
-        let silent = now.saturating_sub(*heard);
+        let own_id: InstanceId = b.as_str().into();
+        let since_contact = now.saturating_sub(*ledger_contact);
         let put = RouterRequest::PutAs { claim, holders };
         let reply = claim_store.handle(now, put, |key, asked| {
-            unguarded || holder_history.may_confirm_claim(now, silent, &me, key, asked)
+            unguarded || holder_history.may_confirm_claim(now, since_contact, &own_id, key, asked)
         });
         let claim = match reply {
             RouterReply::Claim(claim) => claim,
             RouterReply::Kept | RouterReply::Leaving => None,
         };
         let pause = self.latency();
-        let answer = FromLedger::Placed(id, b.into(), claim);
-        self.after(pause, Happening::ToRouter(slot, life, answer));
+        let answer = RouterMessage::PeerClaimAnswer(id, b.into(), claim);
+        self.schedule_after(pause, SimEvent::RouterMessage(slot, incarnation, answer));
     }
 }
 
@@ -554,7 +582,7 @@
     id[1..].parse().expect("a slot")
 }
 
-fn ledger_answer(record: ClaimRecord) -> ClaimAnswer {
+fn answer_from_record(record: ClaimRecord) -> ClaimAnswer {
     let claim = record.claim;
     ClaimAnswer::Recorded {
         target: Target::new(claim.sidecar, claim.incarnation),
@@ -568,7 +596,7 @@
     }
 }
 
-fn placed_answer(claim: IdempotentClaim) -> ClaimAnswer {
+fn answer_from_peer(claim: IdempotentClaim) -> ClaimAnswer {
     ClaimAnswer::Recorded {
         target: Target::new(claim.sidecar, claim.incarnation),
         body: claim.body,
--- a/crates/anvilreel/tests/soak/sidecars.rs
+++ b/crates/anvilreel/tests/soak/sidecars.rs
@@ -1,4 +1,4 @@
-//! Sidecar nodes and the engines beside them.
+//! Simulated sidecars around the real run state machine, each with a simulated engine.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,50 +10,50 @@
 use bytes::Bytes;
 
 use super::callers::{TOKEN_BYTES, token};
-use super::ledger::{Asked, ToLedger};
+use super::ledger::{LedgerMessage, LedgerRequest};
 use super::net::StreamId;
 use super::routers::{addr, zone};
-use super::{Happening, World};
+use super::{SimEvent, World};
 
-/// One run in the fake engine.
-struct InEngine {
+/// One run in the simulated engine.
+struct EngineRun {
     start: Arc<StartRequest>,
     prompt: Tokens,
-    /// Tokens of the whole answer made so far, with the prefix.
-    made: u64,
-    until: u64,
+    /// Tokens of the whole answer produced so far, including the prefix.
+    tokens_made: u64,
+    total_tokens: u64,
     paused: bool,
-    /// A late event of an earlier stream has another number.
+    /// Number of the current stream of the run; events of earlier streams are ignored.
     epoch: u64,
 }
 
-pub struct SidecarNode {
+pub struct SimulatedSidecar {
     pub slot: usize,
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     pub alive: bool,
     pub runs: Runs,
-    engine: BTreeMap<u64, InEngine>,
-    pub cross_next: bool,
-    last_alive: Now,
+    engine: BTreeMap<u64, EngineRun>,
+    pub inject_foreign_frame: bool,
+    last_heartbeat: Now,
 }
 
-impl SidecarNode {
+impl SimulatedSidecar {
     pub fn new(slot: usize) -> Self {
         Self {
             slot,
-            life: 0,
+            incarnation: 0,
             alive: false,
             runs: runs(0),
             engine: BTreeMap::new(),
-            cross_next: false,
-            last_alive: Now::ZERO,
+            inject_foreign_frame: false,
+            last_heartbeat: Now::ZERO,
         }
     }
 
     fn instance(&self) -> Instance {
         Instance {
             id: format!("s{}", self.slot).into(),
-            incarnation: self.life,
+            incarnation: self.incarnation,
             role: Role::Sidecar,
             zone: zone(self.slot),
             addr: addr(),
@@ -65,7 +65,7 @@
 fn runs(life: Incarnation) -> Runs {
     Runs::new(RunsConfig {
         life,
-        // Small, so that dropping, trimming and pausing all happen.
+        // Small, so that slow readers are dropped, answers are trimmed, and engines are paused.
         buffer_bytes: 16_000,
         keep_once: Duration::from_hours(25),
     })
@@ -73,13 +73,13 @@
 
 impl World {
     pub fn join_sidecar(&mut self, slot: usize) {
-        let life = self.sidecars[slot].life + 1;
-        self.sidecars[slot] = SidecarNode::new(slot);
-        self.sidecars[slot].life = life;
+        let incarnation = self.sidecars[slot].incarnation + 1;
+        self.sidecars[slot] = SimulatedSidecar::new(slot);
+        self.sidecars[slot].incarnation = incarnation;
         self.sidecars[slot].alive = true;
-        self.sidecars[slot].runs = runs(life);
+        self.sidecars[slot].runs = runs(incarnation);
         let now = self.now;
-        self.at(now, Happening::SidecarTick(slot, life));
+        self.schedule_at(now, SimEvent::SidecarTick(slot, incarnation));
     }
 
     pub fn kill_sidecar(&mut self, slot: usize) {
@@ -89,65 +89,67 @@
         self.count("sidecars killed");
         let sidecar = &mut self.sidecars[slot];
         sidecar.alive = false;
-        let life = sidecar.life;
-        self.truth.lost_lives.insert((slot, life));
-        self.reset_streams(|stream| stream.sidecar == slot && stream.life == Some(life));
-        let pause = self.between(Duration::from_millis(500), Duration::from_secs(15));
-        self.after(pause, Happening::SidecarTick(slot, life + 1));
+        let incarnation = sidecar.incarnation;
+        self.truth.lost_incarnations.insert((slot, incarnation));
+        self.reset_streams(|stream| {
+            stream.sidecar == slot && stream.sidecar_incarnation == Some(incarnation)
+        });
+        let pause = self.random_duration(Duration::from_millis(500), Duration::from_secs(15));
+        self.schedule_after(pause, SimEvent::SidecarTick(slot, incarnation + 1));
     }
 
-    /// The ledger said that this life was declared lost while it was cut off.
-    pub fn sidecar_is_gone(&mut self, slot: usize, life: Incarnation) {
-        if self.sidecars[slot].life == life {
+    /// The ledger reports that it declared this incarnation lost while it was partitioned.
+    pub fn sidecar_declared_lost(&mut self, slot: usize, incarnation: Incarnation) {
+        if self.sidecars[slot].incarnation == incarnation {
             self.count("sidecars declared lost while alive");
             self.kill_sidecar(slot);
         }
     }
 
-    pub fn leave_sidecar(&mut self, slot: usize) {
+    pub fn drain_sidecar(&mut self, slot: usize) {
         if self.sidecars[slot].alive {
             self.count("endpoints left");
-            self.tell_runs(slot, Event::Leaving);
+            self.feed_runs(slot, Event::Leaving);
         }
     }
 
-    pub fn sidecar_tick(&mut self, slot: usize, life: Incarnation) {
-        if self.sidecars[slot].life + 1 == life && !self.sidecars[slot].alive {
+    pub fn sidecar_tick(&mut self, slot: usize, incarnation: Incarnation) {
+        if self.sidecars[slot].incarnation + 1 == incarnation && !self.sidecars[slot].alive {
             return self.join_sidecar(slot);
         }
-        if self.sidecars[slot].life != life || !self.sidecars[slot].alive {
+        if self.sidecars[slot].incarnation != incarnation || !self.sidecars[slot].alive {
             return;
         }
-        self.after(
+        self.schedule_after(
             Duration::from_millis(500),
-            Happening::SidecarTick(slot, life),
+            SimEvent::SidecarTick(slot, incarnation),
         );
-        self.tell_runs(slot, Event::Tick);
+        self.feed_runs(slot, Event::Tick);
         if self.sidecars[slot].runs.is_leaving() && self.chance(5.0) {
-            self.tell_runs(slot, Event::Returned);
+            self.feed_runs(slot, Event::Returned);
         }
         let now = self.now;
-        if now < self.sidecars[slot].last_alive + Duration::from_secs(1) {
+        if now < self.sidecars[slot].last_heartbeat + Duration::from_secs(1) {
             return;
         }
-        self.sidecars[slot].last_alive = now;
+        self.sidecars[slot].last_heartbeat = now;
         let evidence = self.sidecars[slot].runs.evidence();
         let instance = Box::new(self.sidecars[slot].instance());
-        self.send_ledger(ToLedger {
+        self.send_to_ledger(LedgerMessage {
             from: format!("s{slot}"),
             slot,
-            life,
-            what: Asked::Alive(instance, evidence),
+            incarnation,
+            body: LedgerRequest::Heartbeat(instance, evidence),
         });
     }
 
     pub fn sidecar_fenced(
         &mut self,
         slot: usize,
-        life: Incarnation,
+        incarnation: Incarnation,
         fenced: &BTreeMap<InstanceId, Incarnation>,
     ) {
-        if self.sidecars[slot].life != life {
+        if self.sidecars[slot].incarnation != incarnation {
             return;
         }
         for (router, incarnation) in fenced {
@@ -155,46 +157,46 @@
                 router: router.clone(),
                 incarnation: *incarnation,
             };
-            self.tell_runs(slot, event);
+            self.feed_runs(slot, event);
         }
     }
 
-    pub fn evidence_taken(
+    pub fn evidence_accepted(
         &mut self,
         slot: usize,
-        life: Incarnation,
-        taken: &[(InstanceId, Incarnation)],
+        incarnation: Incarnation,
+        accepted: &[(InstanceId, Incarnation)],
     ) {
-        if self.sidecars[slot].life != life {
+        if self.sidecars[slot].incarnation != incarnation {
             return;
         }
-        for (router, incarnation) in taken {
+        for (router, incarnation) in accepted {
             self.sidecars[slot]
                 .runs
                 .evidence_taken(router, *incarnation);
         }
     }
 
-    pub fn sidecar_request(&mut self, slot: usize, reader: StreamId, req: SidecarRequest) {
+    pub fn handle_sidecar_request(&mut self, slot: usize, reader: StreamId, req: SidecarRequest) {
         let Some(event) = Event::of(reader, req) else {
             return;
         };
-        self.tell_runs(slot, event);
+        self.feed_runs(slot, event);
     }
 
-    pub fn reader_ready(&mut self, slot: usize, life: Incarnation, reader: StreamId) {
-        if self.sidecars[slot].life == life {
-            self.tell_runs(slot, Event::Ready { reader });
+    pub fn reader_ready(&mut self, slot: usize, incarnation: Incarnation, reader: StreamId) {
+        if self.sidecars[slot].incarnation == incarnation {
+            self.feed_runs(slot, Event::Ready { reader });
         }
     }
 
-    pub fn reader_gone(&mut self, slot: usize, life: Incarnation, reader: StreamId) {
-        if self.sidecars[slot].life == life {
-            self.tell_runs(slot, Event::Gone { reader });
+    pub fn reader_gone(&mut self, slot: usize, incarnation: Incarnation, reader: StreamId) {
+        if self.sidecars[slot].incarnation == incarnation {
+            self.feed_runs(slot, Event::Gone { reader });
         }
     }
 
-    fn tell_runs(&mut self, slot: usize, event: Event) {
+    fn feed_runs(&mut self, slot: usize, event: Event) {
         let starter = match &event {
             Event::Start { reader, .. } => self.net.streams.get(reader).cloned(),
             _ => None,
@@ -209,42 +211,51 @@
                 Action::Engine { run, command } => {
                     if let (EngineCommand::Begin(start), Some(by)) = (&command, &starter) {
                         if self.chance(2.0) {
-                            // Not a beginning: the endpoint says that it did not run it.
+                            // Not counted as a run: the endpoint reports that it did not run it.
                             self.count("starts refused by the endpoint");
-                            self.engine_says(slot, run, EngineEvent::Refused);
+                            self.feed_engine_event(slot, run, EngineEvent::Refused);
                             continue;
                         }
-                        let by = (by.router, by.router_life, by.exchange);
-                        self.begins(slot, start, by);
+                        let by = (by.router, by.router_incarnation, by.exchange);
+                        self.record_run_start(slot, start, by);
                     }
-                    self.command(slot, run, command);
+                    self.run_engine_command(slot, run, command);
                 }
-                Action::Violation(e) => self.truth.violate(e.to_string()),
+                Action::Violation(e) => self.truth.record_violation(e.to_string()),
             }
         }
     }
 
-    fn begins(&mut self, slot: usize, start: &StartRequest, by: (usize, Incarnation, u64)) {
-        *self.truth.begun.entry(start.key.clone()).or_default() += 1;
-        *self.truth.begun_by.entry(by).or_default() += 1;
-        let life = self.sidecars[slot].life;
-        let lives = self.truth.ran_at.entry(start.key.clone()).or_default();
-        lives.insert((slot, life));
+    fn record_run_start(
+        &mut self,
+        slot: usize,
+        start: &StartRequest,
+        by: (usize, Incarnation, u64),
+    ) {
+        *self
+            .truth
+            .runs_started
+            .entry(start.key.clone())
+            .or_default() += 1;
+        *self.truth.starts_by_exchange.entry(by).or_default() += 1;
+        let incarnation = self.sidecars[slot].incarnation;
+        let incarnations = self.truth.ran_on.entry(start.key.clone()).or_default();
+        incarnations.insert((slot, incarnation));
         for (grant, _) in start.payment.grants.values() {
-            let keys = self.truth.under.entry(*grant).or_default();
+            let keys = self.truth.keys_by_grant.entry(*grant).or_default();
             keys.insert(start.key.clone());
-            if self.truth.given_up.contains(grant) {
-                self.truth.written_off.insert(start.key.clone());
+            if self.truth.written_off_grants.contains(grant) {
+                self.truth.written_off_keys.insert(start.key.clone());
             }
         }
     }
 
     fn reply(&mut self, slot: usize, reader: StreamId, reply: SidecarReply) {
         if let SidecarReply::Frame(frame) = &reply
-            && self.sidecars[slot].cross_next
+            && self.sidecars[slot].inject_foreign_frame
         {
-            // What a fault in a proxy or a shell would do: another answer's bytes come first.
-            self.sidecars[slot].cross_next = false;
+            // Like a fault in a proxy or in an I/O layer: bytes of another answer come first.
+            self.sidecars[slot].inject_foreign_frame = false;
             let crossed = Frame {
                 key: RequestKey {
                     team: "other".into(),
@@ -253,126 +264,126 @@
                 bytes: Bytes::from_static(b"someone else's answer"),
                 ..frame.clone()
             };
-            self.send_back(reader, SidecarReply::Frame(crossed));
+            self.send_reply(reader, SidecarReply::Frame(crossed));
         }
-        self.send_back(reader, reply);
+        self.send_reply(reader, reply);
     }
 
-    fn command(&mut self, slot: usize, run: u64, command: EngineCommand) {
+    fn run_engine_command(&mut self, slot: usize, run: u64, command: EngineCommand) {
         match command {
-            EngineCommand::Begin(start) => self.engine_begins(slot, run, start),
+            EngineCommand::Begin(start) => self.start_engine_run(slot, run, start),
             EngineCommand::Resume { from } => {
-                if let Some(found) = self.sidecars[slot].engine.get_mut(&run) {
-                    found.made = found.start.prefix_tokens + from / TOKEN_BYTES;
-                    found.epoch += 1;
-                    self.engine_next(slot, run);
+                if let Some(engine_run) = self.sidecars[slot].engine.get_mut(&run) {
+                    engine_run.tokens_made = engine_run.start.prefix_tokens + from / TOKEN_BYTES;
+                    engine_run.epoch += 1;
+                    self.schedule_token(slot, run);
                 }
             }
             EngineCommand::Stop => {
                 self.sidecars[slot].engine.remove(&run);
             }
             EngineCommand::Pause => {
-                if let Some(found) = self.sidecars[slot].engine.get_mut(&run) {
-                    found.paused = true;
+                if let Some(engine_run) = self.sidecars[slot].engine.get_mut(&run) {
+                    engine_run.paused = true;
                     self.count("engines paused");
                 }
             }
             EngineCommand::Continue => {
-                if let Some(found) = self.sidecars[slot].engine.get_mut(&run) {
-                    found.paused = false;
-                    found.epoch += 1;
-                    self.engine_next(slot, run);
+                if let Some(engine_run) = self.sidecars[slot].engine.get_mut(&run) {
+                    engine_run.paused = false;
+                    engine_run.epoch += 1;
+                    self.schedule_token(slot, run);
                 }
             }
         }
     }
 
-    fn engine_begins(&mut self, slot: usize, run: u64, start: Arc<StartRequest>) {
+    fn start_engine_run(&mut self, slot: usize, run: u64, start: Arc<StartRequest>) {
         let caller = self.callers.iter().find(|caller| caller.key == start.key);
         let prompt = caller.map_or(0, |caller| caller.prompt);
-        let made = start.prefix_tokens;
-        let until = match &start.work {
-            Work::Chat { max_output, .. } => made + max_output,
+        let tokens_made = start.prefix_tokens;
+        let total_tokens = match &start.work {
+            Work::Chat { max_output, .. } => tokens_made + max_output,
             Work::Plain { .. } => 1,
         };
-        let found = InEngine {
+        let engine_run = EngineRun {
             start,
             prompt,
-            made,
-            until,
+            tokens_made,
+            total_tokens,
             paused: false,
             epoch: 0,
         };
-        self.sidecars[slot].engine.insert(run, found);
-        self.engine_next(slot, run);
+        self.sidecars[slot].engine.insert(run, engine_run);
+        self.schedule_token(slot, run);
     }
 
-    fn engine_next(&mut self, slot: usize, run: u64) {
-        let pause = self.between(Duration::from_millis(5), Duration::from_millis(120));
+    fn schedule_token(&mut self, slot: usize, run: u64) {
+        let pause = self.random_duration(Duration::from_millis(5), Duration::from_millis(120));
         let sidecar = &self.sidecars[slot];
-        if let Some(found) = sidecar.engine.get(&run) {
-            let (life, epoch) = (sidecar.life, found.epoch);
-            self.after(pause, Happening::Engine(slot, life, run, epoch));
+        if let Some(engine_run) = sidecar.engine.get(&run) {
+            let (incarnation, epoch) = (sidecar.incarnation, engine_run.epoch);
+            self.schedule_after(pause, SimEvent::EngineTick(slot, incarnation, run, epoch));
         }
     }
 
-    /// The engine makes its next token, or ends.
-    pub fn engine(&mut self, slot: usize, life: Incarnation, run: u64, epoch: u64) {
-        if self.sidecars[slot].life != life || !self.sidecars[slot].alive {
+    /// The engine produces the next token of a run, or ends the run.
+    pub fn engine_tick(&mut self, slot: usize, incarnation: Incarnation, run: u64, epoch: u64) {
+        if self.sidecars[slot].incarnation != incarnation || !self.sidecars[slot].alive {
             return;
         }
-        let Some(found) = self.sidecars[slot].engine.get_mut(&run) else {
+        let Some(engine_run) = self.sidecars[slot].engine.get_mut(&run) else {
             return;
         };
-        if found.paused || found.epoch != epoch {
+        if engine_run.paused || engine_run.epoch != epoch {
             return;
         }
-        if found.made >= found.until {
-            let usage = found.usage();
+        if engine_run.tokens_made >= engine_run.total_tokens {
+            let usage = engine_run.usage();
             self.sidecars[slot].engine.remove(&run);
             let finish = "stop".into();
-            return self.engine_says(slot, run, EngineEvent::Ended { usage, finish });
+            return self.feed_engine_event(slot, run, EngineEvent::Ended { usage, finish });
         }
-        let plain = matches!(found.start.work, Work::Plain { .. });
-        let bytes = Bytes::from(token(&found.start.key, found.made));
-        found.made += 1;
-        let usage = found.usage();
+        let plain = matches!(engine_run.start.work, Work::Plain { .. });
+        let bytes = Bytes::from(token(&engine_run.start.key, engine_run.tokens_made));
+        engine_run.tokens_made += 1;
+        let usage = engine_run.usage();
         if plain {
             let head = ResponseHead {
                 status: 200,
                 headers: Vec::new(),
             };
-            self.engine_says(slot, run, EngineEvent::Head(head));
+            self.feed_engine_event(slot, run, EngineEvent::Head(head));
         }
-        self.engine_says(slot, run, EngineEvent::Output { bytes, usage });
-        self.engine_next(slot, run);
+        self.feed_engine_event(slot, run, EngineEvent::Output { bytes, usage });
+        self.schedule_token(slot, run);
     }
 
-    /// The connection to the engine breaks in the middle of every run.
-    pub fn lose_engine(&mut self, slot: usize, resumable: bool) {
+    /// Breaks the connection to the engine in the middle of every run.
+    pub fn break_engine(&mut self, slot: usize, resumable: bool) {
         self.count("engines lost");
         let runs: Vec<_> = self.sidecars[slot].engine.keys().copied().collect();
         for run in runs {
-            let Some(found) = self.sidecars[slot].engine.get_mut(&run) else {
+            let Some(engine_run) = self.sidecars[slot].engine.get_mut(&run) else {
                 continue;
             };
-            found.epoch += 1;
-            let usage = found.usage();
-            let resumable = resumable && matches!(found.start.work, Work::Chat { .. });
+            engine_run.epoch += 1;
+            let usage = engine_run.usage();
+            let resumable = resumable && matches!(engine_run.start.work, Work::Chat { .. });
             if !resumable {
                 self.sidecars[slot].engine.remove(&run);
             }
-            self.engine_says(slot, run, EngineEvent::Lost { usage, resumable });
+            self.feed_engine_event(slot, run, EngineEvent::Lost { usage, resumable });
         }
     }
 
-    fn engine_says(&mut self, slot: usize, run: u64, event: EngineEvent) {
-        self.tell_runs(slot, Event::Engine { run, event });
+    fn feed_engine_event(&mut self, slot: usize, run: u64, event: EngineEvent) {
+        self.feed_runs(slot, Event::Engine { run, event });
     }
 }
 
-impl InEngine {
-    /// Of the whole answer, with the prefix.
+impl EngineRun {
+    /// Usage of the whole answer so far, including the prefix.
     fn usage(&self) -> Usage {
         match self.start.work {
             Work::Plain { .. } => Usage {
@@ -381,7 +392,7 @@
             },
             Work::Chat { .. } => Usage {
                 prompt: self.prompt,
-                output: self.made,
+                output: self.tokens_made,
                 calls: 0,
             },
         }
--- a/crates/anvilreel/tests/soak/world.rs
+++ b/crates/anvilreel/tests/soak/world.rs
@@ -1,9 +1,10 @@
-//! The seeded randomised run: the real state machines of routers, sidecars and the ledger, with
-//! fake engines, callers and lossy links in virtual time.
+//! Seeded randomised simulation: the real state machines of routers, sidecars and the ledger, with
+//! simulated engines, callers and lossy links in virtual time.
 //!
-//! Nothing here decides anything that the product decides. It moves messages, loses some, kills
-//! and freezes what the seed says, and keeps the ground truth that bills and answers are
-//! compared with.
+//! The simulation takes none of the decisions under test. It delivers, delays and loses messages, kills
+//! and freezes processes as the seed determines, and keeps the ground truth with which charges and
+//! responses are compared. The same seed always gives the same run, so the order of the random draws
+//! must not change.
 
 #![allow(dead_code, missing_docs)]
 
@@ -31,50 +32,50 @@
 
 use callers::Caller;
 use faults::Fault;
-use ledger::{LedgerNode, ToLedger};
+use ledger::{LedgerMessage, SimulatedLedger};
 use net::{Net, StreamId};
-use routers::{FromLedger, RouterNode};
-use sidecars::SidecarNode;
-use truth::Truth;
+use routers::{RouterMessage, SimulatedRouter};
+use sidecars::SimulatedSidecar;
+use truth::GroundTruth;
 
-/// Everything that can happen next.
+/// A scheduled event of the simulation.
 #[derive(Debug)]
-pub enum Happening {
+pub enum SimEvent {
     RouterTick(usize, Incarnation),
-    Wake(usize, Incarnation, u64),
-    ToRouter(usize, Incarnation, FromLedger),
-    PeerClaim(usize, routers::PeerClaim),
+    ExchangeTimer(usize, Incarnation, u64),
+    RouterMessage(usize, Incarnation, RouterMessage),
+    ClaimMessage(usize, routers::ClaimMessage),
     SidecarTick(usize, Incarnation),
-    SidecarFenced(usize, Incarnation, BTreeMap<InstanceId, Incarnation>),
-    EvidenceTaken(usize, Incarnation, Vec<(InstanceId, Incarnation)>),
-    Engine(usize, Incarnation, u64, u64),
-    Ready(usize, Incarnation, StreamId),
-    StreamOut(StreamId, Box<anvil_wire::msg::SidecarRequest>),
-    StreamBack(StreamId, Box<anvil_wire::msg::SidecarReply>),
-    StreamGone(StreamId),
+    FencedRouters(usize, Incarnation, BTreeMap<InstanceId, Incarnation>),
+    EvidenceAccepted(usize, Incarnation, Vec<(InstanceId, Incarnation)>),
+    EngineTick(usize, Incarnation, u64, u64),
+    ReaderReady(usize, Incarnation, StreamId),
+    StreamRequest(StreamId, Box<anvil_wire::msg::SidecarRequest>),
+    StreamReply(StreamId, Box<anvil_wire::msg::SidecarReply>),
+    StreamClosed(StreamId),
     StreamBroken(StreamId, bool),
-    ToLedger(ToLedger),
+    LedgerMessage(LedgerMessage),
     LedgerTick,
-    Send(usize),
-    CallerPatience(usize, u32),
+    CallerSends(usize),
+    CallerTimeout(usize, u32),
     Fault(Fault),
 }
 
-/// What a run is made of.
+/// Parameters of one run.
 #[derive(Debug, Clone)]
 pub struct Plan {
     pub seed: u64,
     pub routers: usize,
     pub sidecars: usize,
     pub callers: usize,
-    /// Requests arrive over this time; faults too.
-    pub busy: Duration,
+    /// Period in which requests arrive and faults begin.
+    pub traffic_time: Duration,
     pub faults: usize,
-    /// Tokens paid in for each budget at the start.
-    pub credit: Tokens,
-    /// Which guard is taken out, to see the proof fail.
+    /// Tokens credited to each budget at the start.
+    pub initial_credit: Tokens,
+    /// Guard that is disabled, to check that the simulation notices its absence.
     pub without: Option<&'static str>,
-    /// Prints what happens to keys whose text holds this.
+    /// Prints the trace lines that contain this text.
     pub trace: Option<String>,
 }
 
@@ -85,9 +86,9 @@
             routers: 4,
             sidecars: 4,
             callers: 400,
-            busy: Duration::from_mins(2),
+            traffic_time: Duration::from_mins(2),
             faults: 24,
-            credit: 60_000,
+            initial_credit: 60_000,
             without: None,
             trace: None,
         }
@@ -99,21 +100,21 @@
     pub rng: ChaCha8Rng,
     pub now: Now,
     seq: u64,
-    queue: BTreeMap<(Now, u64), Happening>,
+    queue: BTreeMap<(Now, u64), SimEvent>,
     pub steps: u64,
     pub net: Net,
-    pub routers: Vec<RouterNode>,
-    pub sidecars: Vec<SidecarNode>,
-    pub ledger: LedgerNode,
+    pub routers: Vec<SimulatedRouter>,
+    pub sidecars: Vec<SimulatedSidecar>,
+    pub ledger: SimulatedLedger,
     pub callers: Vec<Caller>,
-    pub truth: Truth,
+    pub truth: GroundTruth,
     pub counts: BTreeMap<&'static str, u64>,
 }
 
-/// Before the first request: long enough for holders to vouch for their keys.
-const QUIET: Duration = Duration::from_secs(160);
-/// How long the world goes on after the last fault, for everything to come to its end.
-const SETTLE: Duration = Duration::from_mins(20);
+/// Time before the first request: long enough for routers to confirm claims on the keys they hold.
+const WARM_UP: Duration = Duration::from_secs(160);
+/// Time after the last fault in which everything in flight has to end.
+const SETTLE_TIME: Duration = Duration::from_mins(20);
 
 impl World {
     pub fn new(plan: Plan) -> Self {
@@ -124,104 +125,106 @@
             queue: BTreeMap::new(),
             steps: 0,
             net: Net::default(),
-            routers: (0..plan.routers).map(RouterNode::new).collect(),
-            sidecars: (0..plan.sidecars).map(SidecarNode::new).collect(),
-            ledger: LedgerNode::new(plan.credit),
+            routers: (0..plan.routers).map(SimulatedRouter::new).collect(),
+            sidecars: (0..plan.sidecars).map(SimulatedSidecar::new).collect(),
+            ledger: SimulatedLedger::new(plan.initial_credit),
             callers: Vec::new(),
-            truth: Truth::default(),
+            truth: GroundTruth::default(),
             counts: BTreeMap::new(),
             plan,
         };
-        world.set_out();
+        world.schedule_start();
         world
     }
 
-    fn set_out(&mut self) {
+    fn schedule_start(&mut self) {
         for slot in 0..self.routers.len() {
             self.join_router(slot);
         }
         for slot in 0..self.sidecars.len() {
             self.join_sidecar(slot);
         }
-        self.at(Duration::from_secs(1), Happening::LedgerTick);
+        self.schedule_at(Duration::from_secs(1), SimEvent::LedgerTick);
         for caller in 0..self.plan.callers {
-            let made = Caller::draw(caller, &mut self.rng);
-            self.callers.push(made);
-            let when = QUIET + self.between(Duration::from_secs(1), self.plan.busy);
-            self.at(when, Happening::Send(caller));
+            let drawn = Caller::draw(caller, &mut self.rng);
+            self.callers.push(drawn);
+            let when =
+                WARM_UP + self.random_duration(Duration::from_secs(1), self.plan.traffic_time);
+            self.schedule_at(when, SimEvent::CallerSends(caller));
         }
         for _ in 0..self.plan.faults {
-            let when = QUIET + self.between(Duration::from_secs(1), self.plan.busy);
+            let when =
+                WARM_UP + self.random_duration(Duration::from_secs(1), self.plan.traffic_time);
             let fault = Fault::draw(&mut self.rng, self.plan.routers, self.plan.sidecars);
-            self.at(when, Happening::Fault(fault));
+            self.schedule_at(when, SimEvent::Fault(fault));
         }
     }
 
-    /// Runs to the end and checks what must hold at the end.
+    /// Runs to the end. Checks the invariants after each event, and the final state at the end.
     pub fn run(mut self) -> Result<Self, String> {
-        let end = QUIET + self.plan.busy + SETTLE;
+        let end = WARM_UP + self.plan.traffic_time + SETTLE_TIME;
         while let Some(((when, _), next)) = self.queue.pop_first() {
             if when > end {
                 break;
             }
             self.now = when;
             self.steps += 1;
-            self.happen(next);
-            if let Some(broken) = self.broken() {
-                return Err(self.tell(&broken));
+            self.process_event(next);
+            if let Some(violation) = self.first_violation() {
+                return Err(self.describe_failure(&violation));
             }
         }
-        self.finish()?;
+        self.check_end()?;
         Ok(self)
     }
 
-    fn tell(&self, broken: &str) -> String {
+    fn describe_failure(&self, violation: &str) -> String {
         let (seed, steps, now) = (self.plan.seed, self.steps, self.now);
-        format!("seed {seed}, step {steps}, at {now:?}: {broken}")
+        format!("seed {seed}, step {steps}, at {now:?}: {violation}")
     }
 
-    fn broken(&self) -> Option<String> {
+    fn first_violation(&self) -> Option<String> {
         if let Some(e) = self.truth.violations.first() {
             return Some(e.clone());
         }
         if let Err(e) = self.ledger.state.invariants_held() {
             return Some(e.to_string());
         }
-        let broken = self
+        let violation = self
             .routers
             .iter()
             .find_map(|r| r.account.invariant_violation());
-        broken.map(|e| e.to_string())
+        violation.map(|e| e.to_string())
     }
 
-    fn finish(&mut self) -> Result<(), String> {
+    fn check_end(&mut self) -> Result<(), String> {
         self.write_off(Duration::ZERO);
         let checked = self.ledger.state.check_all().map_err(|e| e.to_string());
         let checked = checked.and_then(|()| {
-            let billed = self.ledger.billed();
-            self.truth.check(&self.callers, &billed)
+            let totals = self.ledger.budget_totals();
+            self.truth.check(&self.callers, &totals)
         });
         let lost = self.truth.lost_with_sidecar.len() as u64;
         self.counts.insert(
-            "billed again or not at all: answer lost with its sidecar",
+            "charged again or not at all: answer lost with its sidecar",
             lost,
         );
-        let doubts = self.truth.doubts_billed.len() as u64;
+        let in_doubt = self.truth.charged_in_doubt.len() as u64;
         self.counts
-            .insert("billed for more than one try in doubt", doubts);
-        checked.map_err(|e| self.tell(&e))
+            .insert("charged for more than one attempt in doubt", in_doubt);
+        checked.map_err(|e| self.describe_failure(&e))
     }
 
-    pub fn at(&mut self, when: Now, what: Happening) {
+    pub fn schedule_at(&mut self, when: Now, what: SimEvent) {
         self.seq += 1;
         self.queue.insert((when.max(self.now), self.seq), what);
     }
 
-    pub fn after(&mut self, pause: Duration, what: Happening) {
-        self.at(self.now + pause, what);
+    pub fn schedule_after(&mut self, pause: Duration, what: SimEvent) {
+        self.schedule_at(self.now + pause, what);
     }
 
-    pub fn between(&mut self, low: Duration, high: Duration) -> Duration {
+    pub fn random_duration(&mut self, low: Duration, high: Duration) -> Duration {
         let micros = |d: Duration| u64::try_from(d.as_micros()).unwrap_or(u64::MAX);
         Duration::from_micros(self.rng.random_range(micros(low)..micros(high)))
     }
@@ -238,45 +241,53 @@
         if let Some(text) = &self.plan.trace {
             let line = line();
             if line.contains(text.as_str()) {
-                let cut: String = line.chars().take(420).collect();
-                println!("{:>10.3} {cut}", self.now.as_secs_f64());
+                let shortened: String = line.chars().take(420).collect();
+                println!("{:>10.3} {shortened}", self.now.as_secs_f64());
             }
         }
     }
 
-    pub fn without(&self, guard: &str) -> bool {
+    pub fn is_disabled(&self, guard: &str) -> bool {
         self.plan.without == Some(guard)
     }
 
-    fn happen(&mut self, what: Happening) {
+    fn process_event(&mut self, what: SimEvent) {
         match what {
-            Happening::RouterTick(slot, life) => self.router_tick(slot, life),
-            Happening::Wake(slot, life, id) => self.router_wake(slot, life, id),
-            Happening::ToRouter(slot, life, msg) => self.router_hears(slot, life, msg),
-            Happening::PeerClaim(slot, claim) => self.peer_claim(slot, claim),
-            Happening::SidecarTick(slot, life) => self.sidecar_tick(slot, life),
-            Happening::SidecarFenced(slot, life, fenced) => {
-                self.sidecar_fenced(slot, life, &fenced);
+            SimEvent::RouterTick(slot, incarnation) => self.router_tick(slot, incarnation),
+            SimEvent::ExchangeTimer(slot, incarnation, id) => {
+                self.exchange_timer(slot, incarnation, id);
             }
-            Happening::EvidenceTaken(slot, life, taken) => {
-                self.evidence_taken(slot, life, &taken);
+            SimEvent::RouterMessage(slot, incarnation, msg) => {
+                self.handle_router_message(slot, incarnation, msg);
             }
-            Happening::Engine(slot, life, run, epoch) => self.engine(slot, life, run, epoch),
-            Happening::Ready(slot, life, reader) => self.reader_ready(slot, life, reader),
-            Happening::StreamOut(id, req) => self.stream_out(id, *req),
-            Happening::StreamBack(id, reply) => self.stream_back(id, *reply),
-            Happening::StreamGone(id) => self.stream_gone(id),
-            Happening::StreamBroken(id, never) => self.stream_broken(id, never),
-            Happening::ToLedger(msg) => self.ledger_hears(msg),
-            Happening::LedgerTick => self.ledger_tick(),
-            Happening::Send(caller) => self.caller_sends(caller),
-            Happening::CallerPatience(caller, attempt) => self.caller_leaves(caller, attempt),
-            Happening::Fault(fault) => self.fault(&fault),
+            SimEvent::ClaimMessage(slot, claim) => self.handle_peer_claim(slot, claim),
+            SimEvent::SidecarTick(slot, incarnation) => self.sidecar_tick(slot, incarnation),
+            SimEvent::FencedRouters(slot, incarnation, fenced) => {
+                self.sidecar_fenced(slot, incarnation, &fenced);
+            }
+            SimEvent::EvidenceAccepted(slot, incarnation, accepted) => {
+                self.evidence_accepted(slot, incarnation, &accepted);
+            }
+            SimEvent::EngineTick(slot, incarnation, run, epoch) => {
+                self.engine_tick(slot, incarnation, run, epoch);
+            }
+            SimEvent::ReaderReady(slot, incarnation, reader) => {
+                self.reader_ready(slot, incarnation, reader);
+            }
+            SimEvent::StreamRequest(id, req) => self.deliver_request(id, *req),
+            SimEvent::StreamReply(id, reply) => self.deliver_reply(id, *reply),
+            SimEvent::StreamClosed(id) => self.close_stream(id),
+            SimEvent::StreamBroken(id, never) => self.break_stream(id, never),
+            SimEvent::LedgerMessage(msg) => self.handle_ledger_message(msg),
+            SimEvent::LedgerTick => self.ledger_tick(),
+            SimEvent::CallerSends(caller) => self.caller_sends(caller),
+            SimEvent::CallerTimeout(caller, attempt) => self.caller_times_out(caller, attempt),
+            SimEvent::Fault(fault) => self.inject(&fault),
         }
     }
 
-    /// Names of all nodes, for drawing partitions.
-    pub fn nodes(&self) -> BTreeSet<String> {
+    /// Names of all routers and sidecars and of the ledger, for drawing partitions.
+    pub fn process_names(&self) -> BTreeSet<String> {
         let routers = (0..self.routers.len()).map(|i| format!("r{i}"));
         let sidecars = (0..self.sidecars.len()).map(|i| format!("s{i}"));
         routers
