--- a/crates/anvilreel/tests/soak/faults.rs
+++ b/crates/anvilreel/tests/soak/faults.rs
@@ -8,19 +8,23 @@
 
 use super::World;
 
+/// A fault. Numbers are the slots of routers and sidecars; durations say how long the fault lasts.
 #[derive(Debug, Clone)]
 pub enum Fault {
     KillRouter(usize),
     KillSidecar(usize),
     FreezeRouter(usize, Duration),
     PartitionPair(usize, usize, Duration),
+    /// Partitions all processes into two halves; the bits select the half of each process.
     PartitionHalves(u64, Duration),
     PartitionFromLedger(usize, Duration),
     ResetStreams(usize),
+    /// Breaks the engine connection of a sidecar; the flag says whether runs can be resumed.
     BreakEngine(usize, bool),
     StopRouter(usize),
     DrainSidecar(usize),
     RepeatTopUp,
+    /// Makes a sidecar send a frame of another request before its next frame.
     InjectForeignFrame(usize),
 }
 
--- a/crates/anvilreel/tests/soak/ledger.rs
+++ b/crates/anvilreel/tests/soak/ledger.rs
@@ -30,6 +30,7 @@
     pub body: LedgerRequest,
 }
 
+/// A request to the ledger. The number of a claim is the exchange that it belongs to.
 #[derive(Debug, Clone)]
 pub enum LedgerRequest {
     Batch(GrantBatch),
@@ -152,9 +153,9 @@
     }
 
     fn end_older_incarnations(&mut self, id: &InstanceId, incarnation: Incarnation, now: Now) {
-        for ((other, older), over) in &mut self.sidecar_incarnations {
+        for ((other, older), ended_at) in &mut self.sidecar_incarnations {
             if other == id && *older < incarnation {
-                over.get_or_insert(now);
+                ended_at.get_or_insert(now);
             }
         }
     }
@@ -162,15 +163,18 @@
     /// Begins to close the grants of newly fenced routers.
     fn begin_closing(&mut self) {
         for (router, incarnation) in self.state.fenced().clone() {
-            let known = self.closing.get(&router).map(|(known, _)| *known);
-            if known != Some(incarnation) {
+            let closing_incarnation = self
+                .closing
+                .get(&router)
+                .map(|(closing_incarnation, _)| *closing_incarnation);
+            if closing_incarnation != Some(incarnation) {
                 let grants = self.state.grants_of(&router);
                 let since = grants.filter_map(|g| self.opened.get(&g.id)).min();
                 let since = since.copied().unwrap_or(Now::MAX);
                 // An incarnation that ended before the oldest open grant was opened charged nothing to it.
                 let incarnations = self.sidecar_incarnations.iter();
-                let incarnations =
-                    incarnations.filter(|(_, over)| over.is_none_or(|over| over >= since));
+                let incarnations = incarnations
+                    .filter(|(_, ended_at)| ended_at.is_none_or(|ended_at| ended_at >= since));
                 let closing =
                     GrantClosing::new(incarnations.map(|(incarnation, _)| incarnation.clone()));
                 self.closing.insert(router, (incarnation, closing));
@@ -187,8 +191,8 @@
     pub fn send_to_ledger(&mut self, msg: LedgerMessage) {
         let pause = self.latency();
         if self.chance(2.0) {
-            let late = self.random_duration(Duration::from_millis(5), Duration::from_secs(4));
-            self.schedule_after(late, SimEvent::LedgerMessage(msg.clone()));
+            let delay = self.random_duration(Duration::from_millis(5), Duration::from_secs(4));
+            self.schedule_after(delay, SimEvent::LedgerMessage(msg.clone()));
             self.count("messages duplicated");
         }
         if self.chance(2.0) {
@@ -278,26 +282,26 @@
     fn handle_sidecar_heartbeat(
         &mut self,
         slot: usize,
-        who: &(InstanceId, Incarnation),
+        sidecar: &(InstanceId, Incarnation),
         evidence: &[ChargeEvidence],
     ) {
         let mut accepted = Vec::new();
-        for found in evidence {
-            let mut grants = self.ledger.state.grants_of(&found.router);
-            if !grants.any(|g| g.state == GrantState::Fenced && g.incarnation <= found.incarnation)
+        for entry in evidence {
+            let mut grants = self.ledger.state.grants_of(&entry.router);
+            if !grants.any(|g| g.state == GrantState::Fenced && g.incarnation <= entry.incarnation)
             {
-                accepted.push((found.router.clone(), found.incarnation));
+                accepted.push((entry.router.clone(), entry.incarnation));
                 continue;
             }
-            let closing = self.ledger.closing.get_mut(&found.router);
+            let closing = self.ledger.closing.get_mut(&entry.router);
             if let Some((_, closing)) =
-                closing.filter(|(incarnation, _)| *incarnation == found.incarnation)
+                closing.filter(|(incarnation, _)| *incarnation == entry.incarnation)
             {
-                closing.record_evidence(who, found);
+                closing.record_evidence(sidecar, entry);
             }
         }
         let fenced = self.ledger.state.fenced().clone();
-        let incarnation = who.1;
+        let incarnation = sidecar.1;
         let pause = self.latency();
         self.schedule_after(pause, SimEvent::FencedRouters(slot, incarnation, fenced));
         self.schedule_after(
@@ -348,12 +352,12 @@
             let lost_sidecar = id.strip_prefix('s').and_then(|slot| slot.parse().ok());
             self.ledger.last_heartbeats.remove(&id);
             let now = self.now;
-            if let Some(over) = self
+            if let Some(ended_at) = self
                 .ledger
                 .sidecar_incarnations
                 .get_mut(&(id.clone(), incarnation))
             {
-                over.get_or_insert(now);
+                ended_at.get_or_insert(now);
             }
             self.ledger.apply(&Command::SetPresence(SetPresence {
                 id,
--- a/crates/anvilreel/tests/soak/net.rs
+++ b/crates/anvilreel/tests/soak/net.rs
@@ -32,6 +32,7 @@
 
 #[derive(Debug, Default)]
 pub struct Net {
+    /// End of the partition between two processes, by their names in order.
     pub partitions: BTreeMap<(String, String), Now>,
     pub streams: BTreeMap<StreamId, Stream>,
     next: StreamId,
--- a/crates/anvilreel/tests/soak/routers.rs
+++ b/crates/anvilreel/tests/soak/routers.rs
@@ -23,6 +23,8 @@
 /// Maximum wait for the answer to a claim.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 
+/// A message to a router: answers of the ledger and of other routers, and the timeout of a claim. A number
+/// is the exchange that it belongs to.
 #[derive(Debug, Clone)]
 pub enum RouterMessage {
     Grants(GrantBatchAnswer),
@@ -30,6 +32,7 @@
     Claimed(u64, Box<ClaimRecord>),
     ClaimTimedOut(u64, Holder),
     PeerClaimAnswer(u64, InstanceId, Option<IdempotentClaim>),
+    /// Members, and whether the ledger still accepts this incarnation.
     Members(BTreeMap<InstanceId, Member>, bool),
 }
 
@@ -322,13 +325,14 @@
             .record_members(now, members.values());
         let old = std::mem::replace(&mut self.routers[slot].members, members);
         let new = &self.routers[slot].members;
-        let over = |was: &&Member| {
-            let is = new.get(&was.instance.id);
-            is.is_none_or(|is| {
-                is.instance.incarnation != was.instance.incarnation || is.presence == Presence::Gone
+        let is_over = |old_member: &&Member| {
+            let new_member = new.get(&old_member.instance.id);
+            new_member.is_none_or(|new_member| {
+                new_member.instance.incarnation != old_member.instance.incarnation
+                    || new_member.presence == Presence::Gone
             })
         };
-        let gone = old.values().filter(over);
+        let gone = old.values().filter(is_over);
         let gone: Vec<_> = gone
             .map(|m| Target::new(m.instance.id.clone(), m.instance.incarnation))
             .collect();
@@ -421,10 +425,10 @@
             Action::PutClaim { holder, claim } => self.put_claim(slot, id, &holder, claim),
             Action::PutLedgerClaim(claim) => {
                 self.send_from_router(slot, LedgerRequest::Claim(id, claim));
-                let lost = RouterMessage::ClaimTimedOut(id, Holder::Ledger);
+                let timed_out = RouterMessage::ClaimTimedOut(id, Holder::Ledger);
                 self.schedule_after(
                     CLAIM_TIMEOUT,
-                    SimEvent::RouterMessage(slot, incarnation, lost),
+                    SimEvent::RouterMessage(slot, incarnation, timed_out),
                 );
             }
             Action::SettleClaim(settle) => {
@@ -527,10 +531,10 @@
     fn put_claim(&mut self, slot: usize, id: u64, holder: &InstanceId, claim: IdempotentClaim) {
         let incarnation = self.routers[slot].incarnation;
         let to = slot_of(holder);
-        let lost = RouterMessage::ClaimTimedOut(id, Holder::Router(holder.clone()));
+        let timed_out = RouterMessage::ClaimTimedOut(id, Holder::Router(holder.clone()));
         self.schedule_after(
             CLAIM_TIMEOUT,
-            SimEvent::RouterMessage(slot, incarnation, lost),
+            SimEvent::RouterMessage(slot, incarnation, timed_out),
         );
         let pause = self.latency();
         let from = (slot, incarnation, id);
@@ -546,8 +550,8 @@
     pub fn handle_peer_claim(&mut self, to: usize, msg: ClaimMessage) {
         let (slot, incarnation, id) = msg.from;
         let (a, b) = (format!("r{slot}"), format!("r{to}"));
-        let cut = slot != to && self.net.is_partitioned(self.now, &a, &b);
-        if cut || !self.routers[to].alive {
+        let partitioned = slot != to && self.net.is_partitioned(self.now, &a, &b);
+        if partitioned || !self.routers[to].alive {
             return;
         }
         if let Some(until) = self.frozen(to, self.routers[to].incarnation) {
@@ -565,8 +569,9 @@
         let own_id: InstanceId = b.as_str().into();
         let since_contact = now.saturating_sub(*ledger_contact);
         let put = RouterRequest::PutAs { claim, holders };
-        let reply = claim_store.handle(now, put, |key, asked| {
-            unguarded || holder_history.may_confirm_claim(now, since_contact, &own_id, key, asked)
+        let reply = claim_store.handle(now, put, |key, sent_holders| {
+            unguarded
+                || holder_history.may_confirm_claim(now, since_contact, &own_id, key, sent_holders)
         });
         let claim = match reply {
             RouterReply::Claim(claim) => claim,
--- a/crates/anvilreel/tests/soak/sidecars.rs
+++ b/crates/anvilreel/tests/soak/sidecars.rs
@@ -209,15 +209,15 @@
                 Action::Reply { reader, reply } => self.reply(slot, reader, reply),
                 Action::Close { .. } => {}
                 Action::Engine { run, command } => {
-                    if let (EngineCommand::Begin(start), Some(by)) = (&command, &starter) {
+                    if let (EngineCommand::Begin(start), Some(stream)) = (&command, &starter) {
                         if self.chance(2.0) {
                             // Not counted as a run: the endpoint reports that it did not run it.
                             self.count("starts refused by the endpoint");
                             self.feed_engine_event(slot, run, EngineEvent::Refused);
                             continue;
                         }
-                        let by = (by.router, by.router_incarnation, by.exchange);
-                        self.record_run_start(slot, start, by);
+                        let exchange = (stream.router, stream.router_incarnation, stream.exchange);
+                        self.record_run_start(slot, start, exchange);
                     }
                     self.run_engine_command(slot, run, command);
                 }
@@ -230,14 +230,14 @@
         &mut self,
         slot: usize,
         start: &StartRequest,
-        by: (usize, Incarnation, u64),
+        exchange: (usize, Incarnation, u64),
     ) {
         *self
             .truth
             .runs_started
             .entry(start.key.clone())
             .or_default() += 1;
-        *self.truth.starts_by_exchange.entry(by).or_default() += 1;
+        *self.truth.starts_by_exchange.entry(exchange).or_default() += 1;
         let incarnation = self.sidecars[slot].incarnation;
         let incarnations = self.truth.ran_on.entry(start.key.clone()).or_default();
         incarnations.insert((slot, incarnation));
@@ -256,7 +256,7 @@
         {
             // Like a fault in a proxy or in an I/O layer: bytes of another answer come first.
             self.sidecars[slot].inject_foreign_frame = false;
-            let crossed = Frame {
+            let foreign = Frame {
                 key: RequestKey {
                     team: "other".into(),
                     id: "other".into(),
@@ -264,7 +264,7 @@
                 bytes: Bytes::from_static(b"someone else's answer"),
                 ..frame.clone()
             };
-            self.send_reply(reader, SidecarReply::Frame(crossed));
+            self.send_reply(reader, SidecarReply::Frame(foreign));
         }
         self.send_reply(reader, reply);
     }
--- a/crates/anvilreel/tests/soak/truth.rs
+++ b/crates/anvilreel/tests/soak/truth.rs
@@ -13,6 +13,7 @@
 /// What really happened in a run.
 #[derive(Debug, Default)]
 pub struct GroundTruth {
+    /// Violated invariants found while the simulation ran.
     pub violations: Vec<String>,
     /// Number of engine runs, by key.
     pub runs_started: BTreeMap<RequestKey, u64>,
@@ -132,8 +133,8 @@
         // sidecar delivers after it was wrongly declared lost is charged to nobody.
         let lost = self.lost_incarnations_of(key);
         let repeated = full_cost * Tokens::try_from(lost).unwrap_or(0);
-        let completed = caller.completed && !self.written_off_keys.contains(key);
-        let is_exact = charged <= full_cost && (!completed || charged == full_cost);
+        let must_be_charged = caller.completed && !self.written_off_keys.contains(key);
+        let is_exact = charged <= full_cost && (!must_be_charged || charged == full_cost);
         if !is_exact && lost > 0 && !caller.at_most_once && charged <= full_cost + repeated {
             self.lost_with_sidecar.insert(key.clone());
             return Ok(());
@@ -155,7 +156,7 @@
         if runs == 0 && charged > 0 && !(caller.at_most_once && in_doubt) {
             return Err(format!("{key:?} never ran and was charged {charged}"));
         }
-        if completed && charged != full_cost {
+        if must_be_charged && charged != full_cost {
             return Err(format!(
                 "{key:?} got its complete answer, charged {charged} of {full_cost}"
             ));
--- a/crates/anvilreel/tests/soak/world.rs
+++ b/crates/anvilreel/tests/soak/world.rs
@@ -39,6 +39,9 @@
 use truth::GroundTruth;
 
 /// A scheduled event of the simulation.
+///
+/// Routers, sidecars and callers are named by their index (slot). An event for an incarnation that is over
+/// is ignored; ticks of the next incarnation start it.
 #[derive(Debug)]
 pub enum SimEvent {
     RouterTick(usize, Incarnation),
@@ -215,13 +218,13 @@
         checked.map_err(|e| self.describe_failure(&e))
     }
 
-    pub fn schedule_at(&mut self, when: Now, what: SimEvent) {
+    pub fn schedule_at(&mut self, when: Now, event: SimEvent) {
         self.seq += 1;
-        self.queue.insert((when.max(self.now), self.seq), what);
+        self.queue.insert((when.max(self.now), self.seq), event);
     }
 
-    pub fn schedule_after(&mut self, pause: Duration, what: SimEvent) {
-        self.schedule_at(self.now + pause, what);
+    pub fn schedule_after(&mut self, pause: Duration, event: SimEvent) {
+        self.schedule_at(self.now + pause, event);
     }
 
     pub fn random_duration(&mut self, low: Duration, high: Duration) -> Duration {
@@ -251,8 +254,8 @@
         self.plan.without == Some(guard)
     }
 
-    fn process_event(&mut self, what: SimEvent) {
-        match what {
+    fn process_event(&mut self, event: SimEvent) {
+        match event {
             SimEvent::RouterTick(slot, incarnation) => self.router_tick(slot, incarnation),
             SimEvent::ExchangeTimer(slot, incarnation, id) => {
                 self.exchange_timer(slot, incarnation, id);
@@ -277,7 +280,7 @@
             SimEvent::StreamRequest(id, req) => self.deliver_request(id, *req),
             SimEvent::StreamReply(id, reply) => self.deliver_reply(id, *reply),
             SimEvent::StreamClosed(id) => self.close_stream(id),
-            SimEvent::StreamBroken(id, never) => self.break_stream(id, never),
+            SimEvent::StreamBroken(id, never_sent) => self.break_stream(id, never_sent),
             SimEvent::LedgerMessage(msg) => self.handle_ledger_message(msg),
             SimEvent::LedgerTick => self.ledger_tick(),
             SimEvent::CallerSends(caller) => self.caller_sends(caller),
