--- a/crates/anvilreel/src/runs.rs
+++ b/crates/anvilreel/src/runs.rs
@@ -7,14 +7,14 @@
 //! Invariants, asserted in release too: one live run a key, a non-idempotent key never a second
 //! time in this life, contiguous offsets, no charge above the bound, bytes kept within the bound.
 
+mod admission;
 mod charges;
 mod engine;
 mod error;
 mod event;
-mod gate;
 mod output;
-mod pressure;
 mod readers;
+mod retention;
 mod run;
 mod table;
 
--- a/crates/anvilreel/src/sidecar.rs
+++ b/crates/anvilreel/src/sidecar.rs
@@ -4,16 +4,16 @@
 //! side of a run), `gate` (whether the endpoint is leaving), `platform`
 //! (the platform's word on that), `orders` (fencing numbers).
 
-mod answer;
+mod admission;
 mod drive;
 mod engine;
 mod follow;
-mod gate;
 mod http;
 mod hub;
 mod load;
 mod orders;
 mod platform;
+mod requests;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
 use crate::life::Life;
 use crate::metrics::{Metrics, RUNS_OPEN};
 use crate::runs::{Event, RunsConfig};
-use gate::Gate;
+use admission::Gate;
 use hub::Hub;
 use load::{Loads, first_load};
 
@@ -78,7 +78,7 @@
         event!(core.log, events::SIDECAR_LISTENING, "addr" => addr.to_string());
         let answering = core.clone();
         let handlers = Handlers::default()
-            .with::<SidecarCall, _, _>(move |req, tx| answer::answer(answering.clone(), req, tx));
+            .with::<SidecarCall, _, _>(move |req, tx| requests::answer(answering.clone(), req, tx));
         let mut tasks = vec![tokio::spawn(server.serve(handlers, std::future::pending()))];
         let (following, beating) = (core.clone(), core.clone());
         tasks.push(tokio::spawn(
