--- a/crates/anvilreel/src/runs.rs
+++ b/crates/anvilreel/src/runs.rs
@@ -1,11 +1,12 @@
-//! A sidecar's runs, as a state machine: the last gate before an endpoint.
+//! The runs of one sidecar, as a state machine: the last check before work reaches the endpoint.
 //!
-//! [`Runs::handle`] takes an [`Event`] and says what to do as [`Action`]s; the shell does it and
-//! feeds back what came of it. A run goes on when its router dies; its output is kept, so that a
-//! retry through any router attaches to it.
+//! [`Runs::handle`] takes an [`Event`] and returns the [`Action`]s to perform, in order; the caller
+//! performs them and feeds their results back as events. A run continues when its router dies. Its
+//! output is kept, so that a retry through any router attaches to it.
 //!
-//! Invariants, asserted in release too: one live run a key, a non-idempotent key never a second
-//! time in this life, contiguous offsets, no charge above the bound, bytes kept within the bound.
+//! Invariants, checked in release builds too: at most one live run for a key; a non-idempotent key
+//! never runs twice in one incarnation of the sidecar; offsets of the output are contiguous; no
+//! charge exceeds its bound; the kept output stays within its bound.
 
 mod admission;
 mod charges;
--- a/crates/anvilreel/src/runs/charges.rs
+++ b/crates/anvilreel/src/runs/charges.rs
@@ -1,4 +1,4 @@
-//! What this sidecar charged under which grant: the evidence for closing a lost router's grants.
+//! What this sidecar charged to which grant: the evidence for closing the grants of a lost router.
 
 use std::collections::BTreeMap;
 
@@ -8,50 +8,53 @@
 type ByKey = BTreeMap<RequestKey, (u32, Tokens)>;
 type ByGrant = BTreeMap<GrantId, ByKey>;
 
-/// Charges by router, life, grant and key.
+/// Charges by router, incarnation, grant and key.
 ///
-/// Kept until the router says that a grant is closed, or until the ledger has taken the evidence
-/// of a fenced life: an entry is needed exactly as long as its grant is open.
+/// An entry is needed exactly as long as its grant is open. It is kept until the router reports
+/// that the grant is closed, or until the ledger has accepted the evidence of a fenced incarnation.
 #[derive(Debug, Clone, Default)]
 pub struct Charges {
     routers: BTreeMap<InstanceId, BTreeMap<Incarnation, ByGrant>>,
 }
 
 impl Charges {
-    /// Notes a run's charge. Noted again, the highest attempt counts, and of one attempt the
-    /// larger charge.
-    pub fn note(
+    /// Records the charge of a run. If a key is charged again, the highest attempt counts, and
+    /// within one attempt the larger charge.
+    pub fn record(
         &mut self,
         payment: &Payment,
         key: &RequestKey,
         attempt: u32,
         charged: &BTreeMap<GrantId, Tokens>,
     ) {
-        let lives = self.routers.entry(payment.router.clone()).or_default();
-        let grants = lives.entry(payment.incarnation).or_default();
+        let incarnations = self.routers.entry(payment.router.clone()).or_default();
+        let grants = incarnations.entry(payment.incarnation).or_default();
         for (grant, tokens) in charged {
             let keys = grants.entry(*grant).or_default();
-            let known = keys.entry(key.clone()).or_default();
-            *known = (*known).max((attempt, *tokens));
+            let recorded = keys.entry(key.clone()).or_default();
+            *recorded = (*recorded).max((attempt, *tokens));
         }
     }
 
-    /// Forgets what was charged under grants that are closed for good.
+    /// Drops charges to grants that are closed: those with ids below the oldest open grant of the
+    /// payment.
     pub fn forget_closed(&mut self, payment: &Payment) {
-        let Some(lives) = self.routers.get_mut(&payment.router) else {
+        let Some(incarnations) = self.routers.get_mut(&payment.router) else {
             return;
         };
-        if let Some(grants) = lives.get_mut(&payment.incarnation) {
+        if let Some(grants) = incarnations.get_mut(&payment.incarnation) {
             *grants = grants.split_off(&payment.oldest);
         }
     }
 
-    /// All that was charged under a router's lives up to this one.
+    /// All charges of a router's incarnations up to this one.
     pub fn evidence(&self, router: &InstanceId, incarnation: Incarnation) -> ChargeEvidence {
-        let lives = self.routers.get(router);
-        let grants = lives
-            .into_iter()
-            .flat_map(|lives| lives.range(..=incarnation).flat_map(|(_, grants)| grants));
+        let incarnations = self.routers.get(router);
+        let grants = incarnations.into_iter().flat_map(|incarnations| {
+            incarnations
+                .range(..=incarnation)
+                .flat_map(|(_, grants)| grants)
+        });
         let charges = grants.flat_map(|(grant, keys)| {
             keys.iter().map(|(key, (attempt, charged))| KeyCharge {
                 grant: *grant,
@@ -67,21 +70,26 @@
         }
     }
 
-    /// Forgets a fenced router's lives after the ledger has taken their evidence.
-    pub fn taken(&mut self, router: &InstanceId, incarnation: Incarnation) {
-        if let Some(lives) = self.routers.get_mut(router) {
-            lives.retain(|life, _| *life > incarnation);
+    /// Drops the charges of a fenced router's incarnations up to this one, after the ledger has
+    /// accepted their evidence.
+    pub fn forget_incarnations(&mut self, router: &InstanceId, incarnation: Incarnation) {
+        if let Some(incarnations) = self.routers.get_mut(router) {
+            incarnations.retain(|other, _| *other > incarnation);
         }
-        self.routers.retain(|_, lives| !lives.is_empty());
+        self.routers
+            .retain(|_, incarnations| !incarnations.is_empty());
     }
 
-    /// Entries held, for metrics.
+    /// Number of entries, for metrics.
     pub fn len(&self) -> usize {
-        let lives = self.routers.values().flat_map(BTreeMap::values);
-        lives.flat_map(BTreeMap::values).map(BTreeMap::len).sum()
+        let incarnations = self.routers.values().flat_map(BTreeMap::values);
+        incarnations
+            .flat_map(BTreeMap::values)
+            .map(BTreeMap::len)
+            .sum()
     }
 
-    /// Whether nothing is held.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/anvilreel/src/runs/error.rs
+++ b/crates/anvilreel/src/runs/error.rs
@@ -1,44 +1,44 @@
-//! Broken invariants of runs.
+//! Violated invariants of runs.
 
 use anvil_world::prelude::*;
 use snafu::Snafu;
 
 use super::RunId;
 
-/// An invariant that does not hold. The run it concerns is stopped.
+/// A violated invariant; it is logged.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum RunsError {
-    /// The endpoint measured more use than its request may cost.
-    #[snafu(display("run {run} cost {cost} tokens, its bound is {bound}"))]
+    /// The usage that the endpoint reported costs more than the request's bound.
+    #[snafu(display("run {run} exceeds its bound: cost {cost} tokens, bound {bound}"))]
     OverBound {
         /// The run.
         run: RunId,
-        /// What its use would cost, in tokens.
+        /// Cost of the reported usage, in tokens.
         cost: Tokens,
-        /// What was reserved, in tokens.
+        /// The reserved tokens.
         bound: Tokens,
     },
-    /// A payment whose grants do not cover its bound.
-    #[snafu(display("a payment with a bound of {bound} tokens holds {reserved}"))]
-    ShortPayment {
+    /// The grants of a payment don't cover its bound.
+    #[snafu(display("payment does not cover its bound: reserved {reserved} of {bound} tokens"))]
+    PaymentBelowBound {
         /// The bound, in tokens.
         bound: Tokens,
-        /// What its grants hold, in tokens.
+        /// Tokens reserved from its grants.
         reserved: Tokens,
     },
-    /// A reader would get a gap.
-    #[snafu(display("run {run}: nothing kept at byte {offset}"))]
-    Gap {
+    /// A reader asked for output that is not kept, although nothing was dropped.
+    #[snafu(display("output of run {run} has a gap: nothing kept at byte {offset}"))]
+    OutputGap {
         /// The run.
         run: RunId,
-        /// Where bytes are missing.
+        /// Offset of the first missing byte.
         offset: Offset,
     },
-    /// A second live run of one key.
-    #[snafu(display("run {run} of a key that has a run"))]
-    SecondRun {
-        /// The run that was not begun.
+    /// A second run was begun for one key.
+    #[snafu(display("run {run} begun for a key that already has a run"))]
+    DuplicateRun {
+        /// The second run.
         run: RunId,
     },
 }
--- a/crates/anvilreel/src/runs/event.rs
+++ b/crates/anvilreel/src/runs/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a sidecar's runs, and what they want done.
+//! Input and output of the state machine of a sidecar's runs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,93 +9,93 @@
 
 use super::RunsError;
 
-/// One run in the endpoint. Never used again in one life of the sidecar.
+/// Number of one run. Never reused within one incarnation of the sidecar.
 pub type RunId = u64;
-/// One stream of replies. The shell numbers them and never uses a number again.
+/// Number of one stream of replies. Assigned by the caller of [`Runs::handle`](super::Runs::handle) and never reused.
 pub type ReaderId = u64;
 
-/// What happens.
+/// An input of [`Runs::handle`](super::Runs::handle).
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A router wants this run, or to attach to the one that the key has.
+    /// A router starts a run, or attaches to the one that the key has.
     Start {
         /// Where replies go.
         reader: ReaderId,
-        /// What is wanted.
+        /// The request.
         start: Box<StartRequest>,
     },
-    /// A router wants to read a run that the key has.
+    /// A router attaches to the run of a key, without starting one.
     Attach {
         /// Where replies go.
         reader: ReaderId,
         /// The request.
         key: RequestKey,
-        /// First byte wanted.
+        /// First byte to send.
         offset: Offset,
     },
-    /// The caller left for good.
+    /// The caller has disconnected for good.
     Cancel {
         /// Where the reply goes.
         reader: ReaderId,
         /// The request.
         key: RequestKey,
-        /// The life that is meant.
+        /// The sidecar's incarnation that the request was dispatched to.
         life: Incarnation,
     },
-    /// What of this key?
+    /// A router asks for the state of a key.
     Probe {
         /// Where the reply goes.
         reader: ReaderId,
         /// The request.
         key: RequestKey,
     },
-    /// Never start this key.
+    /// A router forbids any later start of a key.
     Forbid {
         /// Where the reply goes.
         reader: ReaderId,
         /// The request.
         key: RequestKey,
-        /// The life that is meant.
+        /// The sidecar's incarnation that the request was dispatched to.
         life: Incarnation,
-        /// The claim that is meant; nothing means the key.
+        /// Forbids only starts under this claim; `None` forbids every start of the key.
         claim: Option<ClaimId>,
     },
-    /// The reader's stream has taken the last `Head` or `Frame` and has room for the next.
+    /// The reader's stream has taken the last `Head` or `Frame` and has room for the next one.
     Ready {
-        /// Which.
+        /// The reader.
         reader: ReaderId,
     },
-    /// The reader's stream is gone.
+    /// The reader's stream was closed.
     Gone {
-        /// Which.
+        /// The reader.
         reader: ReaderId,
     },
-    /// The endpoint said something.
+    /// The endpoint reported something about a run.
     Engine {
-        /// Of which run.
+        /// The run.
         run: RunId,
-        /// What.
+        /// The event.
         event: EngineEvent,
     },
-    /// This endpoint is leaving: nothing new from now on.
+    /// The endpoint is leaving: new runs are refused.
     Leaving,
-    /// This endpoint takes work again.
+    /// The endpoint is no longer leaving: new runs are accepted again.
     Returned,
-    /// A router's lives up to this one are fenced.
+    /// A router's incarnations up to this one are fenced.
     Fenced {
         /// The router.
         router: InstanceId,
-        /// The newest fenced life.
+        /// The newest fenced incarnation.
         incarnation: Incarnation,
     },
-    /// For how long a non-idempotent key is remembered: longer than the ledger keeps claims.
-    KeepOnce(Duration),
-    /// Time has passed. Feed it about once a second.
+    /// How long a non-idempotent key is remembered: longer than the ledger keeps claims.
+    OnceRetention(Duration),
+    /// Time has passed. To be fed about once a second.
     Tick,
 }
 
 impl Event {
-    /// What a router's request is to the runs; nothing for an order or a watch.
+    /// The event for a request of a router; `None` for an order or a watch.
     pub fn of(reader: ReaderId, req: SidecarRequest) -> Option<Self> {
         Some(match req {
             SidecarRequest::Start(start) => Self::Start { reader, start },
@@ -117,77 +117,80 @@
     }
 }
 
-/// What an endpoint says of a run. Use is cumulative, as far as it is known, and of the whole
-/// answer: of one that is continued, the prefix counts as output and not as prompt.
+/// What an endpoint reports about a run. Usage is cumulative, as far as it is known, and covers the
+/// whole answer: if the answer is continued, its prefix counts as output and not as prompt.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EngineEvent {
-    /// Status and headers of a plain service's answer.
+    /// Status and headers of a plain service's response.
     Head(ResponseHead),
     /// The next bytes of output.
     Output {
         /// The bytes.
         bytes: Bytes,
-        /// Use so far.
+        /// Usage so far.
         usage: Usage,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     Ended {
-        /// Use in all.
+        /// Total usage.
         usage: Usage,
         /// `stop` or `length`.
         finish: Arc<str>,
     },
-    /// The endpoint has certainly not run it: no connection, or its own word.
+    /// The endpoint has certainly not run the request: there was no connection, or the endpoint
+    /// refused it.
     Refused,
-    /// The connection to the endpoint broke after the call had left.
+    /// The connection to the endpoint broke after the call was sent.
     Lost {
-        /// Use so far.
+        /// Usage so far.
         usage: Usage,
-        /// Whether the engine can give its stream again from an offset.
+        /// Whether the engine's stream may be resumed from an offset.
         resumable: bool,
     },
 }
 
-/// What is to be done.
+/// An output of [`Runs::handle`](super::Runs::handle), to be performed by its caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send this to a reader. After a `Head` or `Frame` the shell feeds [`Event::Ready`].
+    /// Sends a reply to a reader. After a `Head` or `Frame` was sent, [`Event::Ready`] is to be
+    /// fed.
     Reply {
-        /// Which.
+        /// The reader.
         reader: ReaderId,
-        /// What.
+        /// The reply.
         reply: SidecarReply,
     },
-    /// End a reader's stream: all was said.
+    /// Ends a reader's stream after its last reply.
     Close {
-        /// Which.
+        /// The reader.
         reader: ReaderId,
     },
-    /// Tell the endpoint.
+    /// Sends a command to the endpoint.
     Engine {
-        /// Of which run.
+        /// The run.
         run: RunId,
-        /// What.
+        /// The command.
         command: EngineCommand,
     },
-    /// An invariant is broken; log it.
+    /// An invariant is violated; to be logged.
     Violation(RunsError),
 }
 
-/// What an endpoint is told of a run.
+/// A command to the endpoint about a run.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EngineCommand {
-    /// Begin. For a chat with a prefix: continue after it; events then hold only what follows.
+    /// Starts the run. A chat with a prefix is continued after it; its events then hold only what
+    /// follows.
     Begin(Arc<StartRequest>),
-    /// Give the stream again from this byte of the run's own output.
+    /// Resumes the stream at this byte of the run's own output.
     Resume {
-        /// Bytes that are held already, without the prefix.
+        /// Bytes already received, without the prefix.
         from: Offset,
     },
-    /// Stop for good; nothing more is wanted.
+    /// Stops the run for good.
     Stop,
-    /// Read no more for now.
+    /// Stops reading output for now.
     Pause,
-    /// Read on.
+    /// Reads output again.
     Continue,
 }
--- a/crates/anvilreel/src/runs/output.rs
+++ b/crates/anvilreel/src/runs/output.rs
@@ -1,42 +1,42 @@
-//! A run's kept output.
+//! The output of a run, as far as it is kept.
 
 use std::collections::BTreeMap;
 
 use anvil_world::prelude::*;
 use bytes::{Bytes, BytesMut};
 
-/// Most bytes given to a reader at once.
+/// Maximum size of a frame that joins several chunks.
 const FRAME_BYTES: usize = 16 << 10;
 
 #[derive(Debug, Clone)]
 struct Chunk {
     bytes: Bytes,
-    /// Tokens of the answer up to this chunk's end.
+    /// Tokens of the answer up to the end of this chunk.
     tokens: Tokens,
 }
 
-/// Output bytes from some offset to the end, contiguous.
+/// Contiguous output bytes, from the first that is kept to the end.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Output {
-    start: Offset,
+    start_offset: Offset,
     length: Offset,
     chunks: BTreeMap<Offset, Chunk>,
 }
 
 impl Output {
-    /// The first byte still kept.
-    pub(super) fn start(&self) -> Offset {
-        self.start
+    /// Offset of the first byte that is kept.
+    pub(super) fn start_offset(&self) -> Offset {
+        self.start_offset
     }
 
-    /// Bytes of output in all.
+    /// Length of the whole output, including dropped bytes.
     pub(super) fn length(&self) -> Offset {
         self.length
     }
 
-    /// Bytes kept.
-    pub(super) fn kept(&self) -> u64 {
-        self.length - self.start
+    /// Number of bytes kept.
+    pub(super) fn kept_bytes(&self) -> u64 {
+        self.length - self.start_offset
     }
 
     pub(super) fn push(&mut self, bytes: Bytes, tokens: Tokens) {
@@ -48,9 +48,10 @@
         self.chunks.insert(at, Chunk { bytes, tokens });
     }
 
-    /// The bytes at an offset, with the tokens up to their end; `None` where nothing is kept.
+    /// The bytes from an offset on, at most one frame, with the tokens up to their end; `None` if
+    /// nothing is kept there.
     pub(super) fn read(&self, offset: Offset) -> Option<(Bytes, Tokens)> {
-        if offset < self.start || offset >= self.length {
+        if offset < self.start_offset || offset >= self.length {
             return None;
         }
         let (at, first) = self.chunks.range(..=offset).next_back()?;
@@ -72,14 +73,14 @@
         Some((buf.freeze(), tokens))
     }
 
-    /// Forgets whole chunks before an offset.
+    /// Drops whole chunks that end at or before an offset.
     pub(super) fn trim(&mut self, before: Offset) {
         while let Some((at, chunk)) = self.chunks.first_key_value() {
             let end = at + chunk.bytes.len() as u64;
             if end > before {
                 return;
             }
-            self.start = end;
+            self.start_offset = end;
             self.chunks.pop_first();
         }
     }
--- a/crates/anvilreel/src/runs/readers.rs
+++ b/crates/anvilreel/src/runs/readers.rs
@@ -1,4 +1,4 @@
-//! Readers: each takes output at its own pace.
+//! Readers of a run's output. Each receives output at its own pace.
 
 use anvil_wire::msg::{Frame, SidecarReply};
 use anvil_world::prelude::*;
@@ -7,20 +7,26 @@
 use super::table::Runs;
 use super::{Action, ReaderId, RunId, RunsError};
 
-/// One stream of replies.
+/// One stream of replies to a router.
 #[derive(Debug)]
 pub(super) struct Reader {
     pub(super) run: RunId,
     pub(super) offset: Offset,
-    /// Whether its stream has room. One reply is under way at most, so that a slow reader holds
-    /// up nobody and takes no memory but its own frame.
+    /// Whether its stream has room. At most one reply is in flight, so that a slow reader delays no
+    /// other reader and takes no memory beyond its own frame.
     pub(super) ready: bool,
     head_sent: bool,
 }
 
 impl Runs {
-    /// Lets a reader read a run from an offset.
-    pub(super) fn read(&mut self, reader: ReaderId, run: RunId, offset: Offset, attached: bool) {
+    /// Adds a reader to a run, at an offset.
+    pub(super) fn add_reader(
+        &mut self,
+        reader: ReaderId,
+        run: RunId,
+        offset: Offset,
+        attached: bool,
+    ) {
         let Some(found) = self.table.get_mut(&run) else {
             return;
         };
@@ -39,33 +45,33 @@
         };
         self.readers.insert(reader, entry);
         self.reply(reader, accepted);
-        self.pump(reader);
+        self.send_next(reader);
     }
 
-    pub(super) fn ready(&mut self, reader: ReaderId) {
+    pub(super) fn reader_ready(&mut self, reader: ReaderId) {
         if let Some(found) = self.readers.get_mut(&reader) {
             found.ready = true;
-            self.pump(reader);
+            self.send_next(reader);
         }
     }
 
-    pub(super) fn gone(&mut self, reader: ReaderId) {
-        if let Some(gone) = self.readers.remove(&reader)
-            && let Some(run) = self.table.get_mut(&gone.run)
+    pub(super) fn remove_reader(&mut self, reader: ReaderId) {
+        if let Some(removed) = self.readers.remove(&reader)
+            && let Some(run) = self.table.get_mut(&removed.run)
         {
             run.readers.remove(&reader);
         }
     }
 
-    /// Gives every reader of a run what it has room for.
-    pub(super) fn pump_all(&mut self, run: RunId) {
+    /// Sends the next reply to every reader of a run that has room.
+    pub(super) fn send_to_readers(&mut self, run: RunId) {
         let readers = self.table.get(&run).map(|run| run.readers.clone());
         for reader in readers.unwrap_or_default() {
-            self.pump(reader);
+            self.send_next(reader);
         }
     }
 
-    fn pump(&mut self, id: ReaderId) {
+    fn send_next(&mut self, id: ReaderId) {
         let Some(reader) = self.readers.get_mut(&id) else {
             return;
         };
@@ -84,7 +90,7 @@
             let frame = next_frame(run, reader.offset);
             let Some(frame) = frame else {
                 let (run, offset) = (reader.run, reader.offset);
-                return self.fail(id, run, offset);
+                return self.report_dropped_output(id, run, offset);
             };
             reader.offset += frame.bytes.len() as u64;
             reader.ready = false;
@@ -93,30 +99,31 @@
         if let Some(ended) = &run.end {
             let end = SidecarReply::End(ended.end.clone());
             let run = reader.run;
-            self.finish(id, run, end);
+            self.finish_reader(id, run, end);
         }
     }
 
-    /// The end was said: the reader goes, and the answer counts as delivered.
-    fn finish(&mut self, id: ReaderId, run: RunId, end: SidecarReply) {
-        self.gone(id);
+    /// Sends the end to a reader and removes it; the answer counts as delivered.
+    fn finish_reader(&mut self, id: ReaderId, run: RunId, end: SidecarReply) {
+        self.remove_reader(id);
         if let Some(ended) = self.table.get_mut(&run).and_then(|run| run.end.as_mut()) {
             ended.delivered = true;
         }
         self.last_reply(id, end);
     }
 
-    /// What a reader wants is no longer kept. It gets no gap, but an end that says so.
-    fn fail(&mut self, id: ReaderId, run: RunId, offset: Offset) {
-        self.gone(id);
+    /// The output at a reader's offset is no longer kept. The reader receives an end that reports
+    /// this instead of a gap.
+    fn report_dropped_output(&mut self, id: ReaderId, run: RunId, offset: Offset) {
+        self.remove_reader(id);
         let Some(found) = self.table.get(&run) else {
             return;
         };
         if !found.is_trimmed() {
-            let e = RunsError::Gap { run, offset };
+            let e = RunsError::OutputGap { run, offset };
             self.actions.push(Action::Violation(e));
         }
-        let end = found.unfinished(Outcome::Unknown(UnknownCause::AnswerDropped));
+        let end = found.incomplete_end(Outcome::Unknown(UnknownCause::AnswerDropped));
         self.last_reply(id, SidecarReply::End(Box::new(end)));
     }
 
--- a/crates/anvilreel/src/runs/run.rs
+++ b/crates/anvilreel/src/runs/run.rs
@@ -1,4 +1,4 @@
-//! One run.
+//! One run: its request, the output kept, its readers and how it ended.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,32 +10,32 @@
 use super::output::Output;
 use super::{ReaderId, RunId};
 
-/// A run and what is kept of it.
+/// One run of a request in the endpoint.
 #[derive(Debug)]
 pub(super) struct Run {
     pub(super) id: RunId,
     pub(super) start: Arc<StartRequest>,
     pub(super) head: Option<ResponseHead>,
     pub(super) output: Output,
-    /// Use by this and earlier engines, as far as measured.
+    /// Usage by this and earlier engines, as far as measured.
     pub(super) usage: Usage,
     pub(super) readers: BTreeSet<ReaderId>,
     pub(super) paused: bool,
     pub(super) deadline: Now,
-    pub(super) end: Option<Ended>,
+    pub(super) end: Option<EndedRun>,
 }
 
 /// How a run ended.
 #[derive(Debug, Clone)]
-pub(super) struct Ended {
+pub(super) struct EndedRun {
     pub(super) end: Box<RunEnd>,
-    /// When its output may go.
-    pub(super) drop_output: Now,
-    /// When the key may be forgotten.
-    pub(super) forget: Now,
-    /// Whether some reader got all of it.
+    /// The output is dropped after this time.
+    pub(super) drop_output_at: Now,
+    /// The key is forgotten after this time.
+    pub(super) forget_at: Now,
+    /// Whether some reader has received all of the output.
     pub(super) delivered: bool,
-    /// Whether its endpoint lost it and it is to be continued elsewhere.
+    /// Whether the endpoint lost the run, so that another endpoint continues it.
     pub(super) handed_back: bool,
 }
 
@@ -59,24 +59,24 @@
         }
     }
 
-    /// Forgets all kept output; returns the bytes freed.
+    /// Drops all kept output; returns the bytes freed.
     pub(super) fn drop_output(&mut self) -> u64 {
-        let before = self.output.kept();
+        let before = self.output.kept_bytes();
         self.output.trim(self.output.length());
-        before - self.output.kept()
+        before - self.output.kept_bytes()
     }
 
-    /// Whether it was ended to be continued elsewhere.
+    /// Whether it ended so that another endpoint can continue it.
     pub(super) fn is_handed_back(&self) -> bool {
         self.end.as_ref().is_some_and(|ended| ended.handed_back)
     }
 
-    /// Whether the endpoint works on it.
+    /// Whether the run has not ended.
     pub(super) fn is_live(&self) -> bool {
         self.end.is_none()
     }
 
-    /// Forgets the caller's body, which an ended run has no use for.
+    /// Drops the caller's body, which an ended run no longer needs.
     pub(super) fn drop_body(&mut self) {
         if self.start.work == Work::default() {
             return;
@@ -87,17 +87,17 @@
         self.start = Arc::new(start);
     }
 
-    /// Whether some of the output was dropped from the front.
+    /// Whether output was dropped from the front.
     pub(super) fn is_trimmed(&self) -> bool {
-        self.output.start() > 0
+        self.output.start_offset() > 0
     }
 
-    /// What a use costs, in tokens, uncapped.
+    /// Cost of a usage in tokens, not limited by the bound.
     pub(super) fn cost(&self, usage: Usage) -> Tokens {
         self.start.payment.price.cost(usage)
     }
 
-    /// The charge for the present use by grant; never above the bound.
+    /// The charge for the usage so far, by grant; never above the bound.
     pub(super) fn charges(&self) -> BTreeMap<GrantId, Tokens> {
         let payment = &self.start.payment;
         let cost = self.cost(self.usage).min(payment.bound);
--- a/crates/anvilreel/src/runs/table.rs
+++ b/crates/anvilreel/src/runs/table.rs
@@ -1,4 +1,4 @@
-//! The table of runs, and where each event goes.
+//! The table of runs, and the dispatch of events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,20 +11,20 @@
 use super::run::Run;
 use super::{Action, Event, ReaderId, RunId};
 
-/// How long a forbidden key is remembered. A router whose dispatch is later than this has been
-/// fenced meanwhile.
-pub(super) const KEEP_FORBIDDEN: Duration = Duration::from_hours(1);
+/// How long a forbidden key is remembered. A router whose start arrives later than this has been
+/// fenced in the meantime.
+pub(super) const FORBIDDEN_RETENTION: Duration = Duration::from_hours(1);
 
-pub(super) type Forbidden = (RequestKey, Option<ClaimId>);
+pub(super) type ForbiddenStart = (RequestKey, Option<ClaimId>);
 
-/// What a sidecar's runs are bounded by.
+/// Limits of the runs of one sidecar.
 #[derive(Debug, Clone)]
 pub struct RunsConfig {
-    /// This life of the sidecar.
+    /// Incarnation of the sidecar.
     pub life: Incarnation,
-    /// Most bytes of output kept for all runs together.
+    /// Maximum bytes of output kept for all runs together.
     pub buffer_bytes: u64,
-    /// For how long a non-idempotent key is remembered; longer than the ledger keeps claims.
+    /// How long a non-idempotent key is remembered; longer than the ledger keeps claims.
     pub keep_once: Duration,
 }
 
@@ -35,21 +35,22 @@
     pub(super) table: BTreeMap<RunId, Run>,
     pub(super) by_key: BTreeMap<RequestKey, RunId>,
     pub(super) readers: BTreeMap<ReaderId, Reader>,
-    /// By key and claim; no claim means every start of the key.
-    pub(super) forbidden: BTreeMap<Forbidden, Now>,
+    /// Forbidden starts, by key and claim, with the time until which they are remembered. No claim
+    /// means every start of the key.
+    pub(super) forbidden: BTreeMap<ForbiddenStart, Now>,
     pub(super) fenced: BTreeMap<InstanceId, Incarnation>,
-    pub(super) unsent: BTreeSet<InstanceId>,
+    pub(super) pending_evidence: BTreeSet<InstanceId>,
     pub(super) charges: Charges,
     pub(super) leaving: bool,
-    pub(super) kept: u64,
-    /// Whether engines were told to pause.
-    pub(super) full: bool,
-    pub(super) next: RunId,
+    pub(super) kept_bytes: u64,
+    /// Whether the engines of live runs are paused.
+    pub(super) engines_paused: bool,
+    pub(super) next_run: RunId,
     pub(super) actions: Vec<Action>,
 }
 
 impl Runs {
-    /// No runs.
+    /// A state without runs.
     pub fn new(cfg: RunsConfig) -> Self {
         Self {
             cfg,
@@ -58,17 +59,17 @@
             readers: BTreeMap::new(),
             forbidden: BTreeMap::new(),
             fenced: BTreeMap::new(),
-            unsent: BTreeSet::new(),
+            pending_evidence: BTreeSet::new(),
             charges: Charges::default(),
             leaving: false,
-            kept: 0,
-            full: false,
-            next: 1,
+            kept_bytes: 0,
+            engines_paused: false,
+            next_run: 1,
             actions: Vec::new(),
         }
     }
 
-    /// Takes one event and says what to do, in order.
+    /// Handles one event; returns the actions to perform, in order.
     pub fn handle(&mut self, now: Now, event: Event) -> Vec<Action> {
         match event {
             Event::Start { reader, start } => self.start(now, reader, *start),
@@ -78,73 +79,73 @@
                 offset,
             } => self.attach(reader, &key, offset),
             Event::Cancel { reader, key, life } => self.cancel(now, reader, key, life),
-            Event::Probe { reader, key } => self.answer(reader, self.probe(&key)),
+            Event::Probe { reader, key } => self.reply_probed(reader, self.probe(&key)),
             Event::Forbid {
                 reader,
                 key,
                 life,
                 claim,
             } => self.forbid(now, reader, (key, claim), life),
-            Event::Ready { reader } => self.ready(reader),
-            Event::Gone { reader } => self.gone(reader),
-            Event::Engine { run, event } => self.engine(now, run, event),
+            Event::Ready { reader } => self.reader_ready(reader),
+            Event::Gone { reader } => self.remove_reader(reader),
+            Event::Engine { run, event } => self.engine_event(now, run, event),
             Event::Leaving => self.leaving = true,
             Event::Returned => self.leaving = false,
             Event::Fenced {
                 router,
                 incarnation,
             } => self.fence(router, incarnation),
-            Event::KeepOnce(keep) => self.cfg.keep_once = keep,
+            Event::OnceRetention(keep) => self.cfg.keep_once = keep,
             Event::Tick => self.tick(now),
         }
-        self.relieve();
+        self.enforce_buffer_limit();
         std::mem::take(&mut self.actions)
     }
 
-    /// Runs that the endpoint works on.
+    /// Number of runs that have not ended.
     pub fn live(&self) -> usize {
         self.table.values().filter(|run| run.is_live()).count()
     }
 
-    /// Bytes of output kept for all runs.
+    /// Bytes of output kept for all runs together.
     pub fn kept_bytes(&self) -> u64 {
-        self.kept
+        self.kept_bytes
     }
 
-    /// Whether the endpoint takes nothing new.
+    /// Whether new runs are refused because the endpoint is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// What was charged and is not closed yet.
+    /// Charges to grants that are still open.
     pub fn charges(&self) -> &Charges {
         &self.charges
     }
 
-    /// Evidence for the ledger: of each fenced router none of whose runs goes on here, until it
-    /// is taken.
+    /// Charge evidence for the ledger: for each fenced router without a live run here, until the
+    /// ledger has accepted it.
     ///
-    /// Why it is final: the fence was in force here before, so that no start of these lives is
-    /// accepted any more, and what was accepted has ended.
+    /// The evidence is final: the fence was applied here before, so no further start of the fenced
+    /// incarnations is accepted, and all runs that were accepted have ended.
     pub fn evidence(&self) -> Vec<ChargeEvidence> {
-        let fenced = self.unsent.iter().filter_map(|router| {
+        let fenced = self.pending_evidence.iter().filter_map(|router| {
             let incarnation = *self.fenced.get(router)?;
-            let settled = !self.goes_on(router, incarnation);
-            settled.then(|| self.charges.evidence(router, incarnation))
+            let is_final = !self.has_live_run(router, incarnation);
+            is_final.then(|| self.charges.evidence(router, incarnation))
         });
         fenced.collect()
     }
 
-    /// The ledger has taken a fenced router's evidence.
+    /// The ledger has accepted the evidence of a fenced router.
     pub fn evidence_taken(&mut self, router: &InstanceId, incarnation: Incarnation) {
         if self.fenced.get(router) == Some(&incarnation) {
-            self.unsent.remove(router);
-            self.charges.taken(router, incarnation);
+            self.pending_evidence.remove(router);
+            self.charges.forget_incarnations(router, incarnation);
         }
     }
 
-    /// Whether a run paid by a router's lives up to this one is live.
-    fn goes_on(&self, router: &InstanceId, incarnation: Incarnation) -> bool {
+    /// Whether a live run is paid by one of a router's incarnations up to this one.
+    fn has_live_run(&self, router: &InstanceId, incarnation: Incarnation) -> bool {
         self.table.values().any(|run| {
             let payment = &run.start.payment;
             run.is_live() && payment.router == *router && payment.incarnation <= incarnation
@@ -154,13 +155,13 @@
     fn fence(&mut self, router: InstanceId, incarnation: Incarnation) {
         let known = self.fenced.get(&router).copied().unwrap_or_default();
         if incarnation > known {
-            self.unsent.insert(router.clone());
+            self.pending_evidence.insert(router.clone());
             self.fenced.insert(router, incarnation);
         }
     }
 
     pub(super) fn probe(&self, key: &RequestKey) -> ProbeAnswer {
-        match self.run_of(key) {
+        match self.run_for_key(key) {
             Some(run) => match &run.end {
                 Some(ended) => ProbeAnswer::Ended(ended.end.clone()),
                 None => ProbeAnswer::Running {
@@ -172,11 +173,11 @@
         }
     }
 
-    pub(super) fn run_of(&self, key: &RequestKey) -> Option<&Run> {
+    pub(super) fn run_for_key(&self, key: &RequestKey) -> Option<&Run> {
         self.table.get(self.by_key.get(key)?)
     }
 
-    pub(super) fn answer(&mut self, reader: ReaderId, answer: ProbeAnswer) {
+    pub(super) fn reply_probed(&mut self, reader: ReaderId, answer: ProbeAnswer) {
         self.last_reply(reader, SidecarReply::Probed(answer));
     }
 
--- a/crates/anvilreel/src/sidecar/follow.rs
+++ b/crates/anvilreel/src/sidecar/follow.rs
@@ -95,7 +95,7 @@
     let fleet = fleet.map(|entry| Document::check(&TreePath::Fleet, &entry.text));
     if let Some(Ok(Document::Fleet(fleet))) = fleet {
         core.hub
-            .feed(Event::KeepOnce(fleet.keep_claims + REMEMBER_LONGER));
+            .feed(Event::OnceRetention(fleet.keep_claims + REMEMBER_LONGER));
     }
     core.show_leaving();
 }
