--- a/crates/anvilreel/src/sidecar.rs
+++ b/crates/anvilreel/src/sidecar.rs
@@ -1,8 +1,11 @@
-//! A sidecar as a process: it stands beside one endpoint and is the last gate before it.
+//! A sidecar as a process: it runs beside one endpoint and forwards requests to it, after the last
+//! check of whether they may run.
 //!
-//! Read on: [`Sidecar`], then `hub` (the shell around [`crate::runs`]), `drive` (the endpoint's
-//! side of a run), `gate` (whether the endpoint is leaving), `platform`
-//! (the platform's word on that), `orders` (fencing numbers).
+//! [`Sidecar`] starts and stops the process. `requests` answers routers, `hub` holds the state
+//! machine [`crate::runs`], `drive` performs one run at the endpoint (`engine` and `http` are its
+//! protocols), and `load` polls the endpoint's load. `follow` connects to the ledger, `admission`
+//! tells whether the endpoint is leaving, `platform` polls the platform for this, and `orders`
+//! forwards operators' orders with their fencing numbers.
 
 mod admission;
 mod drive;
@@ -37,14 +40,14 @@
 use hub::Hub;
 use load::{Loads, first_load};
 
-/// Pause between two looks at the runs that a planned stop waits for.
+/// Interval at which a planned stop checks whether runs are left.
 const STOP_LOOK: Duration = Duration::from_millis(50);
-/// How long a once-only key is remembered before the fleet's document is known.
+/// How long a non-idempotent key is remembered until the fleet document is known.
 const KEEP_ONCE: Duration = Duration::from_hours(25);
-/// How long a stopped sidecar still answers: longer than it takes routers to see that it leaves.
+/// How long a stopped sidecar still answers: longer than routers take to notice that it is leaving.
 const LINGER: Duration = Duration::from_millis(500);
 
-/// What all parts of a sidecar share.
+/// State shared by all parts of a sidecar.
 pub(crate) struct Core {
     instance: Instance,
     life: Life,
@@ -66,7 +69,7 @@
 }
 
 impl Sidecar {
-    /// Listens, joins the fleet and takes work.
+    /// Listens, joins the fleet and accepts work.
     pub async fn start(
         settings: &SidecarSettings,
         log: Logger,
@@ -98,17 +101,18 @@
         Ok(Self { core, addr, tasks })
     }
 
-    /// Where routers connect.
+    /// Address at which routers connect.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Which life of the instance this is.
+    /// Incarnation of this sidecar.
     pub fn life(&self) -> Incarnation {
         self.core.life.incarnation
     }
 
-    /// The planned stop: no new work, runs finish, and their ends are read.
+    /// The planned stop: refuses new work, waits until all runs have ended, and lingers so that
+    /// routers read their ends.
     pub async fn stop(self) {
         self.core.life.leave();
         self.core.show_leaving();
@@ -121,15 +125,17 @@
         self.kill();
     }
 
-    /// Returns when the ledger holds this life to be over, after a silence of many minutes.
+    /// Returns when the ledger reports that this incarnation is over, after minutes without
+    /// heartbeats.
     ///
-    /// Failure: the evidence of a life that was declared gone is no longer asked for, so work
-    /// that it took would be billed to nobody. It must end like a crash, and a new one begin.
+    /// Failure: the ledger no longer asks for the evidence of an incarnation that it declared gone,
+    /// so work accepted by it would be charged to nobody. The sidecar has to end as after a crash,
+    /// and a new incarnation start.
     pub async fn over(&self) {
         self.core.life.ended().await;
     }
 
-    /// Stops at once, as a crash does.
+    /// Stops immediately, like a crash.
     pub fn kill(self) {
         for task in &self.tasks {
             task.abort();
@@ -176,7 +182,7 @@
         }
     }
 
-    /// The instance with the models that its engine holds now.
+    /// The instance, with the models that its engine has loaded now.
     fn present_instance(&self) -> Instance {
         let mut instance = self.instance.clone();
         if let Some(endpoint) = &mut instance.endpoint {
--- a/crates/anvilreel/src/sidecar/admission.rs
+++ b/crates/anvilreel/src/sidecar/admission.rs
@@ -1,9 +1,9 @@
-//! Whether the endpoint gets new work.
+//! Whether the endpoint accepts new work.
 //!
-//! Failure: a router that is cut off from the ledger doesn't learn that an endpoint leaves, and
-//! goes on sending work to it. It would show as work cut short by the leaving. The sidecar
-//! stands on the endpoint's own side of any partition, so its refusal holds whatever the router
-//! believes; it is itself told by the ledger, by the platform's list and by its own stop.
+//! Failure: a router that is cut off from the ledger does not learn that an endpoint is leaving and
+//! keeps sending work, which is cut off when the endpoint ends. The sidecar is on the endpoint's
+//! side of any partition, so its refusal holds whatever the router's view is. It learns that the
+//! endpoint is leaving from the ledger, from the platform's list and from its own planned stop.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -13,18 +13,18 @@
 use crate::held::Held;
 use crate::life::Life;
 
-/// What the sidecar knows of the fleet.
+/// What the sidecar knows about the presence of its instance.
 pub struct Gate {
-    /// What was followed so far.
+    /// The newest state received from the ledger.
     pub held: ArcSwap<Held>,
-    /// Whether the platform's list names this instance as leaving.
+    /// Whether the platform lists this instance as leaving.
     pub platform_leaving: AtomicBool,
     life: Life,
     id: InstanceId,
 }
 
 impl Gate {
-    /// A gate that knows nothing yet.
+    /// Nothing is known yet: new work is accepted.
     pub fn new(id: InstanceId, life: Life) -> Self {
         Self {
             held: ArcSwap::default(),
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Whether the endpoint gets no new work: by its own stop, the ledger or the platform.
+    /// Whether the endpoint accepts no new work, because of its own stop, the ledger or the
+    /// platform.
     pub fn is_leaving(&self) -> bool {
         if self.life.is_leaving() || self.platform_leaving.load(Ordering::Relaxed) {
             return true;
--- a/crates/anvilreel/src/sidecar/drive.rs
+++ b/crates/anvilreel/src/sidecar/drive.rs
@@ -1,5 +1,5 @@
-//! Drives one run at the endpoint: the endpoint's words go to the state machine, and its
-//! commands to the endpoint.
+//! Performs one run at the endpoint: forwards the endpoint's events to the state machine, and the
+//! state machine's commands to the endpoint.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,33 +18,33 @@
 use super::hub::Hub;
 use crate::runs::{EngineCommand, EngineEvent, Event, RunId};
 
-/// How often a broken stream is resumed before the run is given up here.
+/// Maximum number of times the stream of one run is resumed.
 const RESUMES: u32 = 3;
 /// Pause before a broken stream is resumed.
 const RESUME_AFTER: Duration = Duration::from_millis(50);
-/// Bytes that a prompt token takes on average: for the use of a run that is stopped before the
-/// engine has told.
+/// Average bytes of a prompt token. Used to estimate the usage of a run that is stopped before the
+/// engine has reported it.
 const USUAL_TOKEN_BYTES: u64 = 4;
-/// Priority of work that a person waits for; lower is sooner.
+/// Engine priority of interactive work; lower is sooner.
 const INTERACTIVE: i32 = 0;
-/// Priority of work with a deadline of hours.
+/// Engine priority of batch work, whose deadline is hours away.
 const BATCH: i32 = 10;
 
-/// What drives one run.
+/// What is needed to perform one run.
 pub struct Driver {
-    /// Where the endpoint's words go.
+    /// Receives the events of the run.
     pub hub: Arc<Hub>,
-    /// The way to the endpoint.
+    /// Client of the endpoint.
     pub client: EndpointClient,
-    /// Which run.
+    /// The run.
     pub run: RunId,
-    /// What was asked.
+    /// The request.
     pub start: Arc<StartRequest>,
-    /// What the state machine wants of the endpoint.
+    /// The state machine's commands.
     pub commands: UnboundedReceiver<EngineCommand>,
 }
 
-/// Drives a run to its end.
+/// Performs a run until it ends.
 pub async fn drive(mut driver: Driver) {
     let start = driver.start.clone();
     match &start.work {
@@ -78,7 +78,7 @@
 
     /// Returns when the run is to be stopped.
     async fn stopped(&mut self) {
-        // A closed channel means that nobody is left who could want it to go on.
+        // A closed channel counts as a stop: nobody is left who could continue the run.
         while let Some(command) = self.commands.recv().await {
             if command == EngineCommand::Stop {
                 return;
@@ -140,19 +140,19 @@
     Ok(())
 }
 
-/// A chat at the engine.
+/// A chat run at an engine.
 struct Chat<'a> {
     start: &'a StartRequest,
     body: &'a Bytes,
     run_id: String,
-    /// Bytes of the whole answer, prefix included.
+    /// Length of the whole answer so far, prefix included.
     length: Offset,
     usage: Usage,
     finish: Arc<str>,
     resumes: u32,
 }
 
-/// What ends the reading of one stream.
+/// Why the reading of one stream ended.
 enum Cut {
     Done,
     Lost,
@@ -168,8 +168,8 @@
             body,
             run_id: run_id(start),
             length: start.prefix.len() as u64,
-            // Until the engine has told, which it does at the end: an estimate of the prompt, and
-            // one token for each event, which is never more than it made.
+            // The engine reports its usage at the end. Until then the prompt is estimated, and each
+            // event counts as one token, which is never more than the engine produced.
             usage: Usage {
                 prompt: bytes / USUAL_TOKEN_BYTES,
                 output: start.prefix_tokens,
@@ -183,7 +183,7 @@
     async fn drive(mut self, driver: &mut Driver, max_output: Tokens) {
         let ask = Ask {
             body: self.body,
-            // The engine bounds the whole answer, the state machine what is left of it.
+            // The engine limits the whole answer; `max_output` is what remains of it.
             max_output: max_output + self.start.prefix_tokens,
             priority: match self.start.class {
                 WorkClass::Interactive => INTERACTIVE,
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Passes the engine's words on until the stream ends or a command comes.
+    /// Forwards items of the stream until it ends or a command ends the reading.
     async fn read(&mut self, driver: &mut Driver, stream: &mut EngineStream) -> Cut {
         let mut paused = false;
         let mut broken = false;
@@ -227,7 +227,7 @@
                     Ok(Said::Done) => return Cut::Done,
                     Ok(said) => self.take(driver, said),
                     Err(_) => {
-                        // The state machine answers with a command where it is resumable.
+                        // If the run is resumable, the state machine replies with a command.
                         broken = true;
                         let resumable = self.resumes < RESUMES;
                         self.resumes += 1;
@@ -258,7 +258,7 @@
                 driver.say(EngineEvent::Output { bytes, usage });
             }
             Said::Finish(why) => self.finish = why,
-            // Of the whole answer, also where the engine continues one.
+            // Covers the whole answer, also when the engine continues one.
             Said::Usage(usage) => self.usage = usage,
             Said::Done => {}
         }
@@ -275,13 +275,13 @@
     }
 
     async fn stop(&self, driver: &Driver) {
-        // An engine that can't be reached runs nothing that could be cancelled.
+        // A failed cancel is ignored: an engine that can't be reached has no run left to cancel.
         let _ = engine::cancel(&driver.client, &self.run_id).await;
     }
 }
 
 fn not_begun(driver: &Driver, e: &EndpointError) {
-    // A status is the engine's own word that it runs nothing.
+    // A status other than 200 means that the engine runs nothing.
     if e.never_ran() || matches!(e, EndpointError::Status { .. }) {
         return driver.say(EngineEvent::Refused);
     }
@@ -292,7 +292,8 @@
     });
 }
 
-/// Names the run at the engine, also where the caller's key holds characters of URLs.
+/// The id of a run at the engine. Hashed, because the caller's key may contain characters that are
+/// reserved in URLs.
 fn run_id(start: &StartRequest) -> String {
     let key = &start.key;
     let name = format!("{}/{}/{}/{}", start.life, start.attempt, key.team, key.id);
--- a/crates/anvilreel/src/sidecar/engine.rs
+++ b/crates/anvilreel/src/sidecar/engine.rs
@@ -1,4 +1,4 @@
-//! The protocol of model engines: OpenAI's shape, always as server-sent events.
+//! The protocol of model engines: the OpenAI chat API, always streamed as server-sent events.
 
 use anvil_world::prelude::*;
 use bytes::{Buf, Bytes, BytesMut};
@@ -12,40 +12,40 @@
 
 use super::http::{BrokenSnafu, EndpointClient, EndpointError, EventSnafu};
 
-/// Path of chats.
+/// Path of chat completions.
 const CHAT: &str = "/v1/chat/completions";
-/// What an engine's last event holds.
+/// Data of the last event of a complete stream.
 const DONE: &[u8] = b"[DONE]";
 
-/// A chat as the engine is asked.
+/// A chat request to the engine.
 #[derive(Debug, Clone)]
 pub struct Ask<'a> {
     /// The caller's JSON body.
     pub body: &'a [u8],
-    /// Most tokens of the whole answer.
+    /// Maximum number of tokens of the whole answer, prefix included.
     pub max_output: Tokens,
-    /// Lower is sooner.
+    /// A lower value is served sooner.
     pub priority: i32,
-    /// Names the run at the engine.
+    /// Id of the run at the engine, for resuming and cancelling it.
     pub run_id: &'a str,
-    /// Answer that was delivered before and is to be continued.
+    /// Answer text that was already delivered and is to be continued.
     pub prefix: &'a [u8],
 }
 
-/// What an engine's stream says.
+/// One item of an engine's stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Said {
-    /// More of the answer.
+    /// Text of the answer.
     Text(String),
-    /// Why it stopped.
+    /// The finish reason.
     Finish(Arc<str>),
-    /// What it used in all.
+    /// Usage of the whole answer.
     Usage(Usage),
-    /// The answer is whole.
+    /// The answer is complete.
     Done,
 }
 
-/// An engine's answer, event by event.
+/// An engine's answer, read item by item.
 pub struct EngineStream {
     body: Incoming,
     buf: BytesMut,
@@ -63,7 +63,7 @@
     stream_of(answer)
 }
 
-/// Takes a run's stream up again after so many bytes of its answer.
+/// Resumes a run's stream after the given number of bytes of its answer.
 pub async fn resume(
     client: &EndpointClient,
     run_id: &str,
@@ -74,7 +74,7 @@
     stream_of(answer)
 }
 
-/// Cancels a run. An engine that can't be reached any more runs nothing either.
+/// Cancels a run.
 pub async fn cancel(client: &EndpointClient, run_id: &str) -> Result<(), EndpointError> {
     let tail = format!("/v1/streams/{run_id}");
     client.send("DELETE", &tail, &[], Bytes::new()).await?;
@@ -93,7 +93,7 @@
     })
 }
 
-/// The caller's body with what the sidecar decides put in.
+/// The caller's body, with the fields that the sidecar sets.
 fn body_for(ask: &Ask<'_>) -> Result<Bytes, EndpointError> {
     let mut body: Value = serde_json::from_slice(ask.body).context(EventSnafu)?;
     body["stream"] = json!(true);
@@ -105,7 +105,7 @@
         body["continue_from"] = json!(String::from_utf8_lossy(ask.prefix));
     }
     if let Some(fields) = body.as_object_mut() {
-        // Two limits that differ would leave it to the engine which one counts.
+        // With two different limits the engine would choose which one to apply.
         fields.remove("max_completion_tokens");
     }
     Ok(body.to_string().into())
@@ -137,7 +137,7 @@
 }
 
 impl EngineStream {
-    /// The next thing it says. An end without [`Said::Done`] is an error.
+    /// The next item. A stream that ends without [`Said::Done`] is an error.
     pub async fn next(&mut self) -> Result<Said, EndpointError> {
         loop {
             if let Some(said) = self.waiting.pop() {
--- a/crates/anvilreel/src/sidecar/follow.rs
+++ b/crates/anvilreel/src/sidecar/follow.rs
@@ -1,4 +1,4 @@
-//! Keeps what the gate knows current, and tells the ledger that the sidecar lives.
+//! Connects to the ledger: follows its state and sends heartbeats.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,20 +13,20 @@
 use crate::held::Held;
 use crate::runs::Event;
 
-/// Time between two signs of life.
+/// Interval of heartbeats; also the time-out of one.
 const HEARTBEAT: Duration = Duration::from_secs(1);
-/// Longest wait for anything from a followed replica before another one is tried.
+/// A followed replica that sends nothing for this time is left for another one.
 const SILENCE: Duration = Duration::from_secs(3);
-/// A once-only key is remembered this much longer than the ledger keeps its claim.
+/// How much longer a non-idempotent key is remembered than the ledger keeps its claim.
 const REMEMBER_LONGER: Duration = Duration::from_hours(1);
 /// Pause before another replica is followed.
 const AGAIN: Duration = Duration::from_millis(100);
 
-/// Follows one replica after the other, for as long as the process lives.
+/// Follows one replica after the other, for as long as the process runs.
 pub async fn follow(core: &Core) {
     let mut held = Held::default();
     let mut in_touch = true;
-    // Sidecars start at different replicas, so that no replica spreads to all of them.
+    // Sidecars start at different replicas, so that no single replica has to serve all of them.
     let mut replica = usize::try_from(core.instance.incarnation % 7).unwrap_or(0);
     loop {
         let heard = follow_one(core, replica, &mut held).await;
@@ -57,7 +57,7 @@
     heard
 }
 
-/// Sends a sign of life every second, with the evidence of fenced routers.
+/// Sends a heartbeat every second, with the charge evidence of fenced routers.
 pub async fn beat(core: &Core) {
     loop {
         let heartbeat = Heartbeat {
@@ -66,7 +66,7 @@
             evidence: core.hub.evidence(),
             leaving: core.gate.is_leaving(),
         };
-        // A lost sign of life is followed by the next one.
+        // A lost heartbeat is not retried; the next one follows.
         if let Ok(reply) = core.ledger.heartbeat(heartbeat, HEARTBEAT).await {
             core.hub.evidence_taken(&reply.taken);
             if reply.presence == Presence::Gone && core.life.end() {
@@ -78,7 +78,8 @@
     }
 }
 
-/// Tells the runs what the fleet holds now.
+/// Applies a new state of the ledger: fences, the retention of keys, and whether the endpoint is
+/// leaving.
 fn take_in(core: &Core, held: &Held) {
     let before = core.gate.held.swap(Arc::new(held.clone()));
     for (router, incarnation) in &held.fenced {
--- a/crates/anvilreel/src/sidecar/http.rs
+++ b/crates/anvilreel/src/sidecar/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP client towards the endpoint beside the sidecar.
+//! The HTTP client of the endpoint.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,56 +12,56 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use snafu::{ResultExt, Snafu};
 
-/// Longest time to make a connection to the process next door.
+/// Time-out of a connection to the endpoint, which runs on the same machine.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A call of the endpoint that failed.
+/// A call to the endpoint that failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum EndpointError {
-    /// No connection; the endpoint saw nothing of the call.
-    #[snafu(display("no connection to the endpoint: {source}"))]
+    /// No connection; the endpoint received nothing of the call.
+    #[snafu(display("connecting to the endpoint failed: {source}"))]
     Connect {
-        /// Why.
+        /// The cause.
         source: hyper_util::client::legacy::Error,
     },
     /// The call may have reached the endpoint.
-    #[snafu(display("the endpoint broke off: {source}"))]
+    #[snafu(display("connection to the endpoint lost: {source}"))]
     Lost {
-        /// Why.
+        /// The cause.
         source: hyper_util::client::legacy::Error,
     },
-    /// The answer broke off.
-    #[snafu(display("the endpoint's answer broke off: {source}"))]
+    /// The connection broke during the response.
+    #[snafu(display("reading the endpoint's response failed: {source}"))]
     Broken {
-        /// Why.
+        /// The cause.
         source: hyper::Error,
     },
-    /// The answer ended without saying that it is whole.
-    #[snafu(display("the endpoint's answer ended early"))]
+    /// The response ended before it was complete.
+    #[snafu(display("the endpoint's response is incomplete"))]
     Ended,
-    /// The endpoint did not take the call.
-    #[snafu(display("the endpoint answered with status {status}"))]
+    /// The endpoint refused the call.
+    #[snafu(display("the endpoint refused the call: status {status}"))]
     Status {
-        /// Its status.
+        /// Status of the response.
         status: StatusCode,
     },
-    /// Not what an engine answers.
-    #[snafu(display("not an engine's event: {source}"))]
+    /// The event or the request body is not the JSON that is expected.
+    #[snafu(display("invalid JSON in a request or event: {source}"))]
     Event {
-        /// Why.
+        /// The cause.
         source: serde_json::Error,
     },
-    /// The call can't be written as HTTP.
-    #[snafu(display("not an HTTP call: {source}"))]
+    /// The call is not valid HTTP.
+    #[snafu(display("invalid HTTP request: {source}"))]
     Call {
-        /// Why.
+        /// The cause.
         source: http::Error,
     },
 }
 
 impl EndpointError {
-    /// Whether it is certain that the endpoint did not run the call.
+    /// Whether the endpoint has certainly not run the call.
     pub fn never_ran(&self) -> bool {
         matches!(self, Self::Connect { .. } | Self::Call { .. })
     }
@@ -75,13 +75,13 @@
 }
 
 impl EndpointClient {
-    /// A client of the endpoint at this address. Nothing is connected yet.
+    /// A client of the endpoint at this address. Does not connect yet.
     pub fn new(addr: SocketAddr) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
-        // A call that may not be repeated must never be sent a second time by the client when a
-        // kept connection turns out to be dead.
+        // Without this the client would send a call a second time if a pooled connection turns out
+        // to be closed; a non-idempotent call must not be repeated.
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .retry_canceled_requests(false)
--- a/crates/anvilreel/src/sidecar/hub.rs
+++ b/crates/anvilreel/src/sidecar/hub.rs
@@ -1,4 +1,5 @@
-//! The shell around the runs' state machine: readers on one side, endpoint drivers on the other.
+//! Holds the state machine of the runs and performs its actions: replies go to readers, commands to
+//! the drivers of runs.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -15,8 +16,8 @@
 use crate::life::Life;
 use crate::runs::{Action, EngineCommand, Event, ReaderId, RunId, Runs, RunsConfig};
 
-/// Replies for one reader. Unbounded, and still bounded: the state machine has one frame under
-/// way for each reader.
+/// Replies to one reader. The channel is unbounded, but holds little: the state machine has at most
+/// one frame in flight for each reader.
 pub type Replies = UnboundedReceiver<SidecarReply>;
 
 struct Desk {
@@ -26,7 +27,7 @@
     next_reader: ReaderId,
 }
 
-/// All runs of a sidecar, fed from sockets and clocks.
+/// All runs of a sidecar.
 pub struct Hub {
     desk: Mutex<Desk>,
     life: Life,
@@ -35,7 +36,7 @@
 }
 
 impl Hub {
-    /// No runs.
+    /// A hub without runs.
     pub fn new(cfg: RunsConfig, life: Life, log: Logger, client: EndpointClient) -> Self {
         let desk = Desk {
             runs: Runs::new(cfg),
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Feeds an event that a reader waits on; `make` gets the reader's number.
+    /// Registers a reader and feeds the event that `make` builds from its number; returns the
+    /// replies.
     pub fn ask(self: &Arc<Self>, make: impl FnOnce(ReaderId) -> Event) -> (ReaderId, Replies) {
         let (tx, rx) = unbounded_channel();
         let mut desk = self.desk();
@@ -62,46 +64,47 @@
         (reader, rx)
     }
 
-    /// Feeds any other event.
+    /// Feeds an event that has no new reader.
     pub fn feed(self: &Arc<Self>, event: Event) {
         let mut desk = self.desk();
         self.feed_locked(&mut desk, event);
     }
 
-    /// A reader's stream is gone.
+    /// Removes a reader whose stream was closed.
     pub fn gone(self: &Arc<Self>, reader: ReaderId) {
         let mut desk = self.desk();
         desk.readers.remove(&reader);
         self.feed_locked(&mut desk, Event::Gone { reader });
     }
 
-    /// A run's driver has nothing more to do.
+    /// Removes the driver of a run that has ended at the endpoint.
     pub fn driven(&self, run: RunId) {
         self.desk().drivers.remove(&run);
     }
 
-    /// The endpoint broke off in mid-answer.
+    /// Logs that the connection to the endpoint broke during a run.
     pub fn broken(&self, run: RunId, resumable: bool) {
         let log = &self.log;
         event!(log, events::SIDECAR_ENGINE_BROKEN, "run" => run, "resumable" => resumable);
     }
 
-    /// Runs that the endpoint works on. Looks at every kept run: for a stop, not for a request.
+    /// Number of runs that have not ended. Checks every kept run, so it is meant for a planned stop
+    /// and not for each request.
     pub fn live(&self) -> usize {
         self.desk().runs.live()
     }
 
-    /// Runs that are driven at the endpoint, for its load.
+    /// Number of runs in progress at the endpoint, for the load report.
     pub fn driving(&self) -> usize {
         self.desk().drivers.len()
     }
 
-    /// Evidence that the ledger has not taken yet.
+    /// Charge evidence that the ledger has not accepted yet.
     pub fn evidence(&self) -> Vec<ChargeEvidence> {
         self.desk().runs.evidence()
     }
 
-    /// The ledger has taken this evidence.
+    /// The ledger has accepted this evidence.
     pub fn evidence_taken(&self, taken: &[(InstanceId, Incarnation)]) {
         let mut desk = self.desk();
         for (router, incarnation) in taken {
@@ -119,7 +122,8 @@
         match action {
             Action::Reply { reader, reply } => {
                 if let Some(tx) = desk.readers.get(&reader) {
-                    // Fails only where the reader has just gone, which it says itself.
+                    // Fails only if the reader has just disconnected, which its task reports
+                    // itself.
                     let _ = tx.send(reply);
                 }
             }
@@ -134,7 +138,7 @@
     fn command(self: &Arc<Self>, desk: &mut Desk, run: RunId, command: EngineCommand) {
         let EngineCommand::Begin(start) = command else {
             if let Some(tx) = desk.drivers.get(&run) {
-                // Fails only where the driver has just said the run's last word.
+                // Fails only if the driver has just reported the end of the run.
                 let _ = tx.send(command);
             }
             return;
@@ -152,7 +156,7 @@
     }
 
     fn desk(&self) -> MutexGuard<'_, Desk> {
-        // A panic elsewhere leaves the desk as it was between two steps.
+        // A panic elsewhere leaves the state as it was between two steps.
         self.desk.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/anvilreel/src/sidecar/load.rs
+++ b/crates/anvilreel/src/sidecar/load.rs
@@ -1,4 +1,5 @@
-//! The endpoint's load: its own lagging report, asked for now and then, for routers that watch.
+//! The endpoint's load, for routers that watch it: the engine's own report, which lags and is
+//! polled, and the sidecar's count of runs.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,12 +16,12 @@
 
 use super::http::EndpointClient;
 
-/// Time between two looks at the engine's report.
+/// Interval at which the report is polled.
 const EVERY: Duration = Duration::from_millis(250);
-/// Longest wait for a report.
+/// Time-out of a report, for its head and its body each.
 const PATIENCE: Duration = Duration::from_secs(1);
 
-/// What an engine reports at `GET /load`.
+/// Response of an engine to `GET /load`.
 #[derive(Debug, Default, Deserialize)]
 struct Report {
     #[serde(default)]
@@ -33,10 +34,10 @@
     models: BTreeSet<ModelId>,
 }
 
-/// The newest load, shared with all who watch.
+/// The newest load, shared with all watching routers.
 pub type Loads = watch::Sender<EndpointLoad>;
 
-/// The load before any report.
+/// The load before the first report.
 pub fn first_load(endpoint: &EndpointSettings) -> EndpointLoad {
     EndpointLoad {
         slots: endpoint.slots,
@@ -45,7 +46,7 @@
     }
 }
 
-/// Asks the engine for its report, for as long as the process lives.
+/// Polls the report for as long as the process runs.
 pub async fn poll(client: EndpointClient, loads: Arc<Loads>) {
     loop {
         if let Some(report) = ask(&client).await {
--- a/crates/anvilreel/src/sidecar/orders.rs
+++ b/crates/anvilreel/src/sidecar/orders.rs
@@ -1,10 +1,10 @@
-//! Orders to the endpoint, and the fencing number that keeps old ones out.
+//! Orders to the endpoint, and the fencing number that keeps stale ones out.
 //!
-//! Failure: a control instance that was isolated for long comes back and sends an order that
-//! was replaced meanwhile; some engines ignore the number and obey. It would show as an engine
-//! that unloads a model it was told to keep. The sidecar keeps the highest number it has seen
-//! and refuses lower ones; after a restart it first learns the newest number from a majority of
-//! the ledger, so that forgetting lets nothing old pass.
+//! Failure: a control instance that was isolated for a long time returns and sends an order that
+//! was replaced in the meantime; some engines ignore the number and execute it, for example unload
+//! a model that they should keep. The sidecar keeps the highest number it has seen and refuses
+//! lower ones. After a restart it first learns the newest number from a majority of the ledger, so
+//! that no stale order passes because of the lost state.
 
 use anvil_wire::msg::{OrderResult, Query, QueryAnswer};
 use anvil_world::command::{FenceNumber, OrderKind};
@@ -17,10 +17,10 @@
 use crate::event;
 use crate::events;
 
-/// Longest wait for the ledger's word on the newest number.
+/// Time-out of the query of the newest number.
 const LEARN_WITHIN: Duration = Duration::from_secs(2);
 
-/// The highest number seen; `None` until it was learned in this life.
+/// The highest number seen; `None` until it was learned in this incarnation.
 pub type Highest = Mutex<Option<FenceNumber>>;
 
 #[derive(Serialize)]
@@ -30,7 +30,8 @@
     order: &'a OrderKind,
 }
 
-/// Carries an order out unless its number is old. One at a time, in the order of numbers.
+/// Executes an order unless its number is stale. One order at a time, so that they reach the
+/// endpoint in the order of their numbers.
 pub async fn carry_out(core: &Core, fence: FenceNumber, kind: OrderKind) -> OrderResult {
     let mut highest = core.highest.lock().await;
     let known = match *highest {
@@ -45,7 +46,7 @@
         event!(core.log, events::SIDECAR_STALE_ORDER, "index" => fence.index);
         return OrderResult::Stale(known);
     }
-    // Kept before the endpoint sees the order: a failed one must not let an older one pass.
+    // Stored before the endpoint receives the order: even if it fails, no older one may pass.
     *highest = Some(fence);
     pass_on(core, fence, &kind).await
 }
--- a/crates/anvilreel/src/sidecar/platform.rs
+++ b/crates/anvilreel/src/sidecar/platform.rs
@@ -1,9 +1,9 @@
-//! Asks the platform whether this instance is leaving.
+//! Polls the platform for whether this instance is leaving.
 //!
-//! Failure: the platform empties the instance while the ledger can't be reached from it, or before
-//! the ledger has heard. It would show as work that is sent to an endpoint until it is cut off.
-//! The sidecar asks the platform itself, so that the last gate closes although everybody else
-//! still sends; the platform's own lag is all that is left.
+//! Failure: the platform drains the instance while the ledger can't be reached from it, or before
+//! the ledger has learned of it; work is sent to the endpoint until it is cut off. The sidecar asks
+//! the platform itself and refuses new work even if every router still sends it. Only the
+//! platform's own lag remains.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -17,12 +17,12 @@
 use super::Core;
 use super::http::EndpointClient;
 
-/// Time between two looks at the list.
+/// Interval at which the list is polled.
 const EVERY: Duration = Duration::from_secs(1);
-/// Longest wait for the list.
+/// Time-out of the list, for its head and its body each.
 const PATIENCE: Duration = Duration::from_secs(2);
 
-/// One line of the platform's list; what else stands there is of no interest.
+/// An entry of the platform's list. Further fields are ignored.
 #[derive(Debug, Deserialize)]
 struct Listed {
     id: InstanceId,
@@ -34,7 +34,7 @@
 enum Listing {
     Live,
     Leaving,
-    /// A word that this build does not know says nothing.
+    /// A value that this version does not know; it changes nothing.
     #[serde(other)]
     Other,
 }
@@ -44,9 +44,9 @@
     instances: Vec<Listed>,
 }
 
-/// Looks at the list for as long as the process lives.
+/// Polls the list for as long as the process runs.
 pub async fn watch(core: &Core, platform: EndpointClient) {
-    // A platform that can filter sends one line instead of the whole list.
+    // A platform that supports the filter sends one entry instead of the whole list.
     let tail = format!("/instances?id={}", core.instance.id);
     loop {
         if let Some(leaving) = ask(&platform, &tail, &core.instance.id).await {
@@ -59,8 +59,8 @@
     }
 }
 
-/// Whether the instance is listed as leaving. `None` where that is not known: no answer, or not
-/// listed (a lagging list does not know a new instance yet), and then nothing changes.
+/// Whether the instance is listed as leaving. `None` if this is unknown and the last state is kept:
+/// no response, or not listed (a lagging list does not contain a new instance yet).
 async fn ask(platform: &EndpointClient, tail: &str, id: &InstanceId) -> Option<bool> {
     let answer = platform.send("GET", tail, &[], Bytes::new());
     let answer = timeout(PATIENCE, answer).await.ok()?.ok()?;
--- a/crates/anvilreel/src/sidecar/requests.rs
+++ b/crates/anvilreel/src/sidecar/requests.rs
@@ -1,4 +1,4 @@
-//! Answers what routers ask.
+//! Answers requests of routers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use crate::metrics::RUNS_REFUSED;
 use crate::runs::{Event, ReaderId};
 
-/// Least time between two load reports to one router.
+/// Minimum interval between two load reports to one router.
 const WATCH_EVERY: Duration = Duration::from_millis(100);
 
-/// Answers one request; a lost connection ends the answer and never the run.
+/// Answers one request. A lost connection ends the answer, but never the run.
 pub async fn answer(core: Arc<Core>, req: SidecarRequest, mut tx: ReplySender<SidecarReply>) {
-    // In each case: whoever asked is gone; a run goes on and its end is kept.
+    // An error means that the router has disconnected; its run continues, and the end is kept.
     let _ = match req {
         SidecarRequest::Order { fence, kind } => {
             let result = orders::carry_out(&core, fence, kind).await;
@@ -26,7 +26,8 @@
         SidecarRequest::Watch => watch(&core, &mut tx).await,
         run_request => {
             let (reader, replies) = core.hub.ask(|reader| {
-                // Orders and watches were taken out above; nothing else is not about a run.
+                // Unreachable default: orders and watches are handled above, all other requests are
+                // about runs.
                 Event::of(reader, run_request).unwrap_or(Event::Tick)
             });
             core.count_runs();
@@ -38,7 +39,7 @@
     };
 }
 
-/// Passes replies on at the pace at which the router takes them.
+/// Forwards replies as fast as the router reads them.
 async fn pass_on(
     core: &Core,
     reader: ReaderId,
