--- a/crates/anvil_daemons/src/bin/anvilreel-sidecar.rs
+++ b/crates/anvil_daemons/src/bin/anvilreel-sidecar.rs
@@ -29,7 +29,7 @@
                     sidecar.stop().await;
                     return Ok(());
                 }
-                () = sidecar.over() => sidecar.kill(),
+                () = sidecar.incarnation_over() => sidecar.kill(),
             }
         }
     })
--- a/crates/anvilreel/src/sidecar.rs
+++ b/crates/anvilreel/src/sidecar.rs
@@ -36,14 +36,14 @@
 use crate::life::Life;
 use crate::metrics::{Metrics, RUNS_OPEN};
 use crate::runs::{Event, RunsConfig};
-use admission::Gate;
+use admission::Admission;
 use hub::Hub;
 use load::{Loads, first_load};
 
 /// Interval at which a planned stop checks whether runs are left.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long a non-idempotent key is remembered until the fleet document is known.
-const KEEP_ONCE: Duration = Duration::from_hours(25);
+const DEFAULT_ONCE_RETENTION: Duration = Duration::from_hours(25);
 /// How long a stopped sidecar still answers: longer than routers take to notice that it is leaving.
 const LINGER: Duration = Duration::from_millis(500);
 
@@ -55,10 +55,10 @@
     metrics: Metrics,
     ledger: LedgerClient,
     client: EndpointClient,
-    gate: Gate,
+    admission: Admission,
     hub: Arc<Hub>,
     loads: Arc<Loads>,
-    highest: orders::Highest,
+    highest: orders::HighestFence,
 }
 
 /// A running sidecar.
@@ -79,23 +79,24 @@
         let addr = server.addr()?;
         let core = Arc::new(Core::new(settings, addr, log, metrics));
         event!(core.log, events::SIDECAR_LISTENING, "addr" => addr.to_string());
-        let answering = core.clone();
-        let handlers = Handlers::default()
-            .with::<SidecarCall, _, _>(move |req, tx| requests::answer(answering.clone(), req, tx));
+        let handler_core = core.clone();
+        let handlers = Handlers::default().with::<SidecarCall, _, _>(move |req, tx| {
+            requests::handle_request(handler_core.clone(), req, tx)
+        });
         let mut tasks = vec![tokio::spawn(server.serve(handlers, std::future::pending()))];
-        let (following, beating) = (core.clone(), core.clone());
+        let (follower, sender) = (core.clone(), core.clone());
+        tasks.push(tokio::spawn(async move { follow::follow(&follower).await }));
         tasks.push(tokio::spawn(
-            async move { follow::follow(&following).await },
+            async move { follow::heartbeat(&sender).await },
         ));
-        tasks.push(tokio::spawn(async move { follow::beat(&beating).await }));
         if settings.endpoint.kind == EndpointKind::Engine {
             let polling = load::poll(core.client.clone(), core.loads.clone());
             tasks.push(tokio::spawn(polling));
         }
         if let Some(platform) = settings.platform {
-            let (watching, platform) = (core.clone(), EndpointClient::new(platform));
+            let (platform_core, platform) = (core.clone(), EndpointClient::new(platform));
             tasks.push(tokio::spawn(async move {
-                platform::watch(&watching, platform).await;
+                platform::poll(&platform_core, platform).await;
             }));
         }
         Ok(Self { core, addr, tasks })
@@ -115,10 +116,10 @@
     /// routers read their ends.
     pub async fn stop(self) {
         self.core.life.leave();
-        self.core.show_leaving();
+        self.core.publish_leaving();
         event!(self.core.log, events::SIDECAR_LEAVING);
-        while self.core.hub.live() > 0 {
-            sleep(STOP_LOOK).await;
+        while self.core.hub.live_runs() > 0 {
+            sleep(STOP_POLL_INTERVAL).await;
         }
         sleep(LINGER).await;
         event!(self.core.log, events::SIDECAR_STOPPED);
@@ -131,7 +132,7 @@
     /// Failure: the ledger no longer asks for the evidence of an incarnation that it declared gone,
     /// so work accepted by it would be charged to nobody. The sidecar has to end as after a crash,
     /// and a new incarnation start.
-    pub async fn over(&self) {
+    pub async fn incarnation_over(&self) {
         self.core.life.ended().await;
     }
 
@@ -164,12 +165,12 @@
         let cfg = RunsConfig {
             life: life.incarnation,
             buffer_bytes: settings.buffer_bytes,
-            keep_once: KEEP_ONCE,
+            keep_once: DEFAULT_ONCE_RETENTION,
         };
         let hub = Hub::new(cfg, life.clone(), log.clone(), client.clone());
         let hub = Arc::new(hub);
         Self {
-            gate: Gate::new(instance.id.clone(), life.clone()),
+            admission: Admission::new(instance.id.clone(), life.clone()),
             instance,
             life,
             log,
@@ -178,12 +179,12 @@
             client,
             hub,
             loads: Arc::new(Loads::new(first_load(&settings.endpoint))),
-            highest: orders::Highest::default(),
+            highest: orders::HighestFence::default(),
         }
     }
 
     /// The instance, with the models that its engine has loaded now.
-    fn present_instance(&self) -> Instance {
+    fn current_instance(&self) -> Instance {
         let mut instance = self.instance.clone();
         if let Some(endpoint) = &mut instance.endpoint {
             endpoint.models.clone_from(&self.loads.borrow().models);
@@ -191,15 +192,15 @@
         instance
     }
 
-    fn count_runs(&self) {
-        let running = self.hub.driving();
+    fn publish_run_count(&self) {
+        let running = self.hub.driver_count();
         self.metrics.gauge(RUNS_OPEN, running as u64);
         self.loads
             .send_modify(|load| load.running = u32::try_from(running).unwrap_or(u32::MAX));
     }
 
-    fn show_leaving(&self) {
-        let leaving = self.gate.is_leaving();
+    fn publish_leaving(&self) {
+        let leaving = self.admission.is_leaving();
         self.hub.feed(if leaving {
             Event::Leaving
         } else {
--- a/crates/anvilreel/src/sidecar/admission.rs
+++ b/crates/anvilreel/src/sidecar/admission.rs
@@ -14,7 +14,7 @@
 use crate::life::Life;
 
 /// What the sidecar knows about the presence of its instance.
-pub struct Gate {
+pub struct Admission {
     /// The newest state received from the ledger.
     pub held: ArcSwap<Held>,
     /// Whether the platform lists this instance as leaving.
@@ -23,7 +23,7 @@
     id: InstanceId,
 }
 
-impl Gate {
+impl Admission {
     /// Nothing is known yet: new work is accepted.
     pub fn new(id: InstanceId, life: Life) -> Self {
         Self {
--- a/crates/anvilreel/src/sidecar/drive.rs
+++ b/crates/anvilreel/src/sidecar/drive.rs
@@ -13,22 +13,22 @@
 use tokio::time::sleep;
 use xxhash_rust::xxh3::xxh3_128;
 
-use super::engine::{self, Ask, EngineStream, Said};
+use super::engine::{self, ChatRequest, EngineStream, StreamItem};
 use super::http::{EndpointClient, EndpointError};
 use super::hub::Hub;
 use crate::runs::{EngineCommand, EngineEvent, Event, RunId};
 
 /// Maximum number of times the stream of one run is resumed.
-const RESUMES: u32 = 3;
+const MAX_RESUMES: u32 = 3;
 /// Pause before a broken stream is resumed.
-const RESUME_AFTER: Duration = Duration::from_millis(50);
+const RESUME_PAUSE: Duration = Duration::from_millis(50);
 /// Average bytes of a prompt token. Used to estimate the usage of a run that is stopped before the
 /// engine has reported it.
-const USUAL_TOKEN_BYTES: u64 = 4;
+const AVERAGE_TOKEN_BYTES: u64 = 4;
 /// Engine priority of interactive work; lower is sooner.
-const INTERACTIVE: i32 = 0;
+const INTERACTIVE_PRIORITY: i32 = 0;
 /// Engine priority of batch work, whose deadline is hours away.
-const BATCH: i32 = 10;
+const BATCH_PRIORITY: i32 = 10;
 
 /// What is needed to perform one run.
 pub struct Driver {
@@ -51,7 +51,7 @@
         Work::Chat {
             body, max_output, ..
         } => {
-            Chat::new(&start, body)
+            ChatRun::new(&start, body)
                 .drive(&mut driver, *max_output)
                 .await;
         }
@@ -60,15 +60,15 @@
             tail,
             headers,
             body,
-        } => driver.plain(method, tail, headers, body.clone()).await,
+        } => driver.run_plain(method, tail, headers, body.clone()).await,
     }
-    driver.hub.driven(driver.run);
+    driver.hub.remove_driver(driver.run);
 }
 
 impl Driver {
-    fn say(&self, event: EngineEvent) {
+    fn report(&self, event: EngineEvent) {
         if let EngineEvent::Lost { resumable, .. } = event {
-            self.hub.broken(self.run, resumable);
+            self.hub.log_broken_stream(self.run, resumable);
         }
         self.hub.feed(Event::Engine {
             run: self.run,
@@ -77,7 +77,7 @@
     }
 
     /// Returns when the run is to be stopped.
-    async fn stopped(&mut self) {
+    async fn wait_for_stop(&mut self) {
         // A closed channel counts as a stop: nobody is left who could continue the run.
         while let Some(command) = self.commands.recv().await {
             if command == EngineCommand::Stop {
@@ -86,7 +86,7 @@
         }
     }
 
-    async fn plain(
+    async fn run_plain(
         &mut self,
         method: &str,
         tail: &str,
@@ -98,17 +98,17 @@
             ..Usage::default()
         };
         let (hub, run) = (self.hub.clone(), self.run);
-        let say = move |event| hub.feed(Event::Engine { run, event });
+        let report = move |event| hub.feed(Event::Engine { run, event });
         let client = self.client.clone();
         let tail = format!("/{tail}");
-        let call = plain_call(&client, (method, &tail), headers, body, usage, &say);
+        let call = plain_call(&client, (method, &tail), headers, body, usage, &report);
         tokio::select! {
-            called = call => match called {
-                Ok(()) => self.say(EngineEvent::Ended { usage, finish: "stop".into() }),
-                Err(e) if e.never_ran() => self.say(EngineEvent::Refused),
-                Err(_) => self.say(EngineEvent::Lost { usage, resumable: false }),
+            result = call => match result {
+                Ok(()) => self.report(EngineEvent::Ended { usage, finish: "stop".into() }),
+                Err(e) if e.never_ran() => self.report(EngineEvent::Refused),
+                Err(_) => self.report(EngineEvent::Lost { usage, resumable: false }),
             },
-            () = self.stopped() => {}
+            () = self.wait_for_stop() => {}
         }
     }
 }
@@ -119,29 +119,29 @@
     headers: &[(Arc<str>, Bytes)],
     body: Bytes,
     usage: Usage,
-    say: &impl Fn(EngineEvent),
+    report: &impl Fn(EngineEvent),
 ) -> Result<(), EndpointError> {
-    let answer = client.send(method, tail, headers, body).await?;
-    let (parts, mut body) = answer.into_parts();
+    let response = client.send(method, tail, headers, body).await?;
+    let (parts, mut body) = response.into_parts();
     let headers = parts.headers.iter().map(|(name, value)| {
         let value = Bytes::copy_from_slice(value.as_bytes());
         (name.as_str().into(), value)
     });
-    say(EngineEvent::Head(ResponseHead {
+    report(EngineEvent::Head(ResponseHead {
         status: parts.status.as_u16(),
         headers: headers.collect(),
     }));
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|source| EndpointError::Broken { source })?;
         if let Ok(bytes) = frame.into_data() {
-            say(EngineEvent::Output { bytes, usage });
+            report(EngineEvent::Output { bytes, usage });
         }
     }
     Ok(())
 }
 
 /// A chat run at an engine.
-struct Chat<'a> {
+struct ChatRun<'a> {
     start: &'a StartRequest,
     body: &'a Bytes,
     run_id: String,
@@ -153,14 +153,14 @@
 }
 
 /// Why the reading of one stream ended.
-enum Cut {
+enum StreamEnd {
     Done,
     Lost,
     Stopped,
     Resume,
 }
 
-impl<'a> Chat<'a> {
+impl<'a> ChatRun<'a> {
     fn new(start: &'a StartRequest, body: &'a Bytes) -> Self {
         let bytes = body.len() as u64;
         Self {
@@ -171,7 +171,7 @@
             // The engine reports its usage at the end. Until then the prompt is estimated, and each
             // event counts as one token, which is never more than the engine produced.
             usage: Usage {
-                prompt: bytes / USUAL_TOKEN_BYTES,
+                prompt: bytes / AVERAGE_TOKEN_BYTES,
                 output: start.prefix_tokens,
                 ..Usage::default()
             },
@@ -181,36 +181,36 @@
     }
 
     async fn drive(mut self, driver: &mut Driver, max_output: Tokens) {
-        let ask = Ask {
+        let request = ChatRequest {
             body: self.body,
             // The engine limits the whole answer; `max_output` is what remains of it.
             max_output: max_output + self.start.prefix_tokens,
             priority: match self.start.class {
-                WorkClass::Interactive => INTERACTIVE,
-                WorkClass::Batch => BATCH,
+                WorkClass::Interactive => INTERACTIVE_PRIORITY,
+                WorkClass::Batch => BATCH_PRIORITY,
             },
             run_id: &self.run_id,
             prefix: &self.start.prefix,
         };
         let client = driver.client.clone();
-        let begun = tokio::select! {
-            begun = engine::chat(&client, &ask) => begun,
-            () = driver.stopped() => return self.stop(driver).await,
+        let opened = tokio::select! {
+            opened = engine::chat(&client, &request) => opened,
+            () = driver.wait_for_stop() => return self.stop(driver).await,
         };
-        let mut stream = match begun {
+        let mut stream = match opened {
             Ok(stream) => stream,
-            Err(e) => return not_begun(driver, &e),
+            Err(e) => return report_failed_start(driver, &e),
         };
         loop {
             match self.read(driver, &mut stream).await {
-                Cut::Done => {
+                StreamEnd::Done => {
                     let (usage, finish) = (self.usage, self.finish);
-                    return driver.say(EngineEvent::Ended { usage, finish });
+                    return driver.report(EngineEvent::Ended { usage, finish });
                 }
-                Cut::Stopped => return self.stop(driver).await,
-                Cut::Lost => return,
-                Cut::Resume => match self.resume(driver).await {
-                    Some(again) => stream = again,
+                StreamEnd::Stopped => return self.stop(driver).await,
+                StreamEnd::Lost => return,
+                StreamEnd::Resume => match self.resume(driver).await {
+                    Some(resumed) => stream = resumed,
                     None => return,
                 },
             }
@@ -218,60 +218,60 @@
     }
 
     /// Forwards items of the stream until it ends or a command ends the reading.
-    async fn read(&mut self, driver: &mut Driver, stream: &mut EngineStream) -> Cut {
+    async fn read(&mut self, driver: &mut Driver, stream: &mut EngineStream) -> StreamEnd {
         let mut paused = false;
         let mut broken = false;
         loop {
             tokio::select! {
-                said = stream.next(), if !paused && !broken => match said {
-                    Ok(Said::Done) => return Cut::Done,
-                    Ok(said) => self.take(driver, said),
+                item = stream.next(), if !paused && !broken => match item {
+                    Ok(StreamItem::Done) => return StreamEnd::Done,
+                    Ok(item) => self.handle_item(driver, item),
                     Err(_) => {
                         // If the run is resumable, the state machine replies with a command.
                         broken = true;
-                        let resumable = self.resumes < RESUMES;
+                        let resumable = self.resumes < MAX_RESUMES;
                         self.resumes += 1;
                         let usage = self.usage;
-                        driver.say(EngineEvent::Lost { usage, resumable });
+                        driver.report(EngineEvent::Lost { usage, resumable });
                         if !resumable {
-                            return Cut::Lost;
+                            return StreamEnd::Lost;
                         }
                     }
                 },
                 command = driver.commands.recv() => match command {
-                    Some(EngineCommand::Stop) | None => return Cut::Stopped,
+                    Some(EngineCommand::Stop) | None => return StreamEnd::Stopped,
                     Some(EngineCommand::Pause) => paused = true,
                     Some(EngineCommand::Continue) => paused = false,
-                    Some(EngineCommand::Resume { .. }) => return Cut::Resume,
+                    Some(EngineCommand::Resume { .. }) => return StreamEnd::Resume,
                     Some(EngineCommand::Begin(_)) => {}
                 },
             }
         }
     }
 
-    fn take(&mut self, driver: &Driver, said: Said) {
-        match said {
-            Said::Text(text) => {
+    fn handle_item(&mut self, driver: &Driver, item: StreamItem) {
+        match item {
+            StreamItem::Text(text) => {
                 self.length += text.len() as u64;
                 self.usage.output += 1;
                 let (bytes, usage) = (text.into(), self.usage);
-                driver.say(EngineEvent::Output { bytes, usage });
+                driver.report(EngineEvent::Output { bytes, usage });
             }
-            Said::Finish(why) => self.finish = why,
+            StreamItem::Finish(reason) => self.finish = reason,
             // Covers the whole answer, also when the engine continues one.
-            Said::Usage(usage) => self.usage = usage,
-            Said::Done => {}
+            StreamItem::Usage(usage) => self.usage = usage,
+            StreamItem::Done => {}
         }
     }
 
     async fn resume(&mut self, driver: &Driver) -> Option<EngineStream> {
-        sleep(RESUME_AFTER).await;
-        let again = engine::resume(&driver.client, &self.run_id, self.length).await;
-        if again.is_err() {
+        sleep(RESUME_PAUSE).await;
+        let resumed = engine::resume(&driver.client, &self.run_id, self.length).await;
+        if resumed.is_err() {
             let (usage, resumable) = (self.usage, false);
-            driver.say(EngineEvent::Lost { usage, resumable });
+            driver.report(EngineEvent::Lost { usage, resumable });
         }
-        again.ok()
+        resumed.ok()
     }
 
     async fn stop(&self, driver: &Driver) {
@@ -280,13 +280,13 @@
     }
 }
 
-fn not_begun(driver: &Driver, e: &EndpointError) {
+fn report_failed_start(driver: &Driver, e: &EndpointError) {
     // A status other than 200 means that the engine runs nothing.
     if e.never_ran() || matches!(e, EndpointError::Status { .. }) {
-        return driver.say(EngineEvent::Refused);
+        return driver.report(EngineEvent::Refused);
     }
     let usage = Usage::default();
-    driver.say(EngineEvent::Lost {
+    driver.report(EngineEvent::Lost {
         usage,
         resumable: false,
     });
--- a/crates/anvilreel/src/sidecar/engine.rs
+++ b/crates/anvilreel/src/sidecar/engine.rs
@@ -13,13 +13,13 @@
 use super::http::{BrokenSnafu, EndpointClient, EndpointError, EventSnafu};
 
 /// Path of chat completions.
-const CHAT: &str = "/v1/chat/completions";
+const CHAT_PATH: &str = "/v1/chat/completions";
 /// Data of the last event of a complete stream.
-const DONE: &[u8] = b"[DONE]";
+const DONE_DATA: &[u8] = b"[DONE]";
 
 /// A chat request to the engine.
 #[derive(Debug, Clone)]
-pub struct Ask<'a> {
+pub struct ChatRequest<'a> {
     /// The caller's JSON body.
     pub body: &'a [u8],
     /// Maximum number of tokens of the whole answer, prefix included.
@@ -34,7 +34,7 @@
 
 /// One item of an engine's stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Said {
+pub enum StreamItem {
     /// Text of the answer.
     Text(String),
     /// The finish reason.
@@ -49,18 +49,21 @@
 pub struct EngineStream {
     body: Incoming,
     buf: BytesMut,
-    waiting: Vec<Said>,
+    pending: Vec<StreamItem>,
 }
 
 /// Starts a chat.
-pub async fn chat(client: &EndpointClient, ask: &Ask<'_>) -> Result<EngineStream, EndpointError> {
-    let body = body_for(ask)?;
+pub async fn chat(
+    client: &EndpointClient,
+    request: &ChatRequest<'_>,
+) -> Result<EngineStream, EndpointError> {
+    let body = request_body(request)?;
     let headers = [(
         "content-type".into(),
         Bytes::from_static(b"application/json"),
     )];
-    let answer = client.send("POST", CHAT, &headers, body).await?;
-    stream_of(answer)
+    let response = client.send("POST", CHAT_PATH, &headers, body).await?;
+    open_stream(response)
 }
 
 /// Resumes a run's stream after the given number of bytes of its answer.
@@ -69,40 +72,40 @@
     run_id: &str,
     from: Offset,
 ) -> Result<EngineStream, EndpointError> {
-    let tail = format!("/v1/streams/{run_id}?from={from}");
-    let answer = client.send("GET", &tail, &[], Bytes::new()).await?;
-    stream_of(answer)
+    let path = format!("/v1/streams/{run_id}?from={from}");
+    let response = client.send("GET", &path, &[], Bytes::new()).await?;
+    open_stream(response)
 }
 
 /// Cancels a run.
 pub async fn cancel(client: &EndpointClient, run_id: &str) -> Result<(), EndpointError> {
-    let tail = format!("/v1/streams/{run_id}");
-    client.send("DELETE", &tail, &[], Bytes::new()).await?;
+    let path = format!("/v1/streams/{run_id}");
+    client.send("DELETE", &path, &[], Bytes::new()).await?;
     Ok(())
 }
 
-fn stream_of(answer: http::Response<Incoming>) -> Result<EngineStream, EndpointError> {
-    let status = answer.status();
+fn open_stream(response: http::Response<Incoming>) -> Result<EngineStream, EndpointError> {
+    let status = response.status();
     if status != StatusCode::OK {
         return Err(EndpointError::Status { status });
     }
     Ok(EngineStream {
-        body: answer.into_body(),
+        body: response.into_body(),
         buf: BytesMut::new(),
-        waiting: Vec::new(),
+        pending: Vec::new(),
     })
 }
 
 /// The caller's body, with the fields that the sidecar sets.
-fn body_for(ask: &Ask<'_>) -> Result<Bytes, EndpointError> {
-    let mut body: Value = serde_json::from_slice(ask.body).context(EventSnafu)?;
+fn request_body(request: &ChatRequest<'_>) -> Result<Bytes, EndpointError> {
+    let mut body: Value = serde_json::from_slice(request.body).context(EventSnafu)?;
     body["stream"] = json!(true);
     body["stream_options"] = json!({"include_usage": true});
-    body["max_tokens"] = json!(ask.max_output);
-    body["priority"] = json!(ask.priority);
-    body["run_id"] = json!(ask.run_id);
-    if !ask.prefix.is_empty() {
-        body["continue_from"] = json!(String::from_utf8_lossy(ask.prefix));
+    body["max_tokens"] = json!(request.max_output);
+    body["priority"] = json!(request.priority);
+    body["run_id"] = json!(request.run_id);
+    if !request.prefix.is_empty() {
+        body["continue_from"] = json!(String::from_utf8_lossy(request.prefix));
     }
     if let Some(fields) = body.as_object_mut() {
         // With two different limits the engine would choose which one to apply.
@@ -137,15 +140,15 @@
 }
 
 impl EngineStream {
-    /// The next item. A stream that ends without [`Said::Done`] is an error.
-    pub async fn next(&mut self) -> Result<Said, EndpointError> {
+    /// The next item. A stream that ends without [`StreamItem::Done`] is an error.
+    pub async fn next(&mut self) -> Result<StreamItem, EndpointError> {
         loop {
-            if let Some(said) = self.waiting.pop() {
-                return Ok(said);
+            if let Some(item) = self.pending.pop() {
+                return Ok(item);
             }
-            if let Some(line) = self.line() {
-                self.waiting = read_line(&line)?;
-                self.waiting.reverse();
+            if let Some(line) = self.next_line() {
+                self.pending = parse_line(&line)?;
+                self.pending.reverse();
                 continue;
             }
             let frame = self.body.frame().await.ok_or(EndpointError::Ended)?;
@@ -155,7 +158,7 @@
         }
     }
 
-    fn line(&mut self) -> Option<BytesMut> {
+    fn next_line(&mut self) -> Option<BytesMut> {
         let end = self.buf.iter().position(|b| *b == b'\n')?;
         let line = self.buf.split_to(end);
         self.buf.advance(1);
@@ -163,28 +166,28 @@
     }
 }
 
-fn read_line(line: &[u8]) -> Result<Vec<Said>, EndpointError> {
+fn parse_line(line: &[u8]) -> Result<Vec<StreamItem>, EndpointError> {
     let Some(data) = line.strip_prefix(b"data:") else {
         return Ok(Vec::new());
     };
     let data = data.trim_ascii();
-    if data == DONE {
-        return Ok(vec![Said::Done]);
+    if data == DONE_DATA {
+        return Ok(vec![StreamItem::Done]);
     }
     let event: Event = serde_json::from_slice(data).context(EventSnafu)?;
-    let mut said = Vec::new();
+    let mut items = Vec::new();
     for choice in event.choices {
         if let Some(text) = choice.delta.content.filter(|text| !text.is_empty()) {
-            said.push(Said::Text(text));
+            items.push(StreamItem::Text(text));
         }
-        said.extend(choice.finish_reason.map(Said::Finish));
+        items.extend(choice.finish_reason.map(StreamItem::Finish));
     }
-    said.extend(event.usage.map(|usage| {
-        Said::Usage(Usage {
+    items.extend(event.usage.map(|usage| {
+        StreamItem::Usage(Usage {
             prompt: usage.prompt_tokens,
             output: usage.completion_tokens,
             calls: 0,
         })
     }));
-    Ok(said)
+    Ok(items)
 }
--- a/crates/anvilreel/src/sidecar/follow.rs
+++ b/crates/anvilreel/src/sidecar/follow.rs
@@ -13,75 +13,77 @@
 use crate::held::Held;
 use crate::runs::Event;
 
-/// Interval of heartbeats; also the time-out of one.
-const HEARTBEAT: Duration = Duration::from_secs(1);
+/// Interval of heartbeats; also the timeout of one.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// A followed replica that sends nothing for this time is left for another one.
-const SILENCE: Duration = Duration::from_secs(3);
+const REPLICA_TIMEOUT: Duration = Duration::from_secs(3);
 /// How much longer a non-idempotent key is remembered than the ledger keeps its claim.
-const REMEMBER_LONGER: Duration = Duration::from_hours(1);
+const ONCE_RETENTION_MARGIN: Duration = Duration::from_hours(1);
 /// Pause before another replica is followed.
-const AGAIN: Duration = Duration::from_millis(100);
+const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
 
 /// Follows one replica after the other, for as long as the process runs.
 pub async fn follow(core: &Core) {
     let mut held = Held::default();
-    let mut in_touch = true;
+    let mut connected = true;
     // Sidecars start at different replicas, so that no single replica has to serve all of them.
     let mut replica = usize::try_from(core.instance.incarnation % 7).unwrap_or(0);
     loop {
-        let heard = follow_one(core, replica, &mut held).await;
-        if !heard && in_touch {
+        let received = follow_replica(core, replica, &mut held).await;
+        if !received && connected {
             event!(core.log, events::SIDECAR_OUT_OF_TOUCH);
         }
-        in_touch = heard;
+        connected = received;
         replica += 1;
-        sleep(AGAIN).await;
+        sleep(RECONNECT_PAUSE).await;
     }
 }
 
-async fn follow_one(core: &Core, replica: usize, held: &mut Held) -> bool {
+async fn follow_replica(core: &Core, replica: usize, held: &mut Held) -> bool {
     let id = core.instance.id.clone();
     let opening = core
         .ledger
         .follow(replica, id, FollowScope::Sidecar, held.version);
-    let Ok(Ok(mut replies)) = timeout(SILENCE, opening).await else {
+    let Ok(Ok(mut replies)) = timeout(REPLICA_TIMEOUT, opening).await else {
         return false;
     };
-    let mut heard = false;
-    while let Ok(Ok(Some(LedgerReply::Follow(event)))) = timeout(SILENCE, replies.next()).await {
-        heard = true;
+    let mut received = false;
+    while let Ok(Ok(Some(LedgerReply::Follow(event)))) =
+        timeout(REPLICA_TIMEOUT, replies.next()).await
+    {
+        received = true;
         if held.apply(event) {
-            take_in(core, held);
+            apply_state(core, held);
         }
     }
-    heard
+    received
 }
 
 /// Sends a heartbeat every second, with the charge evidence of fenced routers.
-pub async fn beat(core: &Core) {
+pub async fn heartbeat(core: &Core) {
     loop {
         let heartbeat = Heartbeat {
-            instance: core.present_instance(),
-            version: core.gate.held.load().version,
+            instance: core.current_instance(),
+            version: core.admission.held.load().version,
             evidence: core.hub.evidence(),
-            leaving: core.gate.is_leaving(),
+            leaving: core.admission.is_leaving(),
         };
         // A lost heartbeat is not retried; the next one follows.
-        if let Ok(reply) = core.ledger.heartbeat(heartbeat, HEARTBEAT).await {
+        if let Ok(reply) = core.ledger.heartbeat(heartbeat, HEARTBEAT_INTERVAL).await {
             core.hub.evidence_taken(&reply.taken);
             if reply.presence == Presence::Gone && core.life.end() {
                 event!(core.log, events::SIDECAR_GONE);
             }
         }
         core.hub.feed(Event::Tick);
-        sleep(HEARTBEAT).await;
+        sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
 /// Applies a new state of the ledger: fences, the retention of keys, and whether the endpoint is
 /// leaving.
-fn take_in(core: &Core, held: &Held) {
-    let before = core.gate.held.swap(Arc::new(held.clone()));
+fn apply_state(core: &Core, held: &Held) {
+    let before = core.admission.held.swap(Arc::new(held.clone()));
     for (router, incarnation) in &held.fenced {
         if before.fenced.get(router) != Some(incarnation) {
             let router = router.to_string();
@@ -95,8 +97,9 @@
     let fleet = held.tree.get(&TreePath::Fleet);
     let fleet = fleet.map(|entry| Document::check(&TreePath::Fleet, &entry.text));
     if let Some(Ok(Document::Fleet(fleet))) = fleet {
-        core.hub
-            .feed(Event::OnceRetention(fleet.keep_claims + REMEMBER_LONGER));
+        core.hub.feed(Event::OnceRetention(
+            fleet.keep_claims + ONCE_RETENTION_MARGIN,
+        ));
     }
-    core.show_leaving();
+    core.publish_leaving();
 }
--- a/crates/anvilreel/src/sidecar/http.rs
+++ b/crates/anvilreel/src/sidecar/http.rs
@@ -12,7 +12,7 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use snafu::{ResultExt, Snafu};
 
-/// Time-out of a connection to the endpoint, which runs on the same machine.
+/// Timeout of a connection to the endpoint, which runs on the same machine.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A call to the endpoint that failed.
@@ -93,13 +93,13 @@
     pub async fn send(
         &self,
         method: &str,
-        tail: &str,
+        path: &str,
         headers: &[(std::sync::Arc<str>, Bytes)],
         body: Bytes,
     ) -> Result<Response<Incoming>, EndpointError> {
         let mut req = Request::builder()
             .method(method)
-            .uri(format!("http://{}{tail}", self.addr));
+            .uri(format!("http://{}{path}", self.addr));
         for (name, value) in headers {
             req = req.header(name.as_ref(), value.as_ref());
         }
--- a/crates/anvilreel/src/sidecar/load.rs
+++ b/crates/anvilreel/src/sidecar/load.rs
@@ -17,9 +17,9 @@
 use super::http::EndpointClient;
 
 /// Interval at which the report is polled.
-const EVERY: Duration = Duration::from_millis(250);
-/// Time-out of a report, for its head and its body each.
-const PATIENCE: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of a report, for its head and its body each.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Response of an engine to `GET /load`.
 #[derive(Debug, Default, Deserialize)]
@@ -49,24 +49,24 @@
 /// Polls the report for as long as the process runs.
 pub async fn poll(client: EndpointClient, loads: Arc<Loads>) {
     loop {
-        if let Some(report) = ask(&client).await {
-            loads.send_if_modified(|load| take(load, report));
+        if let Some(report) = fetch_report(&client).await {
+            loads.send_if_modified(|load| apply_report(load, report));
         }
-        sleep(EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn ask(client: &EndpointClient) -> Option<Report> {
-    let answer = client.send("GET", "/load", &[], Bytes::new());
-    let answer = timeout(PATIENCE, answer).await.ok()?.ok()?;
-    let body = timeout(PATIENCE, answer.into_body().collect())
+async fn fetch_report(client: &EndpointClient) -> Option<Report> {
+    let response = client.send("GET", "/load", &[], Bytes::new());
+    let response = timeout(REPORT_TIMEOUT, response).await.ok()?.ok()?;
+    let body = timeout(REPORT_TIMEOUT, response.into_body().collect())
         .await
         .ok()?
         .ok()?;
     serde_json::from_slice(&body.to_bytes()).ok()
 }
 
-fn take(load: &mut EndpointLoad, report: Report) -> bool {
+fn apply_report(load: &mut EndpointLoad, report: Report) -> bool {
     let before = load.clone();
     load.queued = report.queued;
     if report.slots > 0 {
--- a/crates/anvilreel/src/sidecar/orders.rs
+++ b/crates/anvilreel/src/sidecar/orders.rs
@@ -17,11 +17,11 @@
 use crate::event;
 use crate::events;
 
-/// Time-out of the query of the newest number.
-const LEARN_WITHIN: Duration = Duration::from_secs(2);
+/// Timeout of the query of the newest number.
+const LEARN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The highest number seen; `None` until it was learned in this incarnation.
-pub type Highest = Mutex<Option<FenceNumber>>;
+pub type HighestFence = Mutex<Option<FenceNumber>>;
 
 #[derive(Serialize)]
 struct EngineOrder<'a> {
@@ -32,11 +32,11 @@
 
 /// Executes an order unless its number is stale. One order at a time, so that they reach the
 /// endpoint in the order of their numbers.
-pub async fn carry_out(core: &Core, fence: FenceNumber, kind: OrderKind) -> OrderResult {
+pub async fn execute(core: &Core, fence: FenceNumber, kind: OrderKind) -> OrderResult {
     let mut highest = core.highest.lock().await;
     let known = match *highest {
         Some(known) => known,
-        None => match learn(core).await {
+        None => match query_number(core).await {
             Some(learned) => learned,
             None => return OrderResult::NumberUnknown,
         },
@@ -48,12 +48,12 @@
     }
     // Stored before the endpoint receives the order: even if it fails, no older one may pass.
     *highest = Some(fence);
-    pass_on(core, fence, &kind).await
+    send_order(core, fence, &kind).await
 }
 
-async fn learn(core: &Core) -> Option<FenceNumber> {
+async fn query_number(core: &Core) -> Option<FenceNumber> {
     let query = Query::Fencing(core.instance.id.clone());
-    let answer = core.ledger.query(query, LEARN_WITHIN).await.ok()?;
+    let answer = core.ledger.query(query, LEARN_TIMEOUT).await.ok()?;
     let QueryAnswer::Fencing(number) = answer else {
         return None;
     };
@@ -61,7 +61,7 @@
     Some(number)
 }
 
-async fn pass_on(core: &Core, fence: FenceNumber, kind: &OrderKind) -> OrderResult {
+async fn send_order(core: &Core, fence: FenceNumber, kind: &OrderKind) -> OrderResult {
     let order = EngineOrder {
         term: fence.term,
         index: fence.index,
@@ -79,8 +79,8 @@
         .send("POST", "/orders", &headers, body.into())
         .await
     {
-        Ok(answer) if answer.status().is_success() => OrderResult::Done,
-        Ok(answer) if answer.status().as_u16() == 409 => OrderResult::Stale(fence),
+        Ok(response) if response.status().is_success() => OrderResult::Done,
+        Ok(response) if response.status().as_u16() == 409 => OrderResult::Stale(fence),
         _ => OrderResult::Failed,
     }
 }
--- a/crates/anvilreel/src/sidecar/platform.rs
+++ b/crates/anvilreel/src/sidecar/platform.rs
@@ -18,20 +18,20 @@
 use super::http::EndpointClient;
 
 /// Interval at which the list is polled.
-const EVERY: Duration = Duration::from_secs(1);
-/// Time-out of the list, for its head and its body each.
-const PATIENCE: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of the list, for its head and its body each.
+const LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An entry of the platform's list. Further fields are ignored.
 #[derive(Debug, Deserialize)]
-struct Listed {
+struct ListedInstance {
     id: InstanceId,
-    presence: Listing,
+    presence: ListedPresence,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-enum Listing {
+enum ListedPresence {
     Live,
     Leaving,
     /// A value that this version does not know; it changes nothing.
@@ -41,36 +41,39 @@
 
 #[derive(Debug, Deserialize)]
 struct List {
-    instances: Vec<Listed>,
+    instances: Vec<ListedInstance>,
 }
 
 /// Polls the list for as long as the process runs.
-pub async fn watch(core: &Core, platform: EndpointClient) {
+pub async fn poll(core: &Core, platform: EndpointClient) {
     // A platform that supports the filter sends one entry instead of the whole list.
-    let tail = format!("/instances?id={}", core.instance.id);
+    let path = format!("/instances?id={}", core.instance.id);
     loop {
-        if let Some(leaving) = ask(&platform, &tail, &core.instance.id).await {
-            let before = core.gate.platform_leaving.swap(leaving, Ordering::Relaxed);
+        if let Some(leaving) = fetch_leaving(&platform, &path, &core.instance.id).await {
+            let before = core
+                .admission
+                .platform_leaving
+                .swap(leaving, Ordering::Relaxed);
             if before != leaving {
-                core.show_leaving();
+                core.publish_leaving();
             }
         }
-        sleep(EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Whether the instance is listed as leaving. `None` if this is unknown and the last state is kept:
 /// no response, or not listed (a lagging list does not contain a new instance yet).
-async fn ask(platform: &EndpointClient, tail: &str, id: &InstanceId) -> Option<bool> {
-    let answer = platform.send("GET", tail, &[], Bytes::new());
-    let answer = timeout(PATIENCE, answer).await.ok()?.ok()?;
-    let body = timeout(PATIENCE, answer.into_body().collect()).await;
+async fn fetch_leaving(platform: &EndpointClient, path: &str, id: &InstanceId) -> Option<bool> {
+    let response = platform.send("GET", path, &[], Bytes::new());
+    let response = timeout(LIST_TIMEOUT, response).await.ok()?.ok()?;
+    let body = timeout(LIST_TIMEOUT, response.into_body().collect()).await;
     let body = body.ok()?.ok()?;
     let list: List = serde_json::from_slice(&body.to_bytes()).ok()?;
-    let own = list.instances.iter().find(|listed| listed.id == *id)?;
-    match own.presence {
-        Listing::Live => Some(false),
-        Listing::Leaving => Some(true),
-        Listing::Other => None,
+    let own_entry = list.instances.iter().find(|entry| entry.id == *id)?;
+    match own_entry.presence {
+        ListedPresence::Live => Some(false),
+        ListedPresence::Leaving => Some(true),
+        ListedPresence::Other => None,
     }
 }
--- a/crates/anvilreel/src/sidecar/requests.rs
+++ b/crates/anvilreel/src/sidecar/requests.rs
@@ -13,34 +13,38 @@
 use crate::runs::{Event, ReaderId};
 
 /// Minimum interval between two load reports to one router.
-const WATCH_EVERY: Duration = Duration::from_millis(100);
+const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Answers one request. A lost connection ends the answer, but never the run.
-pub async fn answer(core: Arc<Core>, req: SidecarRequest, mut tx: ReplySender<SidecarReply>) {
+pub async fn handle_request(
+    core: Arc<Core>,
+    req: SidecarRequest,
+    mut tx: ReplySender<SidecarReply>,
+) {
     // An error means that the router has disconnected; its run continues, and the end is kept.
     let _ = match req {
         SidecarRequest::Order { fence, kind } => {
-            let result = orders::carry_out(&core, fence, kind).await;
+            let result = orders::execute(&core, fence, kind).await;
             tx.send(&SidecarReply::Ordered(result)).await
         }
-        SidecarRequest::Watch => watch(&core, &mut tx).await,
+        SidecarRequest::Watch => send_loads(&core, &mut tx).await,
         run_request => {
-            let (reader, replies) = core.hub.ask(|reader| {
+            let (reader, replies) = core.hub.open_reader(|reader| {
                 // Unreachable default: orders and watches are handled above, all other requests are
                 // about runs.
                 Event::of(reader, run_request).unwrap_or(Event::Tick)
             });
-            core.count_runs();
-            let passed = pass_on(&core, reader, replies, &mut tx).await;
-            core.hub.gone(reader);
-            core.count_runs();
-            passed
+            core.publish_run_count();
+            let forwarded = forward_replies(&core, reader, replies, &mut tx).await;
+            core.hub.close_reader(reader);
+            core.publish_run_count();
+            forwarded
         }
     };
 }
 
 /// Forwards replies as fast as the router reads them.
-async fn pass_on(
+async fn forward_replies(
     core: &Core,
     reader: ReaderId,
     mut replies: Replies,
@@ -65,12 +69,12 @@
     }
 }
 
-async fn watch(core: &Core, tx: &mut ReplySender<SidecarReply>) -> Result<(), WireError> {
+async fn send_loads(core: &Core, tx: &mut ReplySender<SidecarReply>) -> Result<(), WireError> {
     let mut loads = core.loads.subscribe();
     loop {
         let load = loads.borrow_and_update().clone();
         tx.send(&SidecarReply::Load(load)).await?;
-        sleep(WATCH_EVERY).await;
+        sleep(LOAD_REPORT_INTERVAL).await;
         tokio::select! {
             changed = loads.changed() => if changed.is_err() { return Ok(()) },
             () = tx.cancelled() => return Ok(()),
