--- a/crates/anvil_daemons/src/bin/anvilreel-ledger.rs
+++ b/crates/anvil_daemons/src/bin/anvilreel-ledger.rs
@@ -2,16 +2,17 @@
 
 use std::process::ExitCode;
 
-use anvil_daemons::{Args, StartError, exit_of, read_settings, runtime, stop_signal};
+use anvil_daemons::{Args, StartError, exit_code, read_settings, runtime, stop_signal};
 use anvil_world::settings::LedgerSettings;
 use anvilreel::ledger_service::{Tuning, start};
 use anvilreel::logs;
 
-/// Threads of a replica: the node's task, the sockets, and the disk's own thread beside them.
+/// Threads of a replica: one for the replica's task and one for its sockets. The disk has a further
+/// thread of its own.
 const THREADS: usize = 2;
 
 fn main() -> ExitCode {
-    exit_of(run(&argh::from_env()))
+    exit_code(run(&argh::from_env()))
 }
 
 fn run(args: &Args) -> Result<(), StartError> {
@@ -19,7 +20,7 @@
     runtime(THREADS)?.block_on(async {
         let log = logs::logger(settings.log_json);
         let stop = async {
-            // Without a signal handler the process is stopped by the signal itself.
+            // If no signal handler can be installed, the signal itself ends the process.
             let _ = stop_signal().await;
         };
         let running = start(settings, Tuning::default(), log, stop).await?;
--- a/crates/anvil_daemons/src/bin/anvilreel-router.rs
+++ b/crates/anvil_daemons/src/bin/anvilreel-router.rs
@@ -2,14 +2,16 @@
 
 use std::process::ExitCode;
 
-use anvil_daemons::{Args, StartError, exit_of, read_settings, runtime, start_again, stop_signal};
+use anvil_daemons::{
+    Args, StartError, exit_code, read_settings, runtime, start_with_retries, stop_signal,
+};
 use anvil_world::settings::RouterSettings;
 use anvilreel::logs;
 use anvilreel::metrics::Metrics;
 use anvilreel::router::Router;
 
 fn main() -> ExitCode {
-    exit_of(run(&argh::from_env()))
+    exit_code(run(&argh::from_env()))
 }
 
 fn run(args: &Args) -> Result<(), StartError> {
@@ -19,7 +21,7 @@
         let metrics = Metrics::new("router", settings.statsd)?;
         loop {
             let start = || Router::start(&settings, log.clone(), metrics.clone());
-            let router = start_again(start).await?;
+            let router = start_with_retries(start).await?;
             tokio::select! {
                 stopped = stop_signal() => {
                     stopped?;
--- a/crates/anvil_daemons/src/bin/anvilreel-sidecar.rs
+++ b/crates/anvil_daemons/src/bin/anvilreel-sidecar.rs
@@ -2,17 +2,19 @@
 
 use std::process::ExitCode;
 
-use anvil_daemons::{Args, StartError, exit_of, read_settings, runtime, start_again, stop_signal};
+use anvil_daemons::{
+    Args, StartError, exit_code, read_settings, runtime, start_with_retries, stop_signal,
+};
 use anvil_world::settings::SidecarSettings;
 use anvilreel::logs;
 use anvilreel::metrics::Metrics;
 use anvilreel::sidecar::Sidecar;
 
-/// Threads of a sidecar: it has a small slot beside its endpoint.
+/// Threads of a sidecar: it gets only a small share of the resources beside its endpoint.
 const THREADS: usize = 1;
 
 fn main() -> ExitCode {
-    exit_of(run(&argh::from_env()))
+    exit_code(run(&argh::from_env()))
 }
 
 fn run(args: &Args) -> Result<(), StartError> {
@@ -22,7 +24,7 @@
         let metrics = Metrics::new("sidecar", settings.statsd)?;
         loop {
             let start = || Sidecar::start(&settings, log.clone(), metrics.clone());
-            let sidecar = start_again(start).await?;
+            let sidecar = start_with_retries(start).await?;
             tokio::select! {
                 stopped = stop_signal() => {
                     stopped?;
--- a/crates/anvil_daemons/src/bin/anvilreel.rs
+++ b/crates/anvil_daemons/src/bin/anvilreel.rs
@@ -1,4 +1,4 @@
-//! The operators' client and the quick start.
+//! The operators' client, and the quick start `anvilreel local`.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -7,8 +7,8 @@
 use anvil_daemons::{Command, local, runtime};
 use argh::FromArgs;
 
-/// Longest time for one action of an operator, in seconds, unless given.
-const WITHIN: u64 = 15;
+/// Default timeout of one action of an operator, in seconds.
+const DEFAULT_TIMEOUT_S: u64 = 15;
 
 /// anvilreel: a router fleet for prepaid token budgets
 #[derive(Debug, FromArgs)]
@@ -20,7 +20,7 @@
     #[argh(option)]
     operator: Option<String>,
     /// longest time for one action, in seconds
-    #[argh(option, default = "WITHIN")]
+    #[argh(option, default = "DEFAULT_TIMEOUT_S")]
     within: u64,
     /// print reports as JSON
     #[argh(switch)]
--- a/crates/anvil_daemons/src/command.rs
+++ b/crates/anvil_daemons/src/command.rs
@@ -1,4 +1,4 @@
-//! The subcommands of `anvilreel`: the quick start and what operators do.
+//! The subcommands of `anvilreel`: `local` for the quick start, and those for operators.
 
 use argh::{CommandInfo, EarlyExit, FromArgs, SubCommand, SubCommands};
 
@@ -14,16 +14,16 @@
     Operate(Operate),
 }
 
-/// How many subcommands there are.
+/// Number of subcommands.
 const COUNT: usize = 1 + <Operate as SubCommands>::COMMANDS.len();
 
-/// The quick start first, then the operators' subcommands in their own order.
+/// All subcommands: `local`, then those for operators in their own order.
 const ALL: [&CommandInfo; COUNT] = {
     let mut all = [LocalCommand::COMMAND; COUNT];
-    let mut at = 1;
-    while at < COUNT {
-        all[at] = <Operate as SubCommands>::COMMANDS[at - 1];
-        at += 1;
+    let mut index = 1;
+    while index < COUNT {
+        all[index] = <Operate as SubCommands>::COMMANDS[index - 1];
+        index += 1;
     }
     all
 };
--- a/crates/anvil_daemons/src/daemon.rs
+++ b/crates/anvil_daemons/src/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon's start: settings are read and checked whole before anything is opened.
+//! Start of a daemon. Settings are read and validated completely before anything is opened.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -12,14 +12,14 @@
 use tokio::runtime::{Builder, Runtime};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Exit code when the settings are not accepted: nothing was started.
-const BAD_SETTINGS: u8 = 2;
-/// How often a start is tried.
-const START_TRIES: u32 = 10;
-/// Pause between two tries.
-const START_AGAIN: Duration = Duration::from_millis(100);
-/// Exit code when the process could not start for another reason.
-const NOT_STARTED: u8 = 1;
+/// Exit code if the settings are not accepted; nothing was started.
+const EXIT_BAD_SETTINGS: u8 = 2;
+/// Maximum number of attempts to start.
+const START_ATTEMPTS: u32 = 10;
+/// Pause between two attempts.
+const START_RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Exit code if the process could not start for another reason.
+const EXIT_NOT_STARTED: u8 = 1;
 
 /// A process of the anvilreel router fleet.
 #[derive(Debug, FromArgs)]
@@ -29,63 +29,63 @@
     pub settings: PathBuf,
 }
 
-/// A daemon that did not start.
+/// Why a daemon did not start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum StartError {
-    /// The settings file can't be read.
-    #[snafu(display("{}: {source}", path.display()))]
+    /// The settings file could not be read.
+    #[snafu(display("reading settings failed: {}: {source}", path.display()))]
     File {
-        /// Which file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
     /// The settings are not accepted.
     #[snafu(display("{source}"))]
     Settings {
-        /// Where and why.
+        /// The problem and where it is.
         source: SettingsError,
     },
-    /// No runtime or no signal handler.
-    #[snafu(display("the process can't start: {source}"))]
+    /// The runtime or a signal handler could not be set up.
+    #[snafu(display("starting the process failed: {source}"))]
     Runtime {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The role can't start.
+    /// The metrics could not be set up.
     #[snafu(display("{source}"), context(false))]
     Metrics {
-        /// Why.
+        /// The cause.
         source: anvilreel::metrics::MetricsError,
     },
-    /// The router can't start.
+    /// The router could not start.
     #[snafu(display("{source}"), context(false))]
     Router {
-        /// Why.
+        /// The cause.
         source: anvilreel::router::RouterError,
     },
-    /// The ledger can't start.
+    /// The ledger could not start.
     #[snafu(display("{source}"), context(false))]
     Ledger {
-        /// Why.
+        /// The cause.
         source: anvilreel::ledger_service::ServiceError,
     },
-    /// The sidecar can't start.
+    /// The sidecar could not start.
     #[snafu(display("{source}"), context(false))]
     Sidecar {
-        /// Why.
+        /// The cause.
         source: anvil_wire::WireError,
     },
 }
 
-/// Reads a settings file and checks it whole.
+/// Reads and validates a settings file.
 pub fn read_settings<T: DeserializeOwned + Validate>(path: &Path) -> Result<T, StartError> {
     let text = std::fs::read_to_string(path).context(FileSnafu { path })?;
     parse_settings(&path.display().to_string(), &text).context(SettingsSnafu)
 }
 
-/// A runtime with so many threads; 0 means one for each core.
+/// A runtime with this many threads; 0 means one for each core.
 pub fn runtime(threads: usize) -> Result<Runtime, StartError> {
     let mut builder = Builder::new_multi_thread();
     if threads > 0 {
@@ -94,7 +94,7 @@
     builder.enable_all().build().context(RuntimeSnafu)
 }
 
-/// Returns when the process is asked to stop, by SIGTERM or from the terminal.
+/// Returns when the process receives SIGTERM or is interrupted from the terminal.
 pub async fn stop_signal() -> Result<(), StartError> {
     let mut term = signal(SignalKind::terminate()).context(RuntimeSnafu)?;
     tokio::select! {
@@ -103,29 +103,30 @@
     }
 }
 
-/// Tries to start for a little while: the life before this one may still hold the addresses.
-pub async fn start_again<T, E, F>(start: impl Fn() -> F) -> Result<T, StartError>
+/// Tries to start several times within about a second, because the previous incarnation may still
+/// hold the addresses.
+pub async fn start_with_retries<T, E, F>(start: impl Fn() -> F) -> Result<T, StartError>
 where
     F: Future<Output = Result<T, E>>,
     StartError: From<E>,
 {
-    for _ in 1..START_TRIES {
+    for _ in 1..START_ATTEMPTS {
         if let Ok(started) = start().await {
             return Ok(started);
         }
-        tokio::time::sleep(START_AGAIN).await;
+        tokio::time::sleep(START_RETRY_PAUSE).await;
     }
     Ok(start().await?)
 }
 
-/// Prints why a daemon did not start and chooses its exit code.
-pub fn exit_of(result: Result<(), StartError>) -> ExitCode {
+/// Prints why a daemon did not start; returns its exit code.
+pub fn exit_code(result: Result<(), StartError>) -> ExitCode {
     let Err(e) = result else {
         return ExitCode::SUCCESS;
     };
     eprintln!("{e}");
     match e {
-        StartError::File { .. } | StartError::Settings { .. } => ExitCode::from(BAD_SETTINGS),
-        _ => ExitCode::from(NOT_STARTED),
+        StartError::File { .. } | StartError::Settings { .. } => ExitCode::from(EXIT_BAD_SETTINGS),
+        _ => ExitCode::from(EXIT_NOT_STARTED),
     }
 }
--- a/crates/anvil_daemons/src/lib.rs
+++ b/crates/anvil_daemons/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the thin `main`s share: settings, logs, the runtime, the signal to stop, and the
-//! subcommands of `anvilreel`.
+//! Shared code of the binaries: settings, the runtime, the stop signal, and the subcommands of
+//! `anvilreel`.
 
 mod command;
 mod daemon;
@@ -7,5 +7,7 @@
 pub mod operate;
 
 pub use command::Command;
-pub use daemon::{Args, StartError, exit_of, read_settings, runtime, start_again, stop_signal};
+pub use daemon::{
+    Args, StartError, exit_code, read_settings, runtime, start_with_retries, stop_signal,
+};
 pub use local_command::{LocalCommand, LocalCommandError, local};
--- a/crates/anvil_daemons/src/local_command.rs
+++ b/crates/anvil_daemons/src/local_command.rs
@@ -26,31 +26,31 @@
     pub data: Option<PathBuf>,
 }
 
-/// A quick start that failed.
+/// Why the quick start failed.
 #[derive(Debug, Snafu)]
 pub enum LocalCommandError {
-    /// The process can't start.
+    /// The process could not start.
     #[snafu(display("{source}"))]
     Process {
-        /// Why.
+        /// The cause.
         source: StartError,
     },
-    /// No temporary folder.
-    #[snafu(display("no temporary folder: {source}"))]
+    /// The temporary folder could not be created.
+    #[snafu(display("creating the temporary folder failed: {source}"))]
     Folder {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// A stand-in can't start.
-    #[snafu(display("a stand-in can't start: {source}"))]
+    /// A stand-in endpoint could not start.
+    #[snafu(display("starting a stand-in endpoint failed: {source}"))]
     Standin {
-        /// Why.
+        /// The cause.
         source: anvil_standins::Error,
     },
-    /// A role can't start.
+    /// A role could not start.
     #[snafu(display("{source}"))]
     Role {
-        /// Why.
+        /// The cause.
         source: LocalError,
     },
 }
@@ -59,7 +59,7 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, port))
 }
 
-/// Runs until it is asked to stop.
+/// Runs until the process is asked to stop.
 pub fn local(command: &LocalCommand) -> Result<(), LocalCommandError> {
     runtime(0).context(ProcessSnafu)?.block_on(run(command))
 }
--- a/crates/anvil_daemons/src/operate.rs
+++ b/crates/anvil_daemons/src/operate.rs
@@ -1,4 +1,5 @@
-//! The operators' subcommands: arguments in, one report out, an exit code that tells the truth.
+//! The operators' subcommands: each takes arguments, prints one report and returns an exit code for
+//! the outcome.
 
 mod arguments;
 mod check;
--- a/crates/anvil_daemons/src/operate/arguments.rs
+++ b/crates/anvil_daemons/src/operate/arguments.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! The operators' command line. The doc comments of arguments are the texts of `--help`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,27 +8,27 @@
 use anvilreel::operator::Client;
 use argh::FromArgs;
 
-/// Where `anvilreel local` answers operators.
+/// Ledger address of `anvilreel local`.
 const DEFAULT_LEDGER: SocketAddr = SocketAddr::V4(std::net::SocketAddrV4::new(
     std::net::Ipv4Addr::LOCALHOST,
     8_788,
 ));
 
-/// How to reach the ledger, and as whom. Given before the subcommand.
+/// How to reach the ledger, and on whose behalf. Given before the subcommand.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Connection {
-    /// Replicas; none means the one of `anvilreel local`.
+    /// Addresses of replicas; if empty, that of `anvilreel local`.
     pub ledgers: Vec<SocketAddr>,
-    /// Who the changes are made by.
+    /// Name of the operator who makes the changes.
     pub operator: Option<String>,
-    /// Longest time for one action, in seconds.
+    /// Timeout of one action, in seconds.
     pub within: u64,
-    /// Reports as JSON.
+    /// Whether reports are printed as JSON.
     pub json: bool,
 }
 
 impl Connection {
-    /// The client that these options ask for.
+    /// A client with these options.
     pub fn client(&self) -> Client {
         let ledgers = if self.ledgers.is_empty() {
             vec![DEFAULT_LEDGER]
@@ -227,7 +227,7 @@
     pub detail: Option<String>,
 }
 
-/// Which order is meant.
+/// Kind of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderSubject {
     /// Load a model.
--- a/crates/anvil_daemons/src/operate/check.rs
+++ b/crates/anvil_daemons/src/operate/check.rs
@@ -1,4 +1,4 @@
-//! Checking settings files without sending them.
+//! Validates settings files without sending them.
 
 use std::path::Path;
 
@@ -6,11 +6,12 @@
 use anvil_world::settings::{LedgerSettings, RouterSettings, SidecarSettings, parse_settings};
 use anvilreel::operator::OperatorError;
 
-/// Keys that only one kind of process has.
+/// Keys that only the settings of one kind of process have.
 const SIDECAR_KEY: &str = "endpoint";
 const LEDGER_KEY: &str = "data";
 
-/// Checks one file: a document where a path is given, otherwise a process's settings.
+/// Validates one file: as a document if its path is given, otherwise as settings of a process.
+/// Returns what it was validated as.
 pub(super) fn check(file: &Path, document: Option<&str>) -> Result<&'static str, OperatorError> {
     let text = std::fs::read_to_string(file);
     let text = text.map_err(|source| OperatorError::File {
--- a/crates/anvil_daemons/src/operate/run.rs
+++ b/crates/anvil_daemons/src/operate/run.rs
@@ -16,70 +16,76 @@
 };
 use super::check::check;
 
-/// Runs one subcommand and prints its report. Returns what the shell is told.
+/// Runs one subcommand and prints its report. Returns the exit code.
 pub async fn run(connection: &Connection, command: Operate) -> ExitCode {
     let json = connection.json;
-    match act(connection, command).await {
+    match execute(connection, command).await {
         Ok(code) => code,
         Err(e) => {
             let code = e.exit_code();
-            complain(json, &e, code);
+            print_error(json, &e, code);
             code
         }
     }
 }
 
-async fn act(connection: &Connection, command: Operate) -> Result<ExitCode, OperatorError> {
+async fn execute(connection: &Connection, command: Operate) -> Result<ExitCode, OperatorError> {
     let client = connection.client();
     let json = connection.json;
     match command {
         Operate::Apply(args) => apply(&client, json, args).await,
         Operate::Remove(args) => remove(&client, json, args).await,
-        Operate::Get(args) => done(json, &operator::get(&client, &args.prefix).await?),
+        Operate::Get(args) => print_report(json, &operator::get(&client, &args.prefix).await?),
         Operate::Diff(args) => {
             let path = tree_path(&args.path)?;
             let text = read_file(&args.file)?;
-            done(json, &operator::diff(&client, path, &text).await?)
+            print_report(json, &operator::diff(&client, path, &text).await?)
         }
         Operate::TopUp(args) => {
             let id = args.id.map(ChangeId::from);
             let budget = args.budget.into();
-            done(
+            print_report(
                 json,
                 &operator::top_up(&client, budget, args.amount, id).await?,
             )
         }
         Operate::Budget(args) => {
             let one = args.budget.map(BudgetId::from);
-            done(json, &operator::budgets(&client, one).await?)
+            print_report(json, &operator::budgets(&client, one).await?)
         }
         Operate::WriteOff(args) => {
             let id = args.id.map(ChangeId::from);
-            done(
+            print_report(
                 json,
                 &operator::write_off(&client, args.grant, args.bill, id).await?,
             )
         }
-        Operate::Audit(args) => done(json, &operator::audit(&client, filter(args)).await?),
-        Operate::Status(_) => done(json, &operator::status(&client).await?),
+        Operate::Audit(args) => {
+            print_report(json, &operator::audit(&client, audit_filter(args)).await?)
+        }
+        Operate::Status(_) => print_report(json, &operator::status(&client).await?),
         Operate::Drain(args) => {
             let id = args.id.map(ChangeId::from);
             let applied = operator::drain(&client, args.instance.into(), id).await?;
-            spread(json, &applied)
+            print_rollout(json, &applied)
         }
         Operate::Order(args) => order(&client, json, args).await,
         Operate::Check(args) => check_all(&args),
         Operate::HashKey(_) => hash_key(),
         Operate::Explain(args) => {
             let logs = read_logs(&args.files)?;
-            done(json, &operator::explain(&args.request, named(&logs)))
+            print_report(json, &operator::explain(&args.request, as_str_pairs(&logs)))
         }
-        Operate::Losses(args) => done(json, &operator::losses(named(&read_logs(&args.files)?))),
+        Operate::Losses(args) => print_report(
+            json,
+            &operator::losses(as_str_pairs(&read_logs(&args.files)?)),
+        ),
         Operate::Ledger(args) => Ok(inspect(json, &args.command)),
     }
 }
 
-/// Logs by the names of their files, which are those of processes.
+/// Reads log files. Each is paired with its file name without extension, which is the name of a
+/// process.
 fn read_logs(files: &[PathBuf]) -> Result<Vec<(String, String)>, OperatorError> {
     let mut logs = Vec::new();
     for file in files {
@@ -89,7 +95,7 @@
     Ok(logs)
 }
 
-fn named(logs: &[(String, String)]) -> impl Iterator<Item = (&str, &str)> {
+fn as_str_pairs(logs: &[(String, String)]) -> impl Iterator<Item = (&str, &str)> {
     logs.iter().map(|(name, text)| (&**name, &**text))
 }
 
@@ -101,7 +107,7 @@
     let edit = Edit::Put(read_file(file)?.into());
     let id = args.id.map(ChangeId::from);
     let applied = operator::apply(client, path, edit, args.expected, id).await?;
-    spread(json, &applied)
+    print_rollout(json, &applied)
 }
 
 async fn apply_folder(
@@ -113,7 +119,7 @@
     for (path, text) in operator::change_paths(folder)? {
         let edit = Edit::Put(text.into());
         let applied = operator::apply(client, path, edit, None, None).await?;
-        if spread(json, &applied)? == ExitCode::NotEverywhere {
+        if print_rollout(json, &applied)? == ExitCode::NotEverywhere {
             worst = ExitCode::NotEverywhere;
         }
     }
@@ -124,7 +130,7 @@
     let path = tree_path(&args.path)?;
     let id = args.id.map(ChangeId::from);
     let applied = operator::apply(client, path, Edit::Remove, args.expected, id).await?;
-    spread(json, &applied)
+    print_rollout(json, &applied)
 }
 
 async fn order(client: &Client, json: bool, args: OrderArgs) -> Result<ExitCode, OperatorError> {
@@ -144,7 +150,7 @@
         OrderSubject::SetRole => OrderKind::SetRole(name),
     };
     let report = operator::order(client, args.sidecar.into(), kind).await?;
-    done(json, &report)
+    print_report(json, &report)
 }
 
 fn check_all(args: &Check) -> Result<ExitCode, OperatorError> {
@@ -166,7 +172,7 @@
     Ok(ExitCode::Done)
 }
 
-/// Checks a data folder; one that is not in order ends with [`ExitCode::Wrong`].
+/// Checks a data folder. If it is damaged, the result is [`ExitCode::Wrong`].
 fn inspect(json: bool, command: &LedgerCommand) -> ExitCode {
     let LedgerCommand::Inspect(args) = command;
     match anvil_ledger::inspect::inspect(&args.folder) {
@@ -175,13 +181,13 @@
             ExitCode::Done
         }
         Err(e) => {
-            complain(json, &e, ExitCode::Wrong);
+            print_error(json, &e, ExitCode::Wrong);
             ExitCode::Wrong
         }
     }
 }
 
-fn filter(args: Audit) -> AuditFilter {
+fn audit_filter(args: Audit) -> AuditFilter {
     AuditFilter {
         subject: args.subject.map(Into::into),
         operator: args.by.map(Into::into),
@@ -201,15 +207,15 @@
     })
 }
 
-fn spread(json: bool, applied: &operator::Applied) -> Result<ExitCode, OperatorError> {
-    done(json, applied)?;
+fn print_rollout(json: bool, applied: &operator::Applied) -> Result<ExitCode, OperatorError> {
+    print_report(json, applied)?;
     if applied.spread.everywhere() {
         return Ok(ExitCode::Done);
     }
     Ok(ExitCode::NotEverywhere)
 }
 
-fn done<T: Display + Serialize>(json: bool, report: &T) -> Result<ExitCode, OperatorError> {
+fn print_report<T: Display + Serialize>(json: bool, report: &T) -> Result<ExitCode, OperatorError> {
     if json {
         let text = serde_json::to_string(report);
         println!("{}", text.map_err(|_| OperatorError::Unexpected)?);
@@ -219,7 +225,7 @@
     Ok(ExitCode::Done)
 }
 
-fn complain(json: bool, e: &impl Display, code: ExitCode) {
+fn print_error(json: bool, e: &impl Display, code: ExitCode) {
     if json {
         let line = serde_json::json!({ "error": e.to_string(), "exit_code": code as u8 });
         eprintln!("{line}");
--- a/crates/anvil_daemons/tests/path_settings.rs
+++ b/crates/anvil_daemons/tests/path_settings.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use anvil_daemons::{StartError, exit_of, read_settings};
+use anvil_daemons::{StartError, exit_code, read_settings};
 use anvil_world::settings::{LedgerSettings, RouterSettings, SidecarSettings};
 
 const ROUTER: &str = r#"id = "router-1"
@@ -24,7 +24,7 @@
 fn complaint(text: &str) -> String {
     let e = read_router(text).expect_err("not accepted");
     let told = e.to_string();
-    let code = format!("{:?}", exit_of(Err(e)));
+    let code = format!("{:?}", exit_code(Err(e)));
     assert_eq!(code, format!("{:?}", ExitCode::from(2)));
     told
 }
--- a/crates/anvilreel/examples/ledger_bench/ledger.rs
+++ b/crates/anvilreel/examples/ledger_bench/ledger.rs
@@ -1,4 +1,4 @@
-//! Replicas in this process, and what is asked of them.
+//! Replicas in this process, and the calls to them.
 
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
@@ -17,19 +17,19 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Anything that ends the run.
+/// Any error that ends the run.
 pub type Failure = Box<dyn std::error::Error + Send + Sync>;
 
-const WITHIN: Duration = Duration::from_secs(10);
-/// Writers that fill a ledger.
-const FILLERS: usize = 256;
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Concurrent writers that fill a ledger.
+const CONCURRENT_PROPOSALS: usize = 256;
 
 struct Running {
     stop: oneshot::Sender<()>,
     handle: LedgerHandle,
 }
 
-/// Some replicas.
+/// The replicas of one ledger.
 pub struct Ledger {
     data: PathBuf,
     tuning: Tuning,
@@ -38,7 +38,7 @@
 }
 
 impl Ledger {
-    /// Founds a ledger of this many replicas.
+    /// Starts a new ledger with this many replicas.
     pub async fn start(data: &Path, size: usize, tuning: Tuning) -> Result<Self, Failure> {
         let mut peers = Vec::new();
         for number in 0..size {
@@ -102,13 +102,13 @@
         }
     }
 
-    /// Waits for the replica that answers a confirmed read.
+    /// Waits for the replica that answers a linearizable read.
     pub async fn leader(&self) -> (usize, Channel) {
         loop {
             for (number, peer) in self.peers.iter().enumerate() {
-                let ask = LedgerRequest::Query(Query::Status);
+                let req = LedgerRequest::Query(Query::Status);
                 let channel = Channel::new(peer.addr);
-                let reply = channel.call::<LedgerCall>(&ask, WITHIN).await;
+                let reply = channel.call::<LedgerCall>(&req, CALL_TIMEOUT).await;
                 if let Ok(LedgerReply::Read(QueryAnswer::Status(_))) = reply {
                     return (number, channel);
                 }
@@ -118,16 +118,16 @@
     }
 }
 
-/// Puts a command into the log.
+/// Proposes a command and waits until it is applied.
 pub async fn propose(channel: &Channel, command: Command) -> Result<Answer, Failure> {
-    let ask = LedgerRequest::Propose(command);
-    match channel.call::<LedgerCall>(&ask, WITHIN).await? {
+    let req = LedgerRequest::Propose(command);
+    match channel.call::<LedgerCall>(&req, CALL_TIMEOUT).await? {
         LedgerReply::Applied { answer, .. } => Ok(answer),
         other => Err(format!("{other:?}").into()),
     }
 }
 
-/// A new document.
+/// The command that creates a document.
 pub fn put(path: &str, text: &str) -> Result<Command, Failure> {
     Ok(Command::Change(Change {
         id: change_id(SystemTime::now(), path),
@@ -139,7 +139,7 @@
     }))
 }
 
-/// A top-up of the one budget.
+/// A top-up of the single budget.
 pub fn top_up(text: &str) -> Command {
     Command::TopUp(TopUp {
         id: change_id(SystemTime::now(), text),
@@ -150,20 +150,20 @@
     })
 }
 
-/// Declares the one budget.
-pub async fn declare(channel: &Channel) -> Result<(), Failure> {
+/// Creates the organisation and the single budget.
+pub async fn create_budget(channel: &Channel) -> Result<(), Failure> {
     propose(channel, put("organisations/coop", "")?).await?;
     let budget = put("budgets/budget-0", "organisation = \"coop\"\n")?;
     propose(channel, budget).await?;
     Ok(())
 }
 
-/// Puts many commands into the log, many at a time.
-pub async fn many(channel: &Channel, commands: Vec<Command>) -> Result<(), Failure> {
+/// Proposes commands, `CONCURRENT_PROPOSALS` of them concurrently.
+pub async fn propose_all(channel: &Channel, commands: Vec<Command>) -> Result<(), Failure> {
     let commands = Arc::new(commands);
     let next = Arc::new(AtomicUsize::new(0));
     let mut tasks = JoinSet::new();
-    for _ in 0..FILLERS {
+    for _ in 0..CONCURRENT_PROPOSALS {
         let (channel, commands, next) = (channel.clone(), commands.clone(), next.clone());
         tasks.spawn(async move {
             while let Some(command) = commands.get(next.fetch_add(1, Ordering::Relaxed)) {
@@ -172,8 +172,8 @@
             Ok::<(), Failure>(())
         });
     }
-    while let Some(done) = tasks.join_next().await {
-        done??;
+    while let Some(result) = tasks.join_next().await {
+        result??;
     }
     Ok(())
 }
--- a/crates/anvilreel/examples/ledger_bench/main.rs
+++ b/crates/anvilreel/examples/ledger_bench/main.rs
@@ -4,11 +4,11 @@
 //! cargo run --release -p anvilreel --example ledger_bench -- --data DIR
 //! ```
 //!
-//! `--reopen DIR` starts one replica on a folder that an earlier run left (`entries`, `budgets`), in
-//! a process of its own, so that its memory is the replica's alone.
+//! Prints commits per second and their latency with and without group commit, the time until a new
+//! leader commits, recovery time and memory, and the traffic of a follower.
 //!
-//! One run prints commits a second and their latency with and without group commit, the time to a
-//! new leader, recovery time and memory, and what a follower costs on the wire.
+//! `--reopen DIR` starts one replica on a folder that an earlier run left (`entries`, `budgets`), in
+//! a process of its own, so that the memory measured is the replica's alone.
 
 mod follower;
 mod ledger;
@@ -20,29 +20,29 @@
 use anvil_ledger::storage::{Disk, snapshot};
 use anvil_wire::Channel;
 use anvilreel::ledger_service::Tuning;
-use ledger::{Failure, Ledger, declare, many, propose, put, top_up};
+use ledger::{Failure, Ledger, create_budget, propose, propose_all, put, top_up};
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// How long each number of writers writes.
-const WRITING: Duration = Duration::from_secs(4);
+/// Duration of the measurement for each number of writers.
+const WRITE_TIME: Duration = Duration::from_secs(4);
 const BUDGETS: u32 = 65_000;
 const ORGANISATIONS: u32 = 2_100;
 const ENTRIES: u32 = 100_000;
 
-/// Writes with so many writers; returns each write's time, sorted.
+/// Writes with this many writers; returns the sorted times of all writes.
 async fn write(channel: &Channel, writers: usize) -> Result<Vec<Duration>, Failure> {
     let mut tasks = JoinSet::new();
-    let end = Instant::now() + WRITING;
+    let end = Instant::now() + WRITE_TIME;
     for writer in 0..writers {
         let channel = channel.clone();
         tasks.spawn(async move {
             let mut times = Vec::new();
             while Instant::now() < end {
-                let begun = Instant::now();
+                let start = Instant::now();
                 let id = format!("{writer}-{}", times.len());
                 if propose(&channel, top_up(&id)).await.is_ok() {
-                    times.push(begun.elapsed());
+                    times.push(start.elapsed());
                 }
             }
             times
@@ -56,10 +56,10 @@
     Ok(all)
 }
 
-/// The value that so many of a hundred stay below.
-fn part(sorted: &[Duration], share: usize) -> Duration {
-    let at = (sorted.len() * share / 100).min(sorted.len().saturating_sub(1));
-    sorted.get(at).copied().unwrap_or_default()
+/// The percentile `share` of sorted values.
+fn percentile(sorted: &[Duration], share: usize) -> Duration {
+    let index = (sorted.len() * share / 100).min(sorted.len().saturating_sub(1));
+    sorted.get(index).copied().unwrap_or_default()
 }
 
 async fn commits(data: &Path) -> Result<(), Failure> {
@@ -71,16 +71,16 @@
         };
         let mut ledger = Ledger::start(&folder, 3, tuning).await?;
         let channel = ledger.leader().await.1;
-        declare(&channel).await?;
+        create_budget(&channel).await?;
         for writers in [1, 16, 256] {
             let times = write(&channel, writers).await?;
             let count = u32::try_from(times.len())?;
             println!(
                 "group commit {group_commit:5} writers {writers:3}: {:8.0} commits/s, \
                  p50 {:8.2?}, p99 {:8.2?}",
-                f64::from(count) / WRITING.as_secs_f64(),
-                part(&times, 50),
-                part(&times, 99)
+                f64::from(count) / WRITE_TIME.as_secs_f64(),
+                percentile(&times, 50),
+                percentile(&times, 99)
             );
         }
         ledger.stop_all().await;
@@ -90,24 +90,24 @@
 
 async fn new_leader(data: &Path) -> Result<(), Failure> {
     let mut ledger = Ledger::start(&data.join("leader"), 3, Tuning::default()).await?;
-    declare(&ledger.leader().await.1).await?;
+    create_budget(&ledger.leader().await.1).await?;
     let mut times = Vec::new();
     for round in 0..10 {
         let (leader, _) = ledger.leader().await;
         ledger.stop_one(leader).await;
-        let begun = Instant::now();
+        let start = Instant::now();
         let (_, channel) = ledger.leader().await;
         propose(&channel, top_up(&format!("round-{round}"))).await?;
-        times.push(begun.elapsed());
+        times.push(start.elapsed());
         ledger.start_one(leader).await?;
         sleep(Duration::from_secs(1)).await;
     }
     times.sort_unstable();
     println!(
-        "time to a new leader and a commit, 10 stops: least {:.0?}, p50 {:.0?}, most {:.0?}",
-        part(&times, 0),
-        part(&times, 50),
-        part(&times, 100)
+        "time to a new leader and a commit, 10 stops: min {:.0?}, p50 {:.0?}, max {:.0?}",
+        percentile(&times, 0),
+        percentile(&times, 50),
+        percentile(&times, 100)
     );
     ledger.stop_all().await;
     Ok(())
@@ -124,30 +124,30 @@
 async fn recover(what: &str, ledger: &mut Ledger) -> Result<(), Failure> {
     ledger.stop_all().await;
     let before = memory();
-    let begun = Instant::now();
+    let start = Instant::now();
     ledger.start_all().await?;
-    let opened = begun.elapsed();
+    let opened = start.elapsed();
     ledger.leader().await;
     println!(
         "recovery of {what}: read back in {opened:.0?}, answers after {:.0?}; memory of the \
          whole process {before} MiB before, {} MiB after",
-        begun.elapsed(),
+        start.elapsed(),
         memory()
     );
     Ok(())
 }
 
 async fn recover_entries(data: &Path) -> Result<(), Failure> {
-    // No snapshot: the log alone.
+    // Without a snapshot, so that the whole state is recovered from the log.
     let tuning = Tuning {
         snapshot_every: u64::MAX / 2,
         ..Tuning::default()
     };
     let mut ledger = Ledger::start(&data.join("entries"), 1, tuning).await?;
     let channel = ledger.leader().await.1;
-    declare(&channel).await?;
+    create_budget(&channel).await?;
     let top_ups = (0..ENTRIES).map(|number| top_up(&number.to_string()));
-    many(&channel, top_ups.collect()).await?;
+    propose_all(&channel, top_ups.collect()).await?;
     recover("100,000 entries without a snapshot", &mut ledger).await?;
     ledger.stop_all().await;
     Ok(())
@@ -165,13 +165,13 @@
         let text = format!("organisation = \"o-{}\"\n", number % ORGANISATIONS);
         budgets.push(put(&format!("budgets/budget-{number}"), &text)?);
     }
-    let begun = Instant::now();
-    many(&channel, organisations).await?;
-    many(&channel, budgets).await?;
+    let start = Instant::now();
+    propose_all(&channel, organisations).await?;
+    propose_all(&channel, budgets).await?;
     println!(
         "{} documents written in {:.1?}",
         BUDGETS + ORGANISATIONS,
-        begun.elapsed()
+        start.elapsed()
     );
     recover("65,000 budgets and 2,100 organisations", &mut ledger).await?;
     follower::measure(&ledger).await?;
@@ -179,42 +179,42 @@
     Ok(())
 }
 
-/// Starts one replica on a folder that is there already.
+/// Starts one replica on an existing folder.
 async fn reopen(data: &Path) -> Result<(), Failure> {
     let before = memory();
-    let begun = Instant::now();
+    let start = Instant::now();
     let mut ledger = Ledger::start(data, 1, Tuning::default()).await?;
-    let opened = begun.elapsed();
+    let opened = start.elapsed();
     ledger.leader().await;
     println!(
         "{}: read back in {opened:.0?}, answers after {:.0?}; memory {before} MiB before, {} MiB \
          after",
         data.display(),
-        begun.elapsed(),
+        start.elapsed(),
         memory()
     );
     ledger.stop_all().await;
     time_snapshot(data)
 }
 
-/// How long a snapshot takes to read, to copy (the node waits for that) and to write out.
+/// Measures how long a snapshot takes to load, to copy (which blocks the replica) and to encode.
 fn time_snapshot(data: &Path) -> Result<(), Failure> {
     let disk = Disk::read_only(&data.join("0"));
     let Some(snapshot) = snapshot::load(&disk)? else {
         return Ok(());
     };
-    let begun = Instant::now();
+    let start = Instant::now();
     let machine = Machine::restore(&snapshot.data)?;
-    let restored = begun.elapsed();
-    let begun = Instant::now();
+    let restored = start.elapsed();
+    let start = Instant::now();
     let copy = machine.clone();
-    let copied = begun.elapsed();
-    let begun = Instant::now();
+    let copied = start.elapsed();
+    let start = Instant::now();
     let bytes = copy.save()?.len();
     println!(
         "snapshot of {bytes} bytes: restored in {restored:.1?}, copied in {copied:.1?}, encoded \
          in {:.1?}",
-        begun.elapsed()
+        start.elapsed()
     );
     Ok(())
 }
--- a/crates/anvilreel/examples/money.rs
+++ b/crates/anvilreel/examples/money.rs
@@ -1,7 +1,8 @@
-//! Overspend and false refusals of grants, an even split and asking the ledger, side by side.
+//! Compares overspend and false refusals of three ways to enforce budgets: grants, an even split,
+//! and asking the ledger for each request.
 //!
-//! `cargo run --release -p anvilreel --example money [SEED [HORIZON]]`; horizon
-//! of grants in seconds, to try others than the default ones.
+//! `cargo run --release -p anvilreel --example money [SEED [HORIZON]]`; HORIZON is the horizon of
+//! grants in seconds, in place of the default.
 
 #![allow(missing_docs)]
 
@@ -29,7 +30,7 @@
             }
         }
     }
-    let many = Play {
+    let many_budgets = Play {
         way: Way::Grants,
         seed,
         routers: 8,
@@ -39,13 +40,13 @@
         partition: false,
         policy,
     };
-    let many = play(many);
-    let (peak, mean) = (many.peak_bytes, many.mean_bytes);
+    let many_budgets = play(many_budgets);
+    let (peak, mean) = (many_budgets.peak_bytes, many_budgets.mean_bytes);
     println!("2,000 budgets, even, 90 %: peak {peak} B/s, mean {mean} B/s a router");
 }
 
 fn line(seed: u64, policy: &GrantPolicy, skewed: bool, used: u64, partition: bool) {
-    let of = |way| {
+    let run_with = |way| {
         play(Play {
             way,
             seed,
@@ -57,12 +58,16 @@
             policy: policy.clone(),
         })
     };
-    let (grants, even, ask) = (of(Way::Grants), of(Way::EvenSplit), of(Way::AskLedger));
+    let (grants, even, ask) = (
+        run_with(Way::Grants),
+        run_with(Way::EvenSplit),
+        run_with(Way::AskLedger),
+    );
     let demand = if skewed { "skewed" } else { "even" };
-    let cut = if partition { "60 s" } else { "-" };
-    let over = grants.overspend.max(even.overspend).max(ask.overspend);
+    let partition_time = if partition { "60 s" } else { "-" };
+    let overspend = grants.overspend.max(even.overspend).max(ask.overspend);
     println!(
-        "{demand:<7} {used:>3} %  {cut:<4} {:>7} {:>11} {:>11} {over:>10} {:>9} {:>9}",
+        "{demand:<7} {used:>3} %  {partition_time:<4} {:>7} {:>11} {:>11} {overspend:>10} {:>9} {:>9}",
         percent(&grants),
         percent(&even),
         percent(&ask),
--- a/crates/anvilreel/examples/soak.rs
+++ b/crates/anvilreel/examples/soak.rs
@@ -1,9 +1,9 @@
-//! The long seeded randomised run of money, claims, runs and exchanges together.
+//! Long randomised simulation of grants, claims, runs and exchanges together.
 //!
-//! `cargo run --release -p anvilreel --example soak -- FIRST LAST [WITHOUT]` plays the seeds from
-//! FIRST to LAST and prints steps, faults and what was compared. It ends with 1 where an
-//! invariant broke, and prints the seed and step. WITHOUT names a guard to take out. With TRACE
-//! set, what happens to keys that hold its text is printed.
+//! `cargo run --release -p anvilreel --example soak -- FIRST LAST [WITHOUT]` runs the seeds from
+//! FIRST to LAST and prints the number of steps, faults and comparisons. If an invariant is
+//! violated, it prints the seed and step and exits with 1. WITHOUT names a guard to disable. With
+//! the environment variable TRACE set, it prints the events of keys that contain its text.
 
 #![allow(missing_docs)]
 
@@ -17,10 +17,10 @@
 
 fn main() -> ExitCode {
     let mut args = std::env::args().skip(1);
-    let mut number = |or: u64| args.next().and_then(|a| a.parse().ok()).unwrap_or(or);
+    let mut number = |default: u64| args.next().and_then(|a| a.parse().ok()).unwrap_or(default);
     let (first, last) = (number(1), number(100));
     let without = args.next().map(|guard| &*guard.leak());
-    let (mut steps, mut broken) = (0, 0);
+    let (mut steps, mut violated) = (0, 0);
     let mut counts = BTreeMap::new();
     for seed in first..=last {
         let plan = Plan {
@@ -32,21 +32,21 @@
         match World::new(plan).run() {
             Ok(world) => {
                 steps += world.steps;
-                for (what, n) in world.counts {
-                    *counts.entry(what).or_insert(0) += n;
+                for (counter, count) in world.counts {
+                    *counts.entry(counter).or_insert(0) += count;
                 }
             }
             Err(e) => {
                 println!("BROKEN {e}");
-                broken += 1;
+                violated += 1;
             }
         }
     }
-    println!("seeds {first} to {last}: {steps} steps, {broken} broken");
-    for (what, n) in counts {
-        println!("{n:>9} {what}");
+    println!("seeds {first} to {last}: {steps} steps, {violated} broken");
+    for (counter, count) in counts {
+        println!("{count:>9} {counter}");
     }
-    if broken == 0 {
+    if violated == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/anvilreel/tests/sidecar_platform.rs
+++ b/crates/anvilreel/tests/sidecar_platform.rs
@@ -1,4 +1,4 @@
-//! The last gate before a leaving endpoint, with the ledger out of reach.
+//! A sidecar refuses new work for a leaving endpoint while the ledger is unreachable.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,12 +17,12 @@
 use slog::{Discard, Logger, o};
 use tokio::time::{Instant, sleep};
 
-type Failure = Box<dyn std::error::Error + Send + Sync>;
+type TestError = Box<dyn std::error::Error + Send + Sync>;
 
-/// How late the stand-in's list is.
-const LAG: Duration = Duration::from_millis(300);
-/// "A few seconds": from the change at the platform to the closed gate.
-const FEW_SECONDS: Duration = Duration::from_secs(4);
+/// Lag of the list that the stand-in for the platform serves.
+const LIST_LAG: Duration = Duration::from_millis(300);
+/// Maximum time from the change at the platform to the first refusal.
+const MAX_DELAY: Duration = Duration::from_secs(4);
 
 fn loopback() -> SocketAddr {
     ([127, 0, 0, 1], 0).into()
@@ -42,7 +42,7 @@
         id: "orders-1".into(),
         zone: Zone::default(),
         wire_listen: loopback(),
-        // Nobody listens there: the ledger is out of reach from the start.
+        // No process listens there: the ledger is unreachable from the start.
         ledgers: vec![([127, 0, 0, 1], 1).into()],
         endpoint: EndpointSettings {
             addr: endpoint,
@@ -95,20 +95,21 @@
     }))
 }
 
-async fn first_reply(channel: &Channel, req: &SidecarRequest) -> Result<SidecarReply, Failure> {
+async fn first_reply(channel: &Channel, req: &SidecarRequest) -> Result<SidecarReply, TestError> {
     Ok(channel
         .call::<SidecarCall>(req, Duration::from_secs(2))
         .await?)
 }
 
-/// The platform empties an instance while the ledger can't be reached from it, and the routers
-/// that can still reach it know of nothing and go on sending orders.
-/// Orders that were taken after that are cut off with the endpoint. The sidecar asks the platform
-/// itself, so the gate closes within a few seconds whatever anybody else believes.
+/// Failure: the platform drains an instance while the ledger can't be reached from it, and routers
+/// that still reach the instance don't learn of it and keep sending orders. Orders accepted after
+/// that are cut off with the endpoint. The sidecar polls the platform itself, so it refuses new
+/// work within a few seconds, whatever the routers' view is; it accepts work again when the
+/// platform lists the instance as live.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_gate_closes_although_the_ledger_is_out_of_reach() -> Result<(), Failure> {
+async fn leaving_endpoint_refuses_work_while_ledger_is_unreachable() -> Result<(), TestError> {
     let platform = platform::start(platform::Config {
-        lag: LAG,
+        lag: LIST_LAG,
         ..platform::Config::default()
     })
     .await?;
@@ -126,19 +127,19 @@
     );
 
     platform.set(listed(Presence::Leaving));
-    let deadline = Instant::now() + FEW_SECONDS;
+    let deadline = Instant::now() + MAX_DELAY;
     for number in 1.. {
         let reply = first_reply(&channel, &start(number, life)).await?;
         if let SidecarReply::Refused(refusal) = reply {
             assert_eq!(refusal.reason, Reason::Leaving);
             break;
         }
-        assert!(Instant::now() < deadline, "still taking work");
+        assert!(Instant::now() < deadline, "still accepting work");
         sleep(Duration::from_millis(100)).await;
     }
 
     platform.set(listed(Presence::Live));
-    sleep(FEW_SECONDS).await;
+    sleep(MAX_DELAY).await;
     let after = first_reply(&channel, &start(u64::MAX, life)).await?;
     assert!(matches!(after, SidecarReply::Accepted { .. }), "{after:?}");
     sidecar.kill();
