--- a/crates/anvil_daemons/examples/bench_path.rs
+++ b/crates/anvil_daemons/examples/bench_path.rs
@@ -1,7 +1,8 @@
-//! What the path adds to a request, how many it carries and what open streams cost.
+//! Measures the latency that the router adds to a request, the throughput, and the memory of open
+//! streams.
 //!
 //! Needs running daemons; docs/design/05-path.md gives the commands. `standins` serves an engine
-//! that takes no time; `measure` calls it directly and through a router.
+//! without delays; `measure` calls it directly or through a router.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,7 +16,7 @@
 use http_body_util::{BodyExt, Full};
 
 const CHAT: &str = "/v1/chat/completions";
-const WARM_UP: usize = 300;
+const WARM_UP_REQUESTS: usize = 300;
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
@@ -112,17 +113,17 @@
         req.body(Full::new(Bytes::copy_from_slice(body.as_bytes())))
     }
 
-    async fn one(&self, number: usize) -> Result<Duration, Failure> {
+    async fn send_one(&self, number: usize) -> Result<Duration, Failure> {
         let body = chat("tokens=1 short", false);
-        let began = Instant::now();
-        let answer = self
+        let start = Instant::now();
+        let response = self
             .client
             .whole(&self.url, self.request(number, &body)?)
             .await?;
-        if answer.status != 200 {
-            return Err(String::from_utf8_lossy(&answer.body).into());
+        if response.status != 200 {
+            return Err(String::from_utf8_lossy(&response.body).into());
         }
-        Ok(began.elapsed())
+        Ok(start.elapsed())
     }
 }
 
@@ -144,35 +145,39 @@
     if let Some(process) = args.streams_of {
         return streams(&caller, process).await;
     }
-    for number in 0..WARM_UP {
-        caller.one(number).await?;
+    for number in 0..WARM_UP_REQUESTS {
+        caller.send_one(number).await?;
     }
-    let began = Instant::now();
-    let each = args.requests / args.side_by_side;
-    let lines = (0..args.side_by_side).map(|line| {
+    let start = Instant::now();
+    let requests_each = args.requests / args.side_by_side;
+    let workers = (0..args.side_by_side).map(|worker| {
         let caller = &caller;
         async move {
-            let mut took = Vec::with_capacity(each);
-            for number in 0..each {
-                took.push(caller.one(WARM_UP + line * each + number).await?);
+            let mut latencies = Vec::with_capacity(requests_each);
+            for number in 0..requests_each {
+                latencies.push(
+                    caller
+                        .send_one(WARM_UP_REQUESTS + worker * requests_each + number)
+                        .await?,
+                );
             }
-            Ok::<_, Failure>(took)
+            Ok::<_, Failure>(latencies)
         }
     });
-    let mut took = Vec::new();
-    for line in join_all(lines).await {
-        took.extend(line?);
+    let mut latencies = Vec::new();
+    for result in join_all(workers).await {
+        latencies.extend(result?);
     }
-    let all = began.elapsed();
-    took.sort_unstable();
-    let rank = |of: usize| took[(took.len() - 1) * of / 100].as_micros();
+    let elapsed = start.elapsed();
+    latencies.sort_unstable();
+    let rank = |of: usize| latencies[(latencies.len() - 1) * of / 100].as_micros();
     println!(
         "{} requests, {} side by side: median {} us, 99th {} us, {} requests/s",
-        took.len(),
+        latencies.len(),
         args.side_by_side,
         rank(50),
         rank(99),
-        took.len() as u128 * 1_000_000 / all.as_micros().max(1),
+        latencies.len() as u128 * 1_000_000 / elapsed.as_micros().max(1),
     );
     Ok(())
 }
--- a/crates/anvil_daemons/examples/slopes/apply.rs
+++ b/crates/anvil_daemons/examples/slopes/apply.rs
@@ -1,14 +1,14 @@
-//! How long the ledger takes to apply a command.
+//! Time that the ledger takes to apply a command.
 
 use std::time::Instant;
 
 use anvil_world::prelude::*;
 
 use crate::fit::{Slope, point};
-use crate::sample::{Filled, ask, claim, report, team};
+use crate::sample::{FilledState, claim, grant_request, report, team};
 
-/// Times that each command is applied; the middle one counts.
-const TIMES: usize = 101;
+/// Number of times that each command is applied; the median is reported.
+const REPETITIONS: usize = 101;
 
 /// All slopes of this group, in nanoseconds.
 pub fn slopes() -> Vec<Slope> {
@@ -21,28 +21,31 @@
     ]
 }
 
-/// The middle of the times that a command takes to apply.
-fn middle(filled: &mut Filled, mut next: impl FnMut(&mut Filled, u64) -> Command) -> u64 {
-    let mut times: Vec<u64> = (0..TIMES as u64)
-        .map(|at| {
-            let command = next(filled, at);
+/// The median time to apply a command, in nanoseconds.
+fn median_time(
+    filled: &mut FilledState,
+    mut next: impl FnMut(&mut FilledState, u64) -> Command,
+) -> u64 {
+    let mut times: Vec<u64> = (0..REPETITIONS as u64)
+        .map(|number| {
+            let command = next(filled, number);
             let start = Instant::now();
             filled.apply(&command);
             u64::try_from(start.elapsed().as_nanos()).unwrap_or(u64::MAX)
         })
         .collect();
     times.sort_unstable();
-    times[TIMES / 2]
+    times[REPETITIONS / 2]
 }
 
 fn reports() -> Slope {
     let sizes = [10, 50, 200, 1_000];
     let points = sizes.map(|size| {
-        let mut filled = Filled::default();
+        let mut filled = FilledState::default();
         filled.budgets(size);
         filled.grants(1, size);
-        let time = middle(&mut filled, |filled, at| {
-            let reports = (1..=size).map(|grant| report(grant, at)).collect();
+        let time = median_time(&mut filled, |filled, number| {
+            let reports = (1..=size).map(|grant| report(grant, number)).collect();
             filled.batch(0, reports, Vec::new())
         });
         point(size, time)
@@ -54,15 +57,15 @@
     }
 }
 
-/// One report on a budget that so many routers hold a grant of.
+/// A batch with one report, on a budget of which each of `size` routers holds a grant.
 fn shared_budget() -> Slope {
     let sizes = [65, 130, 260, 520, 1_040];
     let points = sizes.map(|size| {
-        let mut filled = Filled::default();
+        let mut filled = FilledState::default();
         filled.budgets(1);
         filled.grants(size, 1);
-        let time = middle(&mut filled, |filled, at| {
-            filled.batch(0, vec![report(1, at)], Vec::new())
+        let time = median_time(&mut filled, |filled, number| {
+            filled.batch(0, vec![report(1, number)], Vec::new())
         });
         point(size, time)
     });
@@ -73,15 +76,15 @@
     }
 }
 
-/// One ask of a router that holds so many grants.
+/// A batch with one request for a grant, from a router that holds `size` grants.
 fn held_grants() -> Slope {
     let sizes = [100, 1_000, 4_000, 16_000];
     let points = sizes.map(|size| {
-        let mut filled = Filled::default();
+        let mut filled = FilledState::default();
         filled.budgets(size);
         filled.grants(1, size);
-        let time = middle(&mut filled, |filled, at| {
-            filled.batch(0, Vec::new(), vec![ask(at % size, 10)])
+        let time = median_time(&mut filled, |filled, number| {
+            filled.batch(0, Vec::new(), vec![grant_request(number % size, 10)])
         });
         point(size, time)
     });
@@ -95,9 +98,9 @@
 fn claims() -> Slope {
     let sizes = [10_000, 50_000, 200_000];
     let points = sizes.map(|size| {
-        let mut filled = Filled::default();
+        let mut filled = FilledState::default();
         filled.claims(size);
-        let time = middle(&mut filled, |_, at| claim(size + at));
+        let time = median_time(&mut filled, |_, number| claim(size + number));
         point(size, time)
     });
     Slope {
@@ -110,11 +113,11 @@
 fn changes() -> Slope {
     let sizes = [1_000, 10_000, 60_000];
     let points = sizes.map(|size| {
-        let mut filled = Filled::default();
+        let mut filled = FilledState::default();
         filled.budgets(1_000);
         filled.teams(size, 1_000);
-        let time = middle(&mut filled, |filled, at| {
-            let text = team(at + size, "prepaid-workshop-00001");
+        let time = median_time(&mut filled, |filled, number| {
+            let text = team(number + size, "prepaid-workshop-00001");
             filled.change("teams/workshop-team-00007", &text)
         });
         point(size, time)
--- a/crates/anvil_daemons/examples/slopes/live.rs
+++ b/crates/anvil_daemons/examples/slopes/live.rs
@@ -1,4 +1,4 @@
-//! What real processes use, with fakes of the fleet around them.
+//! Measures real processes, with simulated instances around them.
 
 mod bench;
 mod ledger;
@@ -8,7 +8,7 @@
 
 use crate::fit::Slope;
 
-/// All slopes of this group. Each starts processes of its own, one size after the other.
+/// All slopes of this group. Each starts its own processes, for one size after the other.
 pub fn slopes() -> Vec<Slope> {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime can be made");
     runtime.block_on(async {
@@ -25,13 +25,13 @@
     })
 }
 
-/// How long a change takes to be in force everywhere.
+/// Time until a change is in force everywhere.
 pub fn spread() -> Vec<Slope> {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime can be made");
     vec![runtime.block_on(ledger::in_force())]
 }
 
-/// What a sidecar tells a router that watches it.
+/// Load reports of a sidecar to a router that watches it.
 pub fn watched() -> Vec<Slope> {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime can be made");
     vec![runtime.block_on(path::watched())]
--- a/crates/anvil_daemons/examples/slopes/live/bench.rs
+++ b/crates/anvil_daemons/examples/slopes/live/bench.rs
@@ -1,4 +1,4 @@
-//! Processes to be measured, and how they are.
+//! Starts the processes to be measured, and measures them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,16 +16,16 @@
 use tempfile::TempDir;
 use tokio::time::sleep;
 
-/// How long processor time is counted.
+/// Time over which processor time is measured.
 pub const WINDOW: Duration = Duration::from_secs(6);
-/// Time for things to come to rest before a window begins.
-pub const REST: Duration = Duration::from_secs(3);
-/// Longest wait for one answer.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+/// Time to settle before a measurement begins.
+pub const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Timeout of one call.
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Replicas of the ledger.
 const REPLICAS: usize = 3;
 
-/// A ledger of three processes, and whatever else is started beside it.
+/// A ledger of three processes, and the settings of what is started beside it.
 pub struct Bench {
     folder: TempDir,
     programs: PathBuf,
@@ -35,9 +35,9 @@
     pub replicas: Vec<Process>,
 }
 
-/// What a process used in a window.
+/// Usage of one process over a window.
 #[derive(Debug, Clone, Copy)]
-pub struct Used {
+pub struct ProcessCost {
     /// Processor time, in microseconds a second.
     pub processor: u64,
     /// Memory at the end, in bytes.
@@ -45,7 +45,7 @@
 }
 
 impl Bench {
-    /// Starts a ledger and waits until it leads.
+    /// Starts a ledger and waits until it has a leader.
     pub async fn start() -> Self {
         let folder = tempfile::tempdir().expect("a temporary folder can be made");
         let program = std::env::current_exe().expect("a running program has a path");
@@ -91,7 +91,7 @@
         Process::start(&self.programs.join(program), id, &path).expect("the daemons are built")
     }
 
-    /// Starts a router; it listens at the second address.
+    /// Starts a router; returns the address at which it listens to callers.
     pub fn router(&self, ledgers: Vec<SocketAddr>) -> (Process, SocketAddr) {
         let settings = RouterSettings {
             id: "router-0".into(),
@@ -107,12 +107,14 @@
         (router, settings.listen)
     }
 
-    /// Which replica leads.
+    /// Index of the leading replica.
     pub async fn leader(&self) -> usize {
         loop {
             for (at, addr) in self.ledgers.iter().enumerate() {
-                let ask = LedgerRequest::Query(Query::Status);
-                let reply = Channel::new(*addr).call::<LedgerCall>(&ask, PATIENCE).await;
+                let req = LedgerRequest::Query(Query::Status);
+                let reply = Channel::new(*addr)
+                    .call::<LedgerCall>(&req, CALL_TIMEOUT)
+                    .await;
                 if matches!(reply, Ok(LedgerReply::Read(_))) {
                     return at;
                 }
@@ -122,13 +124,13 @@
     }
 
     /// A channel to the leader.
-    pub async fn lead(&self) -> Channel {
+    pub async fn leader_channel(&self) -> Channel {
         Channel::new(self.ledgers[self.leader().await])
     }
 }
 
-/// What processes use, over a window in which the world goes on.
-pub async fn used(processes: &[&Process]) -> BTreeMap<String, Used> {
+/// Measures the usage of processes over one window.
+pub async fn measure_usage(processes: &[&Process]) -> BTreeMap<String, ProcessCost> {
     let now = |p: &&Process| {
         let usage = p.id().and_then(ProcessUsage::of);
         (p.name.clone(), usage.unwrap_or_default())
@@ -139,11 +141,11 @@
     after
         .map(|(name, after)| {
             let spent = after.processor.saturating_sub(before[&name].processor);
-            let used = Used {
+            let cost = ProcessCost {
                 processor: u64::try_from(spent.as_micros()).unwrap_or(u64::MAX) / WINDOW.as_secs(),
                 memory: after.memory,
             };
-            (name, used)
+            (name, cost)
         })
         .collect()
 }
--- a/crates/anvil_daemons/examples/slopes/live/path.rs
+++ b/crates/anvil_daemons/examples/slopes/live/path.rs
@@ -1,4 +1,4 @@
-//! What a request, a token and an open stream cost on their way.
+//! Costs of requests, tokens and open streams at the router and the sidecars.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,10 +14,10 @@
 use anvil_world::settings::{EndpointSettings, SidecarSettings};
 use tokio::time::sleep;
 
-use super::bench::{Bench, REST, WINDOW, addr};
+use super::bench::{Bench, SETTLE_TIME, WINDOW, addr};
 use crate::fit::{Slope, point};
 
-/// Bytes between an idle process and the ledger, both ways.
+/// Bytes between an idle process and the ledger, in both directions.
 pub async fn idle() -> Vec<Slope> {
     let bench = Bench::start().await;
     let mut links = Vec::new();
@@ -25,19 +25,19 @@
         let link = relay::start(relay::Config::to(*ledger)).await;
         links.push(link.expect("loopback has free ports"));
     }
-    let through: Vec<_> = links.iter().map(relay::Handle::addr).collect();
+    let relay_addrs: Vec<_> = links.iter().map(relay::Handle::addr).collect();
     let engine = engine::start(engine::Config::default()).await;
     let engine = engine.expect("loopback has free ports");
     let sidecar = {
-        let settings = sidecar(engine.addr(), through.clone());
+        let settings = sidecar(engine.addr(), relay_addrs.clone());
         let _process = bench.spawn("anvilreel-sidecar", &settings.id, &settings);
-        sleep(REST).await;
-        seconds(&links).await
+        sleep(SETTLE_TIME).await;
+        bytes_over_time(&links).await
     };
     let router = {
-        let (_process, _) = bench.router(through);
-        sleep(REST).await;
-        seconds(&links).await
+        let (_process, _) = bench.router(relay_addrs);
+        sleep(SETTLE_TIME).await;
+        bytes_over_time(&links).await
     };
     let slope = |what, points| Slope {
         what,
@@ -50,7 +50,7 @@
     ]
 }
 
-async fn seconds(links: &[relay::Handle]) -> Vec<(f64, f64)> {
+async fn bytes_over_time(links: &[relay::Handle]) -> Vec<(f64, f64)> {
     let bytes = || links.iter().map(relay::Handle::bytes).sum::<u64>();
     let start = bytes();
     let mut points = Vec::new();
@@ -84,7 +84,7 @@
     }
 }
 
-/// One router before two runners that take so long for a token.
+/// A scenario with one router and two engines that take `token_time` for a token.
 fn scenario(rate: u64, output: u64, token_time: &str, run_for: &str) -> Scenario {
     let text = format!(
         "name = \"slopes\"\nseed = 1\nrun_for = \"{run_for}\"\n\
@@ -100,8 +100,8 @@
 
 type Usage = BTreeMap<String, ProcessUsage>;
 
-/// Starts a fleet, drives the scenario, and gives back what the processes had used at its
-/// start and at its end, with the requests that were answered.
+/// Starts a fleet and runs the scenario. Returns the usage of the processes before and after, and
+/// the number of completed requests.
 async fn driven(scenario: &Scenario) -> (Usage, Usage, u64) {
     let folder = tempfile::tempdir().expect("a temporary folder can be made");
     let program = std::env::current_exe().expect("a running program has a path");
@@ -116,7 +116,7 @@
     (before, fleet.usage(), driven.recorder.report().completed)
 }
 
-/// Processor time of the processes whose name starts so, in microseconds.
+/// Processor time of the processes whose names start with `name`, in microseconds.
 fn processor(usage: &Usage, name: &str) -> u64 {
     let named = usage
         .iter()
@@ -125,23 +125,17 @@
     u64::try_from(all.as_micros()).unwrap_or(u64::MAX)
 }
 
-const RUN_SECONDS: u64 = 8;
+const RUN_S: u64 = 8;
 
-/// With so many requests a second, each of 8 tokens.
+/// With `rate` requests per second, each of 8 tokens.
 pub async fn requests() -> Vec<Slope> {
     let (mut router, mut sidecars) = (Vec::new(), Vec::new());
     for rate in [100, 300, 900] {
         let scenario = scenario(rate, 8, "1ms", "8s");
         let (before, after, completed) = driven(&scenario).await;
         let spent = |name| processor(&after, name) - processor(&before, name);
-        router.push(point(
-            completed / RUN_SECONDS,
-            spent("router") / RUN_SECONDS,
-        ));
-        sidecars.push(point(
-            completed / RUN_SECONDS,
-            spent("runners") / RUN_SECONDS,
-        ));
+        router.push(point(completed / RUN_S, spent("router") / RUN_S));
+        sidecars.push(point(completed / RUN_S, spent("runners") / RUN_S));
     }
     vec![
         Slope {
@@ -157,7 +151,7 @@
     ]
 }
 
-/// With so many tokens a second, in 40 answers a second.
+/// With a varying number of tokens per second, in 40 answers per second.
 pub async fn tokens() -> Vec<Slope> {
     const RATE: u64 = 40;
     let (mut router, mut sidecars) = (Vec::new(), Vec::new());
@@ -165,9 +159,9 @@
         let scenario = scenario(RATE, output, "1ms", "8s");
         let (before, after, completed) = driven(&scenario).await;
         let spent = |name| processor(&after, name) - processor(&before, name);
-        let tokens = completed * output / RUN_SECONDS;
-        router.push(point(tokens, spent("router") / RUN_SECONDS));
-        sidecars.push(point(tokens, spent("runners") / RUN_SECONDS));
+        let tokens = completed * output / RUN_S;
+        router.push(point(tokens, spent("router") / RUN_S));
+        sidecars.push(point(tokens, spent("runners") / RUN_S));
     }
     vec![
         Slope {
@@ -183,7 +177,7 @@
     ]
 }
 
-/// With so many streams open at a time, of 100 tokens in 10 s.
+/// With `count` concurrent streams, each of 100 tokens in 10 s.
 pub async fn streams() -> Vec<Slope> {
     let (mut router, mut sidecars) = (Vec::new(), Vec::new());
     for count in [200, 600, 1_800] {
@@ -225,12 +219,12 @@
     ]
 }
 
-/// Bytes of load reports from one sidecar to one router that watches it, with so many requests a
+/// Bytes of load reports from one sidecar to one router that watches it, at `rate` requests per
 /// second at that sidecar.
 pub async fn watched() -> Slope {
     let mut points = Vec::new();
     for rate in [2, 4, 8] {
-        // Two runners share the requests.
+        // Two engines share the requests.
         let scenario = scenario(2 * rate, 40, "10ms", "10s");
         let folder = tempfile::tempdir().expect("a temporary folder can be made");
         let program = std::env::current_exe().expect("a running program has a path");
--- a/crates/anvil_daemons/examples/slopes/live/router.rs
+++ b/crates/anvil_daemons/examples/slopes/live/router.rs
@@ -1,4 +1,4 @@
-//! What a router uses for what it knows of the fleet.
+//! Memory and processor time of a router, by the size of the fleet and its settings.
 
 use std::time::Duration;
 
@@ -6,29 +6,29 @@
 use anvil_wire::Channel;
 use tokio::time::sleep;
 
-use super::bench::{Bench, REST, used};
+use super::bench::{Bench, SETTLE_TIME, measure_usage};
 use super::swarm;
 use crate::fit::{Slope, point};
-use crate::sample::{Filled, first_put};
+use crate::sample::{FilledState, create_document};
 
-/// Changes of a team in a window.
+/// Changes in one measuring window.
 const CHANGES: u64 = 30;
 
-/// With so many teams in the tree, and a change of one every 200 ms.
+/// With `size` teams in the tree, first idle and then with a change every 200 ms.
 pub async fn teams() -> Vec<Slope> {
     let (mut memory, mut change) = (Vec::new(), Vec::new());
     for size in [1_000, 4_000, 16_000] {
         let bench = Bench::start().await;
-        let leader = bench.lead().await;
-        swarm::propose_all(&leader, Filled::budget_commands(100)).await;
-        swarm::propose_all(&leader, Filled::team_commands(size, 100)).await;
+        let leader = bench.leader_channel().await;
+        swarm::propose_all(&leader, FilledState::budget_commands(100)).await;
+        swarm::propose_all(&leader, FilledState::team_commands(size, 100)).await;
         let (router, listen) = bench.router(bench.ledgers.clone());
         ready(listen).await;
-        sleep(REST).await;
-        let idle = used(&[&router]).await[&router.name];
+        sleep(SETTLE_TIME).await;
+        let idle = measure_usage(&[&router]).await[&router.name];
         memory.push(point(size, idle.memory));
         let measured = [&router];
-        let (busy, ()) = tokio::join!(used(&measured), changes(&leader));
+        let (busy, ()) = tokio::join!(measure_usage(&measured), changes(&leader));
         let spent = busy[&router.name].processor.saturating_sub(idle.processor);
         change.push(point(
             size,
@@ -50,28 +50,28 @@
 }
 
 async fn changes(leader: &Channel) {
-    for at in 0..CHANGES {
-        let path = format!("organisations/new-{at}");
-        swarm::propose(leader, first_put(&path, "", 2_000_000 + at)).await;
+    for number in 0..CHANGES {
+        let path = format!("organisations/new-{number}");
+        swarm::propose(leader, create_document(&path, "", 2_000_000 + number)).await;
         sleep(super::bench::WINDOW / u32::try_from(CHANGES).unwrap_or(1)).await;
     }
 }
 
-/// With so many sidecars in the fleet that give signs of life.
+/// With `size` sidecars in the fleet that send heartbeats.
 pub async fn members() -> Vec<Slope> {
     let (mut memory, mut processor) = (Vec::new(), Vec::new());
     for size in [150, 500, 1_500] {
         let bench = Bench::start().await;
-        let leader = bench.lead().await;
-        swarm::propose_all(&leader, Filled::budget_commands(1)).await;
+        let leader = bench.leader_channel().await;
+        swarm::propose_all(&leader, FilledState::budget_commands(1)).await;
         let (router, listen) = bench.router(bench.ledgers.clone());
         ready(listen).await;
         let addr = bench.ledgers[bench.leader().await];
         let _swarm = swarm::sidecars(size, addr, &bench.ledgers);
-        sleep(REST * 2).await;
-        let used = used(&[&router]).await[&router.name];
-        memory.push(point(size, used.memory));
-        processor.push(point(size, used.processor));
+        sleep(SETTLE_TIME * 2).await;
+        let usage = measure_usage(&[&router]).await[&router.name];
+        memory.push(point(size, usage.memory));
+        processor.push(point(size, usage.processor));
     }
     vec![
         Slope {
--- a/crates/anvil_daemons/examples/slopes/main.rs
+++ b/crates/anvil_daemons/examples/slopes/main.rs
@@ -1,9 +1,9 @@
-//! Measures the slopes that docs/CAPACITY.md is worked out from.
+//! Measures the slopes that docs/CAPACITY.md is based on.
 //!
-//! `cargo run --release -p anvil_daemons --example slopes` prints the table again: each line is
-//! a cost that was measured at three or more sizes, with the straight line that fits best and
-//! the largest error of any point against it. Memory is measured in a process of its own for
-//! each size, so that nothing is left over from the size before.
+//! `cargo run --release -p anvil_daemons --example slopes` prints its table: each row is a cost
+//! that was measured at three or more sizes, with the best fitting straight line and the largest
+//! error of any point against it. Memory is measured in a separate process for each size, so that
+//! nothing allocated for an earlier size is counted.
 
 mod apply;
 mod disk;
@@ -54,8 +54,8 @@
     }
     for (name, slopes) in GROUPS {
         if name.starts_with(&arguments.only) {
-            let mut lines = vec![fit::heads()];
-            lines.extend(slopes().iter().map(Slope::line));
+            let mut lines = vec![fit::column_headers()];
+            lines.extend(slopes().iter().map(Slope::table_row));
             println!("{}", anvil_standins::load::table::aligned(&lines));
         }
     }
--- a/crates/anvil_daemons/examples/slopes/messages.rs
+++ b/crates/anvil_daemons/examples/slopes/messages.rs
@@ -1,4 +1,4 @@
-//! Bytes of the messages between processes, as they are encoded.
+//! Encoded size of the messages between processes.
 
 use std::collections::BTreeMap;
 
@@ -9,46 +9,46 @@
 use serde::Serialize;
 
 use crate::fit::{Slope, point};
-use crate::sample::{Filled, ask, claim, report, sidecar, team};
+use crate::sample::{FilledState, claim, grant_request, report, sidecar, team};
 
 const SIZES: [u64; 4] = [1, 10, 100, 1_000];
 
 /// All slopes of this group.
 pub fn slopes() -> Vec<Slope> {
     vec![
-        of("router to ledger, batch", "bytes a report", SIZES, reports),
-        of("router to ledger, batch", "bytes an ask", SIZES, asks),
-        of(
+        slope("router to ledger, batch", "bytes a report", SIZES, reports),
+        slope("router to ledger, batch", "bytes an ask", SIZES, asks),
+        slope(
             "instance to ledger, sign of life",
             "bytes a second",
             [1, 2, 3, 4],
             heartbeats,
         ),
-        of(
+        slope(
             "ledger to instance, sign of life",
             "bytes a second",
             [1, 2, 3, 4],
             replies,
         ),
-        of("router to ledger, claim", "bytes a claim", SIZES, claims),
-        of("ledger to router, full state", "bytes a team", SIZES, teams),
-        of(
+        slope("router to ledger, claim", "bytes a claim", SIZES, claims),
+        slope("ledger to router, full state", "bytes a team", SIZES, teams),
+        slope(
             "ledger to router, full state",
             "bytes a member",
             SIZES,
             members,
         ),
-        of(
+        slope(
             "ledger to router, change",
             "bytes a changed team",
             SIZES,
             deltas,
         ),
-        of("sidecar to router, load", "bytes a report", SIZES, loads),
+        slope("sidecar to router, load", "bytes a report", SIZES, loads),
     ]
 }
 
-fn of<const N: usize>(
+fn slope<const N: usize>(
     what: &'static str,
     unit: &'static str,
     sizes: [u64; N],
@@ -64,25 +64,29 @@
 
 fn reports(count: u64) -> u64 {
     let grant = 40_000_000;
-    let reports = (0..count).map(|at| report(grant + at, 1_234_567)).collect();
-    let batch = Filled::default().batch(7, reports, Vec::new());
+    let reports = (0..count)
+        .map(|number| report(grant + number, 1_234_567))
+        .collect();
+    let batch = FilledState::default().batch(7, reports, Vec::new());
     encoded(&LedgerRequest::Propose(batch))
 }
 
 fn asks(count: u64) -> u64 {
-    let asks = (0..count).map(|at| ask(at, 250_000)).collect();
-    let batch = Filled::default().batch(7, Vec::new(), asks);
+    let asks = (0..count)
+        .map(|number| grant_request(number, 250_000))
+        .collect();
+    let batch = FilledState::default().batch(7, Vec::new(), asks);
     encoded(&LedgerRequest::Propose(batch))
 }
 
 fn heartbeats(seconds: u64) -> u64 {
-    let beat = LedgerRequest::Heartbeat(Heartbeat {
+    let heartbeat = LedgerRequest::Heartbeat(Heartbeat {
         instance: sidecar(4_711),
         version: 40_000_000,
         evidence: Vec::new(),
         leaving: false,
     });
-    seconds * encoded(&beat)
+    seconds * encoded(&heartbeat)
 }
 
 fn replies(seconds: u64) -> u64 {
@@ -97,26 +101,26 @@
 
 fn claims(count: u64) -> u64 {
     (0..count)
-        .map(|at| encoded(&LedgerRequest::Propose(claim(at))))
+        .map(|number| encoded(&LedgerRequest::Propose(claim(number))))
         .sum()
 }
 
-fn entry(at: u64) -> (TreePath, TreeEntry) {
+fn entry(number: u64) -> (TreePath, TreeEntry) {
     let entry = TreeEntry {
         revision: 40_000_000,
-        text: team(at, "prepaid-workshop-00001").into(),
+        text: team(number, "prepaid-workshop-00001").into(),
         operator: "operator-of-the-venture".into(),
     };
     (
-        TreePath::Team(format!("workshop-team-{at:05}").into()),
+        TreePath::Team(format!("workshop-team-{number:05}").into()),
         entry,
     )
 }
 
 fn full(teams: u64, members: u64) -> u64 {
     let members: BTreeMap<_, _> = (0..members)
-        .map(|at| {
-            let instance = sidecar(at);
+        .map(|number| {
+            let instance = sidecar(number);
             let presence = Presence::Live;
             (instance.id.clone(), Member { instance, presence })
         })
--- a/crates/anvil_daemons/examples/slopes/sample.rs
+++ b/crates/anvil_daemons/examples/slopes/sample.rs
@@ -1,4 +1,4 @@
-//! Commands and instances as large as the real ones.
+//! Commands and instances of realistic size.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -14,17 +14,17 @@
 /// Prepaid tokens of each budget.
 pub const CREDIT: Tokens = 1_000_000_000;
 
-/// A ledger's state that is filled by commands.
+/// A ledger's state, filled by commands.
 #[derive(Default)]
-pub struct Filled {
+pub struct FilledState {
     /// The state.
     pub state: State,
     index: LogIndex,
     batches: u64,
 }
 
-impl Filled {
-    /// Applies a command. A denied one is a fault of this tool.
+impl FilledState {
+    /// Applies a command. A denied command is an error in this tool.
     pub fn apply(&mut self, command: &Command) -> Answer {
         self.index += 1;
         let answer = self.state.apply(self.index, 1, command);
@@ -32,13 +32,13 @@
         answer
     }
 
-    /// Writes a document.
+    /// Creates or replaces a document.
     pub fn put(&mut self, path: &str, text: &str) {
         let change = self.change(path, text);
         self.apply(&change);
     }
 
-    /// The change that writes a document over what stands.
+    /// The command that creates or replaces a document.
     pub fn change(&self, path: &str, text: &str) -> Command {
         let path = TreePath::try_from(path).unwrap_or(TreePath::Fleet);
         let entry = self.state.tree().get(&path);
@@ -53,30 +53,30 @@
         })
     }
 
-    /// An organisation with so many budgets, each topped up.
+    /// Creates an organisation with `count` budgets, each topped up.
     pub fn budgets(&mut self, count: u64) {
         self.put("organisations/venture", "");
-        for at in 0..count {
-            self.budget(at);
+        for number in 0..count {
+            self.budget(number);
         }
     }
 
-    fn budget(&mut self, at: u64) {
-        let path = format!("budgets/{}", budget(at));
+    fn budget(&mut self, number: u64) {
+        let path = format!("budgets/{}", budget(number));
         self.put(&path, "organisation = \"venture\"\nwarn_below = 1000000\n");
-        let top_up = top_up(at, time(self.index));
+        let top_up = top_up(number, time(self.index));
         self.apply(&top_up);
     }
 
-    /// So many teams, each paying from one budget that is there.
+    /// Creates `count` teams, each paying from one of `budgets` existing budgets.
     pub fn teams(&mut self, count: u64, budgets: u64) {
-        for at in 0..count {
-            let text = team(at, &budget(at % budgets));
-            self.put(&format!("teams/workshop-team-{at:05}"), &text);
+        for number in 0..count {
+            let text = team(number, &budget(number % budgets));
+            self.put(&format!("teams/workshop-team-{number:05}"), &text);
         }
     }
 
-    /// A batch of a router.
+    /// The next batch of a router.
     pub fn batch(
         &mut self,
         router: u64,
@@ -96,54 +96,56 @@
     /// Opens a grant of each budget for each router.
     pub fn grants(&mut self, routers: u64, budgets: u64) {
         for router in 0..routers {
-            let asks = (0..budgets).map(|at| ask(at, 10_000)).collect();
+            let asks = (0..budgets)
+                .map(|number| grant_request(number, 10_000))
+                .collect();
             let batch = self.batch(router, Vec::new(), asks);
             self.apply(&batch);
         }
     }
 
-    /// Commands that make an organisation with so many budgets, each topped up.
+    /// Commands that create an organisation with `count` budgets, each topped up.
     pub fn budget_commands(count: u64) -> impl Iterator<Item = Command> {
-        let organisation = first_put("organisations/venture", "", 0);
-        let budgets = (0..count).flat_map(|at| {
-            let path = format!("budgets/{}", budget(at));
-            let put = first_put(&path, "organisation = \"venture\"\n", 1 + 2 * at);
-            [put, top_up(at, SystemTime::now())]
+        let organisation = create_document("organisations/venture", "", 0);
+        let budgets = (0..count).flat_map(|number| {
+            let path = format!("budgets/{}", budget(number));
+            let put = create_document(&path, "organisation = \"venture\"\n", 1 + 2 * number);
+            [put, top_up(number, SystemTime::now())]
         });
         [organisation].into_iter().chain(budgets)
     }
 
-    /// Commands that make so many teams, which pay from these budgets.
+    /// Commands that create `count` teams, which pay from `budgets` budgets.
     pub fn team_commands(count: u64, budgets: u64) -> impl Iterator<Item = Command> {
-        (0..count).map(move |at| {
-            let text = team(at, &budget(at % budgets));
-            first_put(
-                &format!("teams/workshop-team-{at:05}"),
+        (0..count).map(move |number| {
+            let text = team(number, &budget(number % budgets));
+            create_document(
+                &format!("teams/workshop-team-{number:05}"),
                 &text,
-                1_000_000 + at,
+                1_000_000 + number,
             )
         })
     }
 
-    /// So many sidecars join.
+    /// Lets `count` sidecars join.
     pub fn members(&mut self, count: u64) {
-        for at in 0..count {
+        for number in 0..count {
             self.apply(&Command::Join(Join {
-                instance: sidecar(at),
+                instance: sidecar(number),
             }));
         }
     }
 
-    /// So many claims, all within the time that claims are kept.
+    /// Adds `count` claims, all within the time that claims are kept.
     pub fn claims(&mut self, count: u64) {
-        for at in 0..count {
-            self.apply(&claim(at));
+        for number in 0..count {
+            self.apply(&claim(number));
         }
     }
 }
 
-/// The change that writes a document that is not there yet, made now.
-pub fn first_put(path: &str, text: &str, number: u64) -> Command {
+/// The command that creates a document, with the current time.
+pub fn create_document(path: &str, text: &str, number: u64) -> Command {
     let at = SystemTime::now();
     Command::Change(Change {
         id: change_id(at, &format!("slopes-{number}")),
@@ -155,41 +157,41 @@
     })
 }
 
-fn top_up(at: u64, time: SystemTime) -> Command {
+fn top_up(number: u64, time: SystemTime) -> Command {
     Command::TopUp(TopUp {
-        id: change_id(time, &format!("top-up-{at}")),
+        id: change_id(time, &format!("top-up-{number}")),
         operator: "operator-of-the-venture".into(),
-        budget: budget(at),
+        budget: budget(number),
         amount: CREDIT,
         at: time,
     })
 }
 
-/// A time that rises by a millisecond with each step.
+/// A time that increases by one millisecond with each step.
 pub fn time(step: u64) -> SystemTime {
     UNIX_EPOCH + Duration::from_secs(1_790_000_000) + Duration::from_millis(step)
 }
 
-/// A budget's name.
-pub fn budget(at: u64) -> BudgetId {
-    format!("prepaid-workshop-{at:05}").into()
+/// Id of a budget.
+pub fn budget(number: u64) -> BudgetId {
+    format!("prepaid-workshop-{number:05}").into()
 }
 
-/// A router's name.
-pub fn router_id(at: u64) -> InstanceId {
-    format!("router-{at:04}").into()
+/// Id of a router.
+pub fn router_id(number: u64) -> InstanceId {
+    format!("router-{number:04}").into()
 }
 
-/// A wish for a grant.
-pub fn ask(at: u64, wanted: Tokens) -> GrantRequest {
+/// A request for a grant.
+pub fn grant_request(number: u64, wanted: Tokens) -> GrantRequest {
     GrantRequest {
-        budget: budget(at),
+        budget: budget(number),
         wanted,
         least: 500,
     }
 }
 
-/// A report of a grant that is not the first of its kind.
+/// A report about a grant that stays open.
 pub fn report(grant: GrantId, settled: Tokens) -> GrantReport {
     GrantReport {
         grant,
@@ -199,25 +201,25 @@
     }
 }
 
-/// A team's document.
-pub fn team(at: u64, budget: &str) -> String {
-    let hash = key_hash(&at.to_le_bytes());
+/// The document of a team.
+pub fn team(number: u64, budget: &str) -> String {
+    let hash = key_hash(&number.to_le_bytes());
     format!(
         "organisation = \"venture\"\nkeys = [\"{hash}\"]\nclass = \"interactive\"\n\
          [split]\n\"{budget}\" = 1\n"
     )
 }
 
-/// A sidecar beside a model runner.
-pub fn sidecar(at: u64) -> Instance {
-    let addr = Ipv4Addr::from_bits(0x0a00_0000 + u32::try_from(at).unwrap_or_default());
+/// A sidecar beside a model engine.
+pub fn sidecar(number: u64) -> Instance {
+    let addr = Ipv4Addr::from_bits(0x0a00_0000 + u32::try_from(number).unwrap_or_default());
     Instance {
-        id: format!("runner-{at:05}").into(),
-        incarnation: 1_790_000_000_000 + at,
+        id: format!("runner-{number:05}").into(),
+        incarnation: 1_790_000_000_000 + number,
         role: Role::Sidecar,
         zone: Zone::new(
             "ke-central",
-            ["ke-central-a", "ke-central-b"][(at % 2) as usize],
+            ["ke-central-a", "ke-central-b"][(number % 2) as usize],
         ),
         addr: SocketAddr::from((addr, 9_200)),
         endpoint: Some(Endpoint {
@@ -230,16 +232,16 @@
 }
 
 /// A claim of a non-idempotent request.
-pub fn claim(at: u64) -> Command {
+pub fn claim(number: u64) -> Command {
     Command::Claim(Claim {
-        id: format!("router-001-{at:012}").into(),
+        id: format!("router-001-{number:012}").into(),
         key: RequestKey {
-            team: format!("workshop-team-{:05}", at % 2_000).into(),
-            id: Arc::from(format!("0f8fad5b-d9cb-469f-a165-{at:012}")),
+            team: format!("workshop-team-{:05}", number % 2_000).into(),
+            id: Arc::from(format!("0f8fad5b-d9cb-469f-a165-{number:012}")),
         },
         body: [7; 32],
-        sidecar: format!("orders-{:03}", at % 100).into(),
+        sidecar: format!("orders-{:03}", number % 100).into(),
         incarnation: 1_790_000_000_000,
-        at: time(at),
+        at: time(number),
     })
 }
--- a/crates/anvil_daemons/examples/slopes/state.rs
+++ b/crates/anvil_daemons/examples/slopes/state.rs
@@ -1,15 +1,15 @@
-//! What the ledger's state takes: memory, and bytes of a snapshot.
+//! Size of the ledger's state in memory and in a snapshot.
 
 use std::process::{Command, ExitCode};
 
 use anvil_standins::load::usage::ProcessUsage;
 
 use crate::fit::{Slope, point};
-use crate::sample::Filled;
+use crate::sample::FilledState;
 
-type Fill = fn(&mut Filled, u64);
+type Fill = fn(&mut FilledState, u64);
 
-/// A kind of thing, its sizes, and how the state is filled with it.
+/// One kind of item, the measured sizes, and how a state is filled with it.
 struct Kind {
     name: &'static str,
     memory: &'static str,
@@ -62,16 +62,16 @@
     },
 ];
 
-/// Two slopes for each kind.
+/// All slopes of this group: memory and snapshot for each kind.
 pub fn slopes() -> Vec<Slope> {
-    KINDS.iter().flat_map(both).collect()
+    KINDS.iter().flat_map(memory_and_snapshot).collect()
 }
 
-fn both(kind: &Kind) -> [Slope; 2] {
+fn memory_and_snapshot(kind: &Kind) -> [Slope; 2] {
     let measured: Vec<_> = kind
         .sizes
         .iter()
-        .map(|size| (*size, apart(kind.name, *size)))
+        .map(|size| (*size, measure_in_process(kind.name, *size)))
         .collect();
     let memory = measured
         .iter()
@@ -93,8 +93,8 @@
     ]
 }
 
-/// Measures one size in a process of its own.
-fn apart(kind: &str, size: u64) -> (u64, u64) {
+/// Measures one size in a separate process; returns bytes of memory and of the snapshot.
+fn measure_in_process(kind: &str, size: u64) -> (u64, u64) {
     let program = std::env::current_exe().expect("a running program has a path");
     let output = Command::new(program)
         .args(["--memory", kind, "--count", &size.to_string()])
@@ -102,30 +102,30 @@
         .expect("this program can be started again");
     let text = String::from_utf8_lossy(&output.stdout);
     let mut numbers = text.split_whitespace().filter_map(|n| n.parse().ok());
-    let both = (numbers.next(), numbers.next());
-    let (Some(memory), Some(bytes)) = both else {
+    let memory_and_snapshot = (numbers.next(), numbers.next());
+    let (Some(memory), Some(bytes)) = memory_and_snapshot else {
         panic!("no figures from {kind} {size}: {text}");
     };
     (memory, bytes)
 }
 
-/// Fills a state, and prints what it took: bytes of memory, then of a snapshot.
+/// Fills a state and prints two numbers: its bytes of memory and of its snapshot.
 pub fn measure(kind: &str, count: u64) -> ExitCode {
     let Some(kind) = KINDS.iter().find(|k| k.name == kind) else {
         return ExitCode::FAILURE;
     };
     let memory = || ProcessUsage::of(std::process::id()).map_or(0, |usage| usage.memory);
     let before = memory();
-    let mut filled = Filled::default();
+    let mut filled = FilledState::default();
     (kind.fill)(&mut filled, count);
-    let taken = memory().saturating_sub(before);
+    let used = memory().saturating_sub(before);
     let snapshot = snapshot_bytes(&filled);
-    println!("{taken} {snapshot}");
+    println!("{used} {snapshot}");
     ExitCode::SUCCESS
 }
 
-/// Bytes of the state as a replica writes it into a snapshot.
-fn snapshot_bytes(filled: &Filled) -> usize {
+/// Bytes of the state as a replica encodes it in a snapshot.
+fn snapshot_bytes(filled: &FilledState) -> usize {
     let encoded = bincode::serde::encode_to_vec(&filled.state, bincode::config::standard());
     encoded.map_or(0, |bytes| bytes.len())
 }
--- a/crates/anvil_daemons/src/operate/arguments.rs
+++ b/crates/anvil_daemons/src/operate/arguments.rs
@@ -43,41 +43,41 @@
     }
 }
 
-/// What operators do.
+/// The operators' subcommands.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum Operate {
-    /// Write documents.
+    /// Writes documents.
     Apply(Apply),
-    /// Take a document away.
+    /// Removes a document.
     Remove(Remove),
-    /// Read documents.
+    /// Prints documents.
     Get(Get),
-    /// Compare a file with what stands.
+    /// Compares a file with the current document.
     Diff(Diff),
-    /// Pay into a budget.
+    /// Pays tokens into a budget.
     TopUp(TopUpArgs),
-    /// Show budgets.
+    /// Prints the state of budgets.
     Budget(BudgetArgs),
-    /// Give up a fenced grant.
+    /// Writes off a fenced grant whose evidence is lost.
     WriteOff(WriteOffArgs),
-    /// Read the audit trail.
+    /// Prints the audit trail.
     Audit(Audit),
-    /// Show the ledger and the fleet.
+    /// Prints the state of the ledger and the fleet.
     Status(Status),
-    /// Empty an instance.
+    /// Drains an instance.
     Drain(Drain),
-    /// Order an endpoint.
+    /// Sends an order to an endpoint.
     Order(OrderArgs),
-    /// Check settings without sending them.
+    /// Validates settings files without sending them.
     Check(Check),
-    /// Print the digest of a bearer key.
+    /// Prints the digest of a bearer key.
     HashKey(HashKey),
-    /// Tell one request's way out of logs.
+    /// Explains the handling of one request from logs.
     Explain(ExplainArgs),
-    /// Add up what requests were lost to, out of logs.
+    /// Sums the losses of requests and the use of budgets from logs.
     Losses(LossesArgs),
-    /// Look into a ledger's data folder.
+    /// Inspects the data folder of a ledger.
     Ledger(LedgerArgs),
 }
 
@@ -307,11 +307,11 @@
     pub command: LedgerCommand,
 }
 
-/// What can be done with a data folder.
+/// What to do with a data folder.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum LedgerCommand {
-    /// Check and print it.
+    /// Checks it and prints its contents.
     Inspect(Inspect),
 }
 
--- a/crates/anvil_daemons/tests/path_settings.rs
+++ b/crates/anvil_daemons/tests/path_settings.rs
@@ -1,4 +1,5 @@
-//! Wrong settings: nothing is started, and the line, what was found and what is allowed are told.
+//! Wrong settings files: nothing is started, and the error names the file, the line, what was found
+//! and what is allowed.
 
 use std::process::ExitCode;
 
@@ -15,56 +16,56 @@
 "#;
 
 fn read_router(text: &str) -> Result<RouterSettings, StartError> {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder can be made");
     let path = folder.path().join("router.toml");
-    std::fs::write(&path, text).expect("written");
+    std::fs::write(&path, text).expect("the file can be written");
     read_settings(&path)
 }
 
-fn complaint(text: &str) -> String {
-    let e = read_router(text).expect_err("not accepted");
-    let told = e.to_string();
+fn error_text(settings: &str) -> String {
+    let e = read_router(settings).expect_err("the settings are wrong");
+    let text = e.to_string();
     let code = format!("{:?}", exit_code(Err(e)));
     assert_eq!(code, format!("{:?}", ExitCode::from(2)));
-    told
+    text
 }
 
 #[test]
-fn good_settings_are_read() {
-    let settings = read_router(ROUTER).expect("accepted");
+fn valid_settings_are_accepted() {
+    let settings = read_router(ROUTER).expect("the settings are valid");
     assert_eq!(settings.threads, 0);
 }
 
 #[test]
-fn an_unknown_key_is_named_with_its_line_and_what_is_allowed() {
-    let told = complaint(&format!("thread = 4\n{ROUTER}"));
-    assert!(told.contains("router.toml:1:"), "{told}");
-    assert!(told.contains("`thread`"), "{told}");
-    assert!(told.contains("`threads`"), "{told}");
+fn unknown_key_is_reported_with_line_and_allowed_keys() {
+    let text = error_text(&format!("thread = 4\n{ROUTER}"));
+    assert!(text.contains("router.toml:1:"), "{text}");
+    assert!(text.contains("`thread`"), "{text}");
+    assert!(text.contains("`threads`"), "{text}");
 }
 
 #[test]
-fn a_value_of_the_wrong_type_is_named_with_its_line() {
-    let told = complaint(&ROUTER.replace("\"127.0.0.1:8787\"", "\"localhost:8787\""));
-    assert!(told.contains("router.toml:2:"), "{told}");
+fn value_of_wrong_type_is_reported_with_line() {
+    let text = error_text(&ROUTER.replace("\"127.0.0.1:8787\"", "\"localhost:8787\""));
+    assert!(text.contains("router.toml:2:"), "{text}");
 }
 
 #[test]
-fn values_out_of_range_are_all_named_at_once() {
-    let wrong = ROUTER
+fn all_values_out_of_range_are_reported_together() {
+    let settings = ROUTER
         .replace("\"router-1\"", "\"Router 1\"")
         .replace("[\"127.0.0.1:9100\"]", "[]");
-    let told = complaint(&wrong);
-    assert!(told.contains("router.toml:1: id: found"), "{told}");
+    let text = error_text(&settings);
+    assert!(text.contains("router.toml:1: id: found"), "{text}");
     assert!(
-        told.contains("router.toml:4: ledgers: found none"),
-        "{told}"
+        text.contains("router.toml:4: ledgers: found none"),
+        "{text}"
     );
-    assert!(told.contains("allowed is"), "{told}");
+    assert!(text.contains("allowed is"), "{text}");
 }
 
 #[test]
-fn a_half_written_file_is_refused() {
+fn truncated_file_is_refused() {
     for cut in (1..ROUTER.len()).step_by(7) {
         let cut = &ROUTER[..cut];
         assert!(read_router(cut).is_err(), "{cut}");
@@ -72,13 +73,13 @@
 }
 
 #[test]
-fn the_examples_of_the_manual_are_accepted() {
+fn examples_of_the_operators_manual_are_accepted() {
     let page = std::path::PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     let page = page.join("../../docs/operators/run.md");
-    let page = std::fs::read_to_string(page).expect("a page");
-    let folder = tempfile::tempdir().expect("a folder");
+    let page = std::fs::read_to_string(page).expect("the page can be read");
+    let folder = tempfile::tempdir().expect("a temporary folder can be made");
     let path = folder.path().join("example.toml");
-    for (title, is_good) in [
+    for (title, is_accepted) in [
         (
             "## Ledger",
             accepts::<LedgerSettings> as fn(&std::path::Path) -> bool,
@@ -86,12 +87,12 @@
         ("## Router", accepts::<RouterSettings>),
         ("## Sidecar", accepts::<SidecarSettings>),
     ] {
-        let after = page.split_once(title).expect("a title").1;
+        let after = page.split_once(title).expect("the page has this section").1;
         let lines = after.lines().skip(2);
         let block = lines.map_while(|line| line.strip_prefix("    "));
         let block: Vec<_> = block.collect();
-        std::fs::write(&path, block.join("\n")).expect("written");
-        assert!(is_good(&path), "{title}:\n{}", block.join("\n"));
+        std::fs::write(&path, block.join("\n")).expect("the file can be written");
+        assert!(is_accepted(&path), "{title}:\n{}", block.join("\n"));
     }
 }
 
