--- a/crates/anvilreel/examples/ledger_bench/main.rs
+++ b/crates/anvilreel/examples/ledger_bench/main.rs
@@ -7,8 +7,8 @@
 //! Prints commits per second and their latency with and without group commit, the time until a new
 //! leader commits, recovery time and memory, and the traffic of a follower.
 //!
-//! `--reopen DIR` starts one replica on a folder that an earlier run left (`entries`, `budgets`), in
-//! a process of its own, so that the memory measured is the replica's alone.
+//! `--reopen DIR` starts one replica on a folder that an earlier run left (`entries`, `budgets`),
+//! in a process of its own, so that the memory measured is the replica's alone.
 
 mod follower;
 mod ledger;
--- a/crates/anvilreel/examples/money.rs
+++ b/crates/anvilreel/examples/money.rs
@@ -64,10 +64,10 @@
         run_with(Way::AskLedger),
     );
     let demand = if skewed { "skewed" } else { "even" };
-    let partition_time = if partition { "60 s" } else { "-" };
+    let outage = if partition { "60 s" } else { "-" };
     let overspend = grants.overspend.max(even.overspend).max(ask.overspend);
     println!(
-        "{demand:<7} {used:>3} %  {partition_time:<4} {:>7} {:>11} {:>11} {overspend:>10} {:>9} {:>9}",
+        "{demand:<7} {used:>3} %  {outage:<4} {:>7} {:>11} {:>11} {overspend:>10} {:>9} {:>9}",
         percent(&grants),
         percent(&even),
         percent(&ask),
--- a/crates/anvilreel/src/runs/engine.rs
+++ b/crates/anvilreel/src/runs/engine.rs
@@ -35,7 +35,7 @@
             EngineEvent::Output { bytes, usage } => self.append_output(now, id, bytes, usage),
             EngineEvent::Ended { usage, finish } => self.ended(now, id, usage, finish),
             EngineEvent::Refused => self.not_run(id),
-            EngineEvent::Lost { usage, resumable } => self.engine_lost(now, id, usage, resumable),
+            EngineEvent::Lost { usage, resumable } => self.run_lost(now, id, usage, resumable),
         }
     }
 
@@ -84,7 +84,7 @@
         self.forget(id, &SidecarReply::Refused(refusal));
     }
 
-    fn engine_lost(&mut self, now: Now, id: RunId, usage: Usage, resumable: bool) {
+    fn run_lost(&mut self, now: Now, id: RunId, usage: Usage, resumable: bool) {
         let Some(run) = self.table.get_mut(&id) else {
             return;
         };
--- a/crates/anvilreel/src/runs/event.rs
+++ b/crates/anvilreel/src/runs/event.rs
@@ -11,7 +11,8 @@
 
 /// Number of one run. Never reused within one incarnation of the sidecar.
 pub type RunId = u64;
-/// Number of one stream of replies. Assigned by the caller of [`Runs::handle`](super::Runs::handle) and never reused.
+/// Number of one stream of replies. Assigned by the caller of [`Runs::handle`](super::Runs::handle)
+/// and never reused.
 pub type ReaderId = u64;
 
 /// An input of [`Runs::handle`](super::Runs::handle).
@@ -88,7 +89,7 @@
         /// The newest fenced incarnation.
         incarnation: Incarnation,
     },
-    /// How long a non-idempotent key is remembered: longer than the ledger keeps claims.
+    /// Sets how long a non-idempotent key is remembered: longer than the ledger keeps claims.
     OnceRetention(Duration),
     /// Time has passed. To be fed about once a second.
     Tick,
--- a/crates/anvilreel/src/runs/output.rs
+++ b/crates/anvilreel/src/runs/output.rs
@@ -43,9 +43,9 @@
         if bytes.is_empty() {
             return;
         }
-        let at = self.length;
+        let chunk_start = self.length;
         self.length += bytes.len() as u64;
-        self.chunks.insert(at, Chunk { bytes, tokens });
+        self.chunks.insert(chunk_start, Chunk { bytes, tokens });
     }
 
     /// The bytes from an offset on, at most one frame, with the tokens up to their end; `None` if
@@ -54,8 +54,8 @@
         if offset < self.start_offset || offset >= self.length {
             return None;
         }
-        let (at, first) = self.chunks.range(..=offset).next_back()?;
-        let skip = usize::try_from(offset - at).ok()?;
+        let (chunk_start, first) = self.chunks.range(..=offset).next_back()?;
+        let skip = usize::try_from(offset - chunk_start).ok()?;
         let bytes = first.bytes.slice(skip..);
         let mut rest = self.chunks.range(offset + 1..).peekable();
         if rest.peek().is_none() || bytes.len() >= FRAME_BYTES {
@@ -75,8 +75,8 @@
 
     /// Drops whole chunks that end at or before an offset.
     pub(super) fn trim(&mut self, before: Offset) {
-        while let Some((at, chunk)) = self.chunks.first_key_value() {
-            let end = at + chunk.bytes.len() as u64;
+        while let Some((chunk_start, chunk)) = self.chunks.first_key_value() {
+            let end = chunk_start + chunk.bytes.len() as u64;
             if end > before {
                 return;
             }
--- a/crates/anvilreel/src/sidecar.rs
+++ b/crates/anvilreel/src/sidecar.rs
@@ -3,9 +3,10 @@
 //!
 //! [`Sidecar`] starts and stops the process. `requests` answers routers, `hub` holds the state
 //! machine [`crate::runs`], `drive` performs one run at the endpoint (`engine` and `http` are its
-//! protocols), and `load` polls the endpoint's load. `follow` connects to the ledger, `admission`
-//! tells whether the endpoint is leaving, `platform` polls the platform for this, and `orders`
-//! forwards operators' orders with their fencing numbers.
+//! protocols), and `load` polls the endpoint's load. `follow` keeps up with the ledger and sends
+//! heartbeats, `admission` decides whether the endpoint accepts new work, `platform` polls the
+//! platform for whether it is leaving, and `orders` passes orders with their fencing numbers to the
+//! endpoint.
 
 mod admission;
 mod drive;
