--- a/crates/anvil_daemons/examples/slopes/live/bench.rs
+++ b/crates/anvil_daemons/examples/slopes/live/bench.rs
@@ -25,7 +25,7 @@
 /// Replicas of the ledger.
 const REPLICAS: usize = 3;
 
-/// A ledger of three processes, and the settings of what is started beside it.
+/// A ledger of three processes, and the folder of the settings of all processes started.
 pub struct Bench {
     folder: TempDir,
     programs: PathBuf,
@@ -52,11 +52,11 @@
         let programs = program.ancestors().nth(2).map(Path::to_path_buf);
         let mut bench = Self {
             folder,
-            programs: programs.expect("examples stand beside the daemons"),
+            programs: programs.expect("examples are built beside the daemons"),
             ledgers: (0..REPLICAS).map(|_| addr()).collect(),
             replicas: Vec::new(),
         };
-        let founders: Vec<_> = (0..REPLICAS).map(|at| bench.peer(at)).collect();
+        let founders: Vec<_> = (0..REPLICAS).map(|index| bench.peer(index)).collect();
         for peer in &founders {
             let settings = LedgerSettings {
                 id: peer.id.clone(),
@@ -76,18 +76,18 @@
         bench
     }
 
-    fn peer(&self, at: usize) -> Peer {
+    fn peer(&self, index: usize) -> Peer {
         Peer {
-            id: format!("ledger-{at}").into(),
-            addr: self.ledgers[at],
+            id: format!("ledger-{index}").into(),
+            addr: self.ledgers[index],
         }
     }
 
     /// Starts a daemon with these settings.
     pub fn spawn(&self, program: &str, id: &str, settings: &impl Serialize) -> Process {
-        let text = toml::to_string(settings).expect("settings are TOML");
+        let text = toml::to_string(settings).expect("settings can be written as TOML");
         let path = self.folder.path().join(format!("{id}.toml"));
-        std::fs::write(&path, text).expect("the temporary folder takes a file");
+        std::fs::write(&path, text).expect("the temporary folder is writable");
         Process::start(&self.programs.join(program), id, &path).expect("the daemons are built")
     }
 
@@ -110,13 +110,13 @@
     /// Index of the leading replica.
     pub async fn leader(&self) -> usize {
         loop {
-            for (at, addr) in self.ledgers.iter().enumerate() {
+            for (index, addr) in self.ledgers.iter().enumerate() {
                 let req = LedgerRequest::Query(Query::Status);
                 let reply = Channel::new(*addr)
                     .call::<LedgerCall>(&req, CALL_TIMEOUT)
                     .await;
                 if matches!(reply, Ok(LedgerReply::Read(_))) {
-                    return at;
+                    return index;
                 }
             }
             sleep(Duration::from_millis(100)).await;
--- a/crates/anvil_daemons/examples/slopes/live/path.rs
+++ b/crates/anvil_daemons/examples/slopes/live/path.rs
@@ -102,18 +102,18 @@
 
 /// Starts a fleet and runs the scenario. Returns the usage of the processes before and after, and
 /// the number of completed requests.
-async fn driven(scenario: &Scenario) -> (Usage, Usage, u64) {
+async fn run_scenario(scenario: &Scenario) -> (Usage, Usage, u64) {
     let folder = tempfile::tempdir().expect("a temporary folder can be made");
     let program = std::env::current_exe().expect("a running program has a path");
     let programs = program
         .ancestors()
         .nth(2)
-        .expect("examples stand beside the daemons");
+        .expect("examples are built beside the daemons");
     let fleet = Fleet::start(scenario, programs, folder.path()).await;
     let fleet = fleet.expect("the fleet starts");
     let before = fleet.usage();
-    let driven = drive(scenario, fleet.target()).await;
-    (before, fleet.usage(), driven.recorder.report().completed)
+    let result = drive(scenario, fleet.target()).await;
+    (before, fleet.usage(), result.recorder.report().completed)
 }
 
 /// Processor time of the processes whose names start with `name`, in microseconds.
@@ -132,7 +132,7 @@
     let (mut router, mut sidecars) = (Vec::new(), Vec::new());
     for rate in [100, 300, 900] {
         let scenario = scenario(rate, 8, "1ms", "8s");
-        let (before, after, completed) = driven(&scenario).await;
+        let (before, after, completed) = run_scenario(&scenario).await;
         let spent = |name| processor(&after, name) - processor(&before, name);
         router.push(point(completed / RUN_S, spent("router") / RUN_S));
         sidecars.push(point(completed / RUN_S, spent("runners") / RUN_S));
@@ -157,7 +157,7 @@
     let (mut router, mut sidecars) = (Vec::new(), Vec::new());
     for output in [25, 100, 400] {
         let scenario = scenario(RATE, output, "1ms", "8s");
-        let (before, after, completed) = driven(&scenario).await;
+        let (before, after, completed) = run_scenario(&scenario).await;
         let spent = |name| processor(&after, name) - processor(&before, name);
         let tokens = completed * output / RUN_S;
         router.push(point(tokens, spent("router") / RUN_S));
@@ -187,15 +187,15 @@
         let programs = program
             .ancestors()
             .nth(2)
-            .expect("examples stand beside the daemons");
+            .expect("examples are built beside the daemons");
         let fleet = Fleet::start(&scenario, programs, folder.path()).await;
         let fleet = fleet.expect("the fleet starts");
-        let look = async {
+        let measurement = async {
             sleep(Duration::from_secs(5)).await;
             fleet.usage()
         };
-        let (driven, usage) = tokio::join!(drive(&scenario, fleet.target()), look);
-        let open = driven.recorder.report().completed;
+        let (result, usage) = tokio::join!(drive(&scenario, fleet.target()), measurement);
+        let open = result.recorder.report().completed;
         let memory = |name: &str| -> u64 {
             let named = usage
                 .iter()
@@ -231,22 +231,23 @@
         let programs = program
             .ancestors()
             .nth(2)
-            .expect("examples stand beside the daemons");
+            .expect("examples are built beside the daemons");
         let fleet = Fleet::start(&scenario, programs, folder.path()).await;
         let fleet = fleet.expect("the fleet starts");
         let settings = std::fs::read_to_string(folder.path().join("runners-0.toml"));
         let settings: SidecarSettings =
-            toml::from_str(&settings.expect("the fleet wrote it")).expect("settings are TOML");
+            toml::from_str(&settings.expect("the fleet has written this file"))
+                .expect("settings are TOML");
         let link = relay::start(relay::Config::to(settings.wire_listen)).await;
         let link = link.expect("loopback has free ports");
         let watch = tokio::spawn(watch(Channel::new(link.addr())));
-        let look = async {
+        let measurement = async {
             sleep(Duration::from_secs(2)).await;
             let before = link.bytes();
             sleep(WINDOW).await;
             (link.bytes() - before) / WINDOW.as_secs()
         };
-        let (_, bytes) = tokio::join!(drive(&scenario, fleet.target()), look);
+        let (_, bytes) = tokio::join!(drive(&scenario, fleet.target()), measurement);
         watch.abort();
         points.push(point(rate, bytes));
     }
