--- a/crates/anvilreel/src/sidecar.rs
+++ b/crates/anvilreel/src/sidecar.rs
@@ -1,19 +1,23 @@
-//! A sidecar as a process: it stands beside one endpoint and is the last gate before it.
+//! A sidecar as a process: it runs beside one endpoint and forwards requests to it, after the last
+//! check of whether they may run.
 //!
-//! Read on: [`Sidecar`], then `hub` (the shell around [`crate::runs`]), `drive` (the endpoint's
-//! side of a run), `gate` (whether the endpoint is leaving), `platform`
-//! (the platform's word on that), `orders` (fencing numbers).
-
-mod answer;
+//! [`Sidecar`] starts and stops the process. `requests` answers routers, `hub` holds the state
+//! machine [`crate::runs`], `drive` performs one run at the endpoint (`engine` and `http` are its
+//! protocols), and `load` polls the endpoint's load. `follow` keeps up with the ledger and sends
+//! heartbeats, `admission` decides whether the endpoint accepts new work, `platform` polls the
+//! platform for whether it is leaving, and `orders` passes orders with their fencing numbers to the
+//! endpoint.
+
+mod admission;
 mod drive;
 mod engine;
 mod follow;
-mod gate;
 mod http;
 mod hub;
 mod load;
 mod orders;
 mod platform;
+mod requests;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -33,18 +37,18 @@
 use crate::life::Life;
 use crate::metrics::{Metrics, RUNS_OPEN};
 use crate::runs::{Event, RunsConfig};
-use gate::Gate;
+use admission::Admission;
 use hub::Hub;
 use load::{Loads, first_load};
 
-/// Pause between two looks at the runs that a planned stop waits for.
-const STOP_LOOK: Duration = Duration::from_millis(50);
-/// How long a once-only key is remembered before the fleet's document is known.
-const KEEP_ONCE: Duration = Duration::from_hours(25);
-/// How long a stopped sidecar still answers: longer than it takes routers to see that it leaves.
+/// Interval at which a planned stop checks whether runs are left.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a non-idempotent key is remembered until the fleet document is known.
+const DEFAULT_ONCE_RETENTION: Duration = Duration::from_hours(25);
+/// How long a stopped sidecar still answers: longer than routers take to notice that it is leaving.
 const LINGER: Duration = Duration::from_millis(500);
 
-/// What all parts of a sidecar share.
+/// State shared by all parts of a sidecar.
 pub(crate) struct Core {
     instance: Instance,
     life: Life,
@@ -52,10 +56,10 @@
     metrics: Metrics,
     ledger: LedgerClient,
     client: EndpointClient,
-    gate: Gate,
+    admission: Admission,
     hub: Arc<Hub>,
     loads: Arc<Loads>,
-    highest: orders::Highest,
+    highest: orders::HighestFence,
 }
 
 /// A running sidecar.
@@ -66,7 +70,7 @@
 }
 
 impl Sidecar {
-    /// Listens, joins the fleet and takes work.
+    /// Listens, joins the fleet and accepts work.
     pub async fn start(
         settings: &SidecarSettings,
         log: Logger,
@@ -76,60 +80,64 @@
         let addr = server.addr()?;
         let core = Arc::new(Core::new(settings, addr, log, metrics));
         event!(core.log, events::SIDECAR_LISTENING, "addr" => addr.to_string());
-        let answering = core.clone();
-        let handlers = Handlers::default()
-            .with::<SidecarCall, _, _>(move |req, tx| answer::answer(answering.clone(), req, tx));
+        let handler_core = core.clone();
+        let handlers = Handlers::default().with::<SidecarCall, _, _>(move |req, tx| {
+            requests::handle_request(handler_core.clone(), req, tx)
+        });
         let mut tasks = vec![tokio::spawn(server.serve(handlers, std::future::pending()))];
-        let (following, beating) = (core.clone(), core.clone());
+        let (follower, sender) = (core.clone(), core.clone());
+        tasks.push(tokio::spawn(async move { follow::follow(&follower).await }));
         tasks.push(tokio::spawn(
-            async move { follow::follow(&following).await },
+            async move { follow::heartbeat(&sender).await },
         ));
-        tasks.push(tokio::spawn(async move { follow::beat(&beating).await }));
         if settings.endpoint.kind == EndpointKind::Engine {
             let polling = load::poll(core.client.clone(), core.loads.clone());
             tasks.push(tokio::spawn(polling));
         }
         if let Some(platform) = settings.platform {
-            let (watching, platform) = (core.clone(), EndpointClient::new(platform));
+            let (platform_core, platform) = (core.clone(), EndpointClient::new(platform));
             tasks.push(tokio::spawn(async move {
-                platform::watch(&watching, platform).await;
+                platform::poll(&platform_core, platform).await;
             }));
         }
         Ok(Self { core, addr, tasks })
     }
 
-    /// Where routers connect.
+    /// Address at which routers connect.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Which life of the instance this is.
+    /// Incarnation of this sidecar.
     pub fn life(&self) -> Incarnation {
         self.core.life.incarnation
     }
 
-    /// The planned stop: no new work, runs finish, and their ends are read.
+    /// The planned stop: refuses new work, waits until all runs have ended, and lingers so that
+    /// routers read their ends.
     pub async fn stop(self) {
         self.core.life.leave();
-        self.core.show_leaving();
+        self.core.publish_leaving();
         event!(self.core.log, events::SIDECAR_LEAVING);
-        while self.core.hub.live() > 0 {
-            sleep(STOP_LOOK).await;
+        while self.core.hub.live_runs() > 0 {
+            sleep(STOP_POLL_INTERVAL).await;
         }
         sleep(LINGER).await;
         event!(self.core.log, events::SIDECAR_STOPPED);
         self.kill();
     }
 
-    /// Returns when the ledger holds this life to be over, after a silence of many minutes.
+    /// Returns when the ledger reports that this incarnation is over, after minutes without
+    /// heartbeats.
     ///
-    /// Failure: the evidence of a life that was declared gone is no longer asked for, so work
-    /// that it took would be billed to nobody. It must end like a crash, and a new one begin.
-    pub async fn over(&self) {
+    /// Failure: the ledger no longer asks for the evidence of an incarnation that it declared gone,
+    /// so work accepted by it would be charged to nobody. The sidecar has to end as after a crash,
+    /// and a new incarnation start.
+    pub async fn incarnation_over(&self) {
         self.core.life.ended().await;
     }
 
-    /// Stops at once, as a crash does.
+    /// Stops immediately, like a crash.
     pub fn kill(self) {
         for task in &self.tasks {
             task.abort();
@@ -158,12 +166,12 @@
         let cfg = RunsConfig {
             life: life.incarnation,
             buffer_bytes: settings.buffer_bytes,
-            keep_once: KEEP_ONCE,
+            keep_once: DEFAULT_ONCE_RETENTION,
         };
         let hub = Hub::new(cfg, life.clone(), log.clone(), client.clone());
         let hub = Arc::new(hub);
         Self {
-            gate: Gate::new(instance.id.clone(), life.clone()),
+            admission: Admission::new(instance.id.clone(), life.clone()),
             instance,
             life,
             log,
@@ -172,12 +180,12 @@
             client,
             hub,
             loads: Arc::new(Loads::new(first_load(&settings.endpoint))),
-            highest: orders::Highest::default(),
+            highest: orders::HighestFence::default(),
         }
     }
 
-    /// The instance with the models that its engine holds now.
-    fn present_instance(&self) -> Instance {
+    /// The instance, with the models that its engine has loaded now.
+    fn current_instance(&self) -> Instance {
         let mut instance = self.instance.clone();
         if let Some(endpoint) = &mut instance.endpoint {
             endpoint.models.clone_from(&self.loads.borrow().models);
@@ -185,15 +193,15 @@
         instance
     }
 
-    fn count_runs(&self) {
-        let running = self.hub.driving();
+    fn publish_run_count(&self) {
+        let running = self.hub.driver_count();
         self.metrics.gauge(RUNS_OPEN, running as u64);
         self.loads
             .send_modify(|load| load.running = u32::try_from(running).unwrap_or(u32::MAX));
     }
 
-    fn show_leaving(&self) {
-        let leaving = self.gate.is_leaving();
+    fn publish_leaving(&self) {
+        let leaving = self.admission.is_leaving();
         self.hub.feed(if leaving {
             Event::Leaving
         } else {
