--- a/crates/anvilreel/src/announce.rs
+++ b/crates/anvilreel/src/announce.rs
@@ -1,4 +1,4 @@
-//! Signs of life that a process gives the ledger, so that the others know of it.
+//! Periodic heartbeats from a process to the ledger, which keep it in the membership.
 
 use std::time::Duration;
 
@@ -9,21 +9,22 @@
 use crate::ledger_client::LedgerClient;
 use crate::life::Life;
 
-/// Time between two signs of life. The ledger holds an instance to be silent after five of them.
-const EVERY: Duration = Duration::from_secs(1);
+/// Time between two heartbeats. The ledger marks an instance as unresponsive after five missed
+/// ones.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Gives a sign of life every second, for as long as the process lives. It tells of no version in
-/// force: those who are asked for one give their signs of life themselves.
-pub async fn run(ledger: &LedgerClient, life: &Life, instance: &Instance) {
+/// Sends a heartbeat every second, for as long as the process runs. The heartbeats report version
+/// 0, so they are only for roles that apply no settings; routers and sidecars send their own.
+pub async fn run(ledger: &LedgerClient, lifecycle: &Life, instance: &Instance) {
     loop {
         let heartbeat = Heartbeat {
             instance: instance.clone(),
             version: 0,
             evidence: Vec::new(),
-            leaving: life.is_leaving(),
+            leaving: lifecycle.is_leaving(),
         };
-        // A lost sign of life is followed by the next one.
-        let _ = ledger.heartbeat(heartbeat, EVERY).await;
-        sleep(EVERY).await;
+        // No retry: the next heartbeat makes up for a lost one.
+        let _ = ledger.heartbeat(heartbeat, HEARTBEAT_INTERVAL).await;
+        sleep(HEARTBEAT_INTERVAL).await;
     }
 }
--- a/crates/anvilreel/src/events.rs
+++ b/crates/anvilreel/src/events.rs
@@ -1,18 +1,18 @@
-//! Numbered log events. docs/EVENTS.md says what each one means and what to do.
+//! Numbered log events. docs/EVENTS.md explains each event and what an operator does about it.
 //!
 //! Numbers: router 1000s, sidecar 2000s, ledger 3000s, operator and local 4000s, money, claims
-//! and runs 5000s. A number is never used again for something else.
+//! and runs 5000s. A number is never reused for another event.
 
 use slog::Level;
 
-/// One kind of log line.
+/// A kind of log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Event {
-    /// Its number in the catalogue.
+    /// Number in the catalogue.
     pub number: u16,
-    /// Its name in the catalogue, and the message of the log line.
+    /// Name in the catalogue, and the message of the log line.
     pub name: &'static str,
-    /// How urgent it is.
+    /// Log level.
     pub level: Level,
 }
 
@@ -27,7 +27,7 @@
     };
 }
 
-/// Makes a catalogue of numbered events: one constant each, and all of them in `ALL`.
+/// Defines a catalogue of numbered events: a constant for each, and `ALL` with all of them.
 #[macro_export]
 macro_rules! event_catalogue {
     ($($(#[$doc:meta])* $name:ident = $number:literal $level:ident $text:literal;)*) => {
@@ -40,7 +40,7 @@
             };
         )*
 
-        /// Every event, in the order of numbers.
+        /// Every event, ordered by number.
         pub const ALL: &[$crate::events::Event] = &[$($name),*];
     };
 }
@@ -48,56 +48,58 @@
 event_catalogue! {
     /// The router listens.
     ROUTER_LISTENING = 1001 Info "router_listening";
-    /// The router has the tree and takes callers.
+    /// The router has received the settings tree and accepts requests.
     ROUTER_READY = 1002 Info "router_ready";
-    /// No replica of the ledger is being followed.
+    /// The router has no open follow stream from any replica of the ledger.
     ROUTER_OUT_OF_TOUCH = 1003 Warning "router_out_of_touch";
-    /// A replica of the ledger is followed again.
+    /// The router follows a replica of the ledger again.
     ROUTER_IN_TOUCH = 1004 Info "router_in_touch";
     /// Newer settings are in force.
     ROUTER_SETTINGS_IN_FORCE = 1005 Info "router_settings_in_force";
-    /// A document of the tree can't be read by this build.
+    /// This build can't parse a document of the settings tree.
     ROUTER_DOCUMENT_SKIPPED = 1006 Error "router_document_skipped";
-    /// The router is stopping as planned.
+    /// The router has begun its planned stop.
     ROUTER_LEAVING = 1007 Info "router_leaving";
-    /// The router has stopped with all requests finished.
+    /// The router has stopped after all its requests had finished.
     ROUTER_STOPPED = 1008 Info "router_stopped";
-    /// A frame of another key or offset came; it was not delivered.
+    /// A frame with an unexpected key or offset arrived; it was not delivered.
     ROUTER_FRAME_MISFIT = 1009 Critical "router_frame_misfit";
-    /// An endpoint failed a request or was lost in mid-answer; another one is tried.
+    /// An endpoint failed a request or was lost in the middle of its response; the router
+    /// continues with another one.
     ROUTER_ENDPOINT_LOST = 1010 Warning "router_endpoint_lost";
-    /// The ledger fenced this life of the router.
+    /// The ledger fenced this incarnation of the router.
     ROUTER_FENCED = 1011 Critical "router_fenced";
-    /// A request ended without a whole answer although it may have run.
+    /// A request ended without a complete response although it may have run.
     ROUTER_OUTCOME_UNKNOWN = 1012 Error "router_outcome_unknown";
-    /// A charge was refused by the grant account: an invariant is violated.
+    /// The grant account refused a charge: an invariant is violated.
     ROUTER_SETTLEMENT_REFUSED = 1013 Critical "router_settlement_refused";
-    /// The end of a claimed request could not be told to the ledger.
+    /// The outcome of a claimed request could not be reported to the ledger.
     ROUTER_CLAIM_LEFT_OPEN = 1014 Warning "router_claim_left_open";
     /// The sidecar listens.
     SIDECAR_LISTENING = 2001 Info "sidecar_listening";
-    /// The endpoint gets no new work any more.
+    /// The endpoint receives no new work from now on.
     SIDECAR_LEAVING = 2002 Info "sidecar_leaving";
-    /// The engine broke off in mid-answer.
+    /// The engine broke off in the middle of its response.
     SIDECAR_ENGINE_BROKEN = 2003 Warning "sidecar_engine_broken";
-    /// A router's life was fenced: its starts are refused from now on.
+    /// A router's incarnation was fenced: its requests to start runs are refused from now on.
     SIDECAR_FENCED_ROUTER = 2004 Warning "sidecar_fenced_router";
-    /// An order with an old fencing number was refused.
+    /// An order with a stale fencing number was refused.
     SIDECAR_STALE_ORDER = 2005 Warning "sidecar_stale_order";
     /// The newest fencing number was learned from the ledger.
     SIDECAR_NUMBER_LEARNED = 2006 Info "sidecar_number_learned";
-    /// No replica of the ledger is being followed.
+    /// The sidecar has no open follow stream from any replica of the ledger.
     SIDECAR_OUT_OF_TOUCH = 2007 Warning "sidecar_out_of_touch";
-    /// The sidecar has stopped with all runs finished.
+    /// The sidecar has stopped after all its runs had finished.
     SIDECAR_STOPPED = 2008 Info "sidecar_stopped";
-    /// An invariant of the runs is broken.
+    /// An invariant of the run table is violated.
     SIDECAR_INVARIANT_BROKEN = 2009 Critical "sidecar_invariant_broken";
-    /// The ledger holds this life to be over after a long silence; a new one begins.
+    /// The ledger has removed this incarnation after a long time without heartbeats; the sidecar
+    /// starts a new one.
     SIDECAR_GONE = 2010 Warning "sidecar_gone";
     /// The relay listens.
     RELAY_LISTENING = 2011 Info "relay_listening";
     /// The relay has stopped.
     RELAY_STOPPED = 2012 Info "relay_stopped";
-    /// All roles of the quick start run.
+    /// All roles of the quick start are running.
     LOCAL_READY = 4001 Info "local_ready";
 }
--- a/crates/anvilreel/src/held.rs
+++ b/crates/anvilreel/src/held.rs
@@ -1,4 +1,7 @@
-//! What a process holds of the ledger's state, and how it keeps from going back.
+//! A process's copy of the parts of the ledger's state that it follows.
+//!
+//! [`Held`] is updated from follow events. Invariant: its version never decreases, so stale
+//! events from a lagging replica don't revert it.
 
 use std::collections::BTreeMap;
 
@@ -6,29 +9,29 @@
 use anvil_world::endpoint_limit::EndpointLimit;
 use anvil_world::prelude::*;
 
-/// Tree, members, fences, suspected requests and endpoints' limits at one version.
+/// Settings tree, members, fences, suspected requests and endpoints' limits at one version.
 #[derive(Debug, Clone, Default)]
 pub struct Held {
-    /// Log position it stands for; 0 before the first event.
+    /// Log position that this state corresponds to; 0 before the first event.
     pub version: LogIndex,
-    /// Documents.
+    /// Documents of the settings tree.
     pub tree: BTreeMap<TreePath, TreeEntry>,
-    /// Instances.
+    /// Instances and their presence.
     pub members: BTreeMap<InstanceId, Member>,
-    /// Routers whose grants are refused, with the newest fenced life.
+    /// Fenced routers, whose grants are refused, with the newest fenced incarnation of each.
     pub fenced: BTreeMap<InstanceId, Incarnation>,
-    /// Requests under which endpoints crashed.
+    /// Requests that endpoints crashed on.
     pub suspects: BTreeMap<RequestDigest, SuspectRequest>,
-    /// Limits that endpoints announced.
+    /// Rate limits that endpoints announced.
     pub limits: BTreeMap<InstanceId, EndpointLimit>,
 }
 
 impl Held {
-    /// Takes an event in; returns whether anything is newer now.
+    /// Applies an event; returns whether the state changed.
     ///
-    /// Failure: a replica that lags, or an event that was delayed, shows settings that were
-    /// replaced already. An event of a lower version than the held one is dropped whole, so an
-    /// accepted configuration never reverts here.
+    /// A lagging replica or a delayed event may carry settings that have been replaced already.
+    /// An event whose version is not newer than this one is dropped whole, so an applied
+    /// configuration never reverts.
     pub fn apply(&mut self, event: FollowEvent) -> bool {
         match event {
             FollowEvent::Full {
@@ -75,7 +78,7 @@
         }
     }
 
-    /// Whether this life of a router is fenced.
+    /// Whether this incarnation of a router is fenced.
     pub fn is_fenced(&self, router: &InstanceId, incarnation: Incarnation) -> bool {
         self.fenced
             .get(router)
--- a/crates/anvilreel/src/lib.rs
+++ b/crates/anvilreel/src/lib.rs
@@ -1,14 +1,18 @@
 //! The library behind every process of the router fleet.
 //!
-//! Decisions are state machines without I/O ([`money`], [`claims`], [`runs`], [`request`]); the
-//! shells ([`router`], [`sidecar`], [`ledger_service`], [`operator`]) feed them from sockets and
-//! clocks; [`local`] runs all of them in one process.
+//! Decisions are state machines without I/O ([`money`], [`claims`], [`runs`], [`request`]). The
+//! processes around them ([`router`], [`sidecar`], [`ledger_service`], [`operator`]) do the I/O
+//! and supply the time; [`local`] runs all of them in one process. [`relay`] forwards calls to
+//! the ledger for processes that can't reach it themselves.
 //!
-//! [`relay`] passes calls on to the ledger for those who can't reach it.
-//!
-//! Shared by the shells: [`ledger_client`] asks the ledger, [`announce`] tells it who lives, [`members`]
-//! says who is where and [`watcher`] keeps up with it, [`held`] keeps what it spreads,
-//! [`events`] numbers what is logged and [`metrics`] names what is measured.
+//! Shared by the processes:
+//! - [`ledger_client`] sends requests to the ledger and [`announce`] sends it heartbeats.
+//! - [`held`] is a process's copy of the ledger's state; [`members`] looks up addresses in it,
+//!   and [`watcher`] keeps a client's list of ledger replicas up to date.
+//! - [`peers`] holds the channels to other processes, and [`life`] a process's incarnation, clock
+//!   and planned stop.
+//! - [`events`] lists the log events, [`logs`] writes them, and [`metrics`] lists and sends the
+//!   metrics.
 
 pub mod announce;
 pub mod claims;
--- a/crates/anvilreel/src/life.rs
+++ b/crates/anvilreel/src/life.rs
@@ -1,4 +1,5 @@
-//! What a process knows of its own life: incarnation, clock and whether it is leaving.
+//! The lifecycle of a process: its incarnation, its clock, whether its planned stop has begun and
+//! whether the ledger has ended its incarnation.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -6,62 +7,62 @@
 use anvil_world::prelude::*;
 use tokio::sync::watch;
 
-/// A process's clock and its wish to leave. Cheap to clone.
+/// Incarnation, clock and stop state of a process. Clones share the stop state and are cheap.
 #[derive(Clone)]
 pub struct Life {
-    /// Which life of the instance this is.
+    /// Incarnation of the instance that this process is.
     pub incarnation: Incarnation,
     started: Instant,
-    leaving: Arc<watch::Sender<bool>>,
-    over: Arc<watch::Sender<bool>>,
+    draining: Arc<watch::Sender<bool>>,
+    incarnation_ended: Arc<watch::Sender<bool>>,
 }
 
 impl Life {
-    /// A new life. Its incarnation is the wall clock in microseconds, so that a later life is
-    /// larger without a disk to remember the earlier one.
+    /// Begins a new incarnation. Its number is the wall clock in microseconds, so that a later
+    /// incarnation is larger without storing the earlier one on disk.
     pub fn begin() -> Self {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         let micros = since.unwrap_or_default().as_micros();
         Self {
             incarnation: Incarnation::try_from(micros).unwrap_or(Incarnation::MAX),
             started: Instant::now(),
-            leaving: Arc::new(watch::Sender::new(false)),
-            over: Arc::new(watch::Sender::new(false)),
+            draining: Arc::new(watch::Sender::new(false)),
+            incarnation_ended: Arc::new(watch::Sender::new(false)),
         }
     }
 
-    /// Time since the process started, as state machines see it.
+    /// Time since the process started: the clock of the state machines.
     pub fn now(&self) -> Now {
         self.started.elapsed()
     }
 
-    /// Begins the planned stop. Returns whether it is this call that began it.
+    /// Begins the planned stop. Returns whether this call was the one that began it.
     pub fn leave(&self) -> bool {
-        !self.leaving.send_replace(true)
+        !self.draining.send_replace(true)
     }
 
     /// Whether the planned stop has begun.
     pub fn is_leaving(&self) -> bool {
-        *self.leaving.borrow()
+        *self.draining.borrow()
     }
 
     /// Returns when the planned stop begins.
     pub async fn left(&self) {
-        let mut told = self.leaving.subscribe();
-        // The sender lives as long as this value, so waiting has no failure.
-        let _ = told.wait_for(|leaving| *leaving).await;
+        let mut rx = self.draining.subscribe();
+        // Can't fail: `self` keeps the sender alive.
+        let _ = rx.wait_for(|draining| *draining).await;
     }
 
-    /// Notes that the ledger holds this life to be over. Returns whether it is news.
+    /// Records that the ledger has ended this incarnation. Returns whether this is the first call.
     pub fn end(&self) -> bool {
-        !self.over.send_replace(true)
+        !self.incarnation_ended.send_replace(true)
     }
 
-    /// Returns when the ledger holds this life to be over: the process must take a new one.
+    /// Returns when the ledger has ended this incarnation: the process must begin a new one.
     pub async fn ended(&self) {
-        let mut told = self.over.subscribe();
-        // The sender lives as long as this value, so waiting has no failure.
-        let _ = told.wait_for(|over| *over).await;
+        let mut rx = self.incarnation_ended.subscribe();
+        // Can't fail: `self` keeps the sender alive.
+        let _ = rx.wait_for(|ended| *ended).await;
     }
 
     /// Sleeps, but no longer than until the planned stop begins.
--- a/crates/anvilreel/src/local.rs
+++ b/crates/anvilreel/src/local.rs
@@ -1,7 +1,7 @@
-//! All roles in one process over real TCP on loopback: the quick start.
+//! The quick start: all roles in one process, connected over TCP on loopback.
 //!
-//! The endpoints are started by the caller ([`LocalSettings::engine`], [`LocalSettings::plain`]),
-//! because the stand-ins are no part of the library.
+//! The caller starts the endpoints ([`LocalSettings::engine`], [`LocalSettings::plain`]), because
+//! the stand-ins are not part of this library.
 
 mod demo;
 
@@ -29,17 +29,17 @@
 
 pub use demo::{BUDGET, KEY, MODEL, PREPAID, SERVICE, seed};
 
-/// Longest time until everything is ready.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Time between two looks at whether it is.
-const LOOK: Duration = Duration::from_millis(5);
+/// Maximum time until all roles are ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval at which readiness is checked.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the quick start is like.
+/// Settings of the quick start.
 #[derive(Debug, Clone)]
 pub struct LocalSettings {
-    /// Where callers connect.
+    /// Address at which callers connect.
     pub listen: SocketAddr,
-    /// Where operators and processes reach the ledger.
+    /// Address of the ledger, for operators and for the other roles.
     pub ledger_listen: SocketAddr,
     /// The ledger's data folder.
     pub data: PathBuf,
@@ -49,7 +49,7 @@
     pub plain: SocketAddr,
 }
 
-/// A quick start that failed.
+/// Error of the quick start.
 #[derive(Debug, Snafu)]
 pub enum LocalError {
     /// The ledger can't start.
@@ -70,16 +70,16 @@
         /// Why.
         source: WireError,
     },
-    /// The demo's documents can't be written.
+    /// The demo's documents or its credit can't be written to the ledger.
     #[snafu(display("the demo's settings can't be written: {source}"))]
     Seed {
         /// Why.
         source: LedgerError,
     },
-    /// It took too long.
-    #[snafu(display("not ready within {after:?}"))]
+    /// The roles did not become ready in time.
+    #[snafu(display("the quick start was not ready within {after:?}"))]
     NotReady {
-        /// How long was waited.
+        /// The timeout.
         after: Duration,
     },
 }
@@ -88,18 +88,18 @@
 pub struct Local {
     router: Router,
     sidecars: Vec<Sidecar>,
-    running: LedgerHandle,
+    ledger_handle: LedgerHandle,
     stop_ledger: oneshot::Sender<()>,
-    /// Where operators reach the ledger.
+    /// Address at which operators reach the ledger.
     pub ledger: SocketAddr,
 }
 
 impl Local {
-    /// Starts every role and returns when callers are served.
+    /// Starts every role and returns when the router is ready for callers.
     pub async fn start(settings: &LocalSettings, log: &Logger) -> Result<Self, LocalError> {
-        let (stop_ledger, stopped) = oneshot::channel();
-        let running = start_ledger(settings, log, stopped).await?;
-        let ledger = running.addr;
+        let (stop_ledger, stop_rx) = oneshot::channel();
+        let ledger_handle = start_ledger(settings, log, stop_rx).await?;
+        let ledger = ledger_handle.addr;
         demo::seed(&LedgerClient::new(&[ledger]))
             .await
             .context(SeedSnafu)?;
@@ -114,7 +114,7 @@
         let local = Self {
             router: router.await.context(RouterSnafu)?,
             sidecars,
-            running,
+            ledger_handle,
             stop_ledger,
             ledger,
         };
@@ -123,36 +123,37 @@
         Ok(local)
     }
 
-    /// Where callers connect.
+    /// Address at which callers connect.
     pub fn addr(&self) -> SocketAddr {
         self.router.addr()
     }
 
-    /// The planned stop of every role.
+    /// Stops every role in the planned way.
     pub async fn stop(self) {
         self.router.stop().await;
         for sidecar in self.sidecars {
             sidecar.stop().await;
         }
-        // Fails only where the ledger has ended already.
+        // Fails only if the ledger has stopped already.
         let _ = self.stop_ledger.send(());
-        self.running.stopped().await;
+        self.ledger_handle.stopped().await;
     }
 
     async fn wait_ready(&self) -> Result<(), LocalError> {
-        let deadline = Instant::now() + READY_WITHIN;
-        // Counting endpoints would not do: after a crash the ledger still lists the last life's.
-        let sees_all = || {
+        let deadline = Instant::now() + READY_TIMEOUT;
+        // The number of endpoints proves nothing: after a crash the ledger still lists those of
+        // the last incarnation.
+        let routes_to_all = || {
             let mut all = self.sidecars.iter();
             all.all(|sidecar| self.router.routes_to(sidecar.addr()))
         };
-        while !(self.router.is_ready() && sees_all()) {
+        while !(self.router.is_ready() && routes_to_all()) {
             if Instant::now() > deadline {
                 return Err(LocalError::NotReady {
-                    after: READY_WITHIN,
+                    after: READY_TIMEOUT,
                 });
             }
-            sleep(LOOK).await;
+            sleep(READY_POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -161,7 +162,7 @@
 async fn start_ledger(
     settings: &LocalSettings,
     log: &Logger,
-    stopped: oneshot::Receiver<()>,
+    stop_rx: oneshot::Receiver<()>,
 ) -> Result<LedgerHandle, LocalError> {
     let id = InstanceId::from("ledger-1");
     let cfg = LedgerSettings {
@@ -178,8 +179,8 @@
         log_json: false,
         statsd: None,
     };
-    // A dropped sender stops the ledger too.
-    let stop = async move { drop(stopped.await) };
+    // The ledger also stops if the sender is dropped.
+    let stop = async move { drop(stop_rx.await) };
     let started = ledger_service::start(cfg, Tuning::default(), log.clone(), stop);
     started.await.context(LedgerSnafu)
 }
--- a/crates/anvilreel/src/local/demo.rs
+++ b/crates/anvilreel/src/local/demo.rs
@@ -1,4 +1,4 @@
-//! What the quick start begins with: a demo team, its budget, a model and a plain service.
+//! Initial settings of the quick start: a demo team, its budget, a model and a plain service.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -12,22 +12,23 @@
 
 /// The bearer key of the demo team.
 pub const KEY: &str = "demo-key";
-/// The model that it may use.
+/// The model that the demo team may use.
 pub const MODEL: &str = "demo-chat";
-/// The plain service that it may use.
+/// The plain service that the demo team may use.
 pub const SERVICE: &str = "swatches";
-/// The budget that pays.
+/// The budget that pays for the demo team.
 pub const BUDGET: &str = "demo";
-/// Tokens paid in at the first start.
+/// Tokens credited to the budget at the first start.
 pub const PREPAID: Tokens = 1_000_000;
 
-/// Longest wait for one step.
-const WITHIN: Duration = Duration::from_secs(5);
+/// Timeout of each call to the ledger.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Writes the demo's documents and credits its budget, unless they are there already.
+/// Writes the demo's documents and credits its budget, unless the demo team exists already.
+/// Returns whether it has written them.
 pub async fn seed(ledger: &LedgerClient) -> Result<bool, LedgerError> {
-    let all = ledger.query(Query::Tree("".into()), WITHIN).await?;
-    if matches!(&all, QueryAnswer::Tree(tree) if tree.contains_key(&team_path())) {
+    let answer = ledger.query(Query::Tree("".into()), CALL_TIMEOUT).await?;
+    if matches!(&answer, QueryAnswer::Tree(tree) if tree.contains_key(&team_path())) {
         return Ok(false);
     }
     for (number, (path, text)) in documents().into_iter().enumerate() {
@@ -40,7 +41,9 @@
             edit: Edit::Put(text),
             at,
         };
-        ledger.propose(Command::Change(change), WITHIN).await?;
+        ledger
+            .propose(Command::Change(change), CALL_TIMEOUT)
+            .await?;
     }
     let at = SystemTime::now();
     let top_up = TopUp {
@@ -50,7 +53,7 @@
         amount: PREPAID,
         at,
     };
-    ledger.propose(Command::TopUp(top_up), WITHIN).await?;
+    ledger.propose(Command::TopUp(top_up), CALL_TIMEOUT).await?;
     Ok(true)
 }
 
--- a/crates/anvilreel/src/logs.rs
+++ b/crates/anvilreel/src/logs.rs
@@ -1,4 +1,5 @@
-//! Where log lines go: a terminal or JSON, never on the path of a request.
+//! Loggers that write terminal text or JSON. Log lines are written by a separate thread, so that
+//! a request never waits for log output.
 
 mod bounded;
 
@@ -7,28 +8,29 @@
 
 pub use bounded::{Dropped, LogLimits};
 
-/// Lines that may wait to be written before further ones are dropped and counted.
-const WAITING_LINES: usize = 4_096;
+/// Maximum number of queued lines; further ones are dropped and counted.
+const MAX_QUEUED_LINES: usize = 4_096;
 
 /// A logger on standard error, as JSON or as terminal text.
 pub fn logger(json: bool) -> Logger {
     if json {
         let drain = slog_json::Json::default(std::io::stderr()).fuse();
-        return behind_a_channel(drain);
+        return async_logger(drain);
     }
     let decorator = slog_term::TermDecorator::new().stderr().build();
-    behind_a_channel(slog_term::FullFormat::new(decorator).build().fuse())
+    async_logger(slog_term::FullFormat::new(decorator).build().fuse())
 }
 
-/// A logger on standard output, as JSON lines within these limits, and what it had to drop.
+/// A logger that writes JSON lines to standard output within these limits, and its count of
+/// dropped lines.
 ///
-/// A reader of standard output that has stopped delays nobody: lines are handed to a thread of
-/// their own, and what that can't get rid of is dropped and counted.
+/// A stalled reader of standard output delays no caller: a separate thread writes the lines, and
+/// those that exceed its buffer are dropped and counted.
 pub fn to_stdout(limits: LogLimits) -> (Logger, Dropped) {
     bounded::logger(std::io::stdout(), limits)
 }
 
-/// The same on any writer.
+/// Like [`to_stdout`], for any writer.
 pub fn to_writer(
     writer: impl std::io::Write + Send + 'static,
     limits: LogLimits,
@@ -36,17 +38,17 @@
     bounded::logger(writer, limits)
 }
 
-/// A logger that writes nothing, for tests.
+/// A logger that discards all lines, for tests.
 pub fn silent() -> Logger {
     Logger::root(slog::Discard, o!())
 }
 
-fn behind_a_channel<D>(drain: D) -> Logger
+fn async_logger<D>(drain: D) -> Logger
 where
     D: Drain<Ok = (), Err = slog::Never> + Send + 'static,
 {
     let drain = Async::new(drain)
-        .chan_size(WAITING_LINES)
+        .chan_size(MAX_QUEUED_LINES)
         .overflow_strategy(OverflowStrategy::DropAndReport)
         .build()
         .fuse();
--- a/crates/anvilreel/src/logs/bounded.rs
+++ b/crates/anvilreel/src/logs/bounded.rs
@@ -1,9 +1,9 @@
-//! JSON lines, bounded in bytes a second and in bytes that wait, written by a thread of their own.
+//! A logger of JSON lines with a bounded rate and a bounded buffer, written by a separate thread.
 //!
-//! Failure: the log of a process under load fills a disk, or the reader of its standard output
-//! stops and the process waits for it in the middle of a request. Here a line is formatted, put
-//! into a buffer and forgotten. What is beyond the limits is dropped, lines on work that went well
-//! first, and the next line written says how many.
+//! Without the bounds, the log of a process under load could fill a disk, and a stalled reader of
+//! its standard output could block it in the middle of a request. Logging a line only formats it
+//! and appends it to the buffer. Lines beyond the limits are dropped, those below warning level
+//! first, and the next write reports how many were dropped.
 
 use std::cell::RefCell;
 use std::io::Write;
@@ -14,21 +14,21 @@
 
 use slog::{Drain, Level, Logger, OwnedKVList, Record, o};
 
-/// How much may be logged.
+/// Limits on log output.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogLimits {
-    /// Bytes a second, averaged over a second.
+    /// Maximum bytes per second, averaged over a second.
     pub bytes_per_second: u64,
-    /// Lines a second, averaged over a second.
+    /// Maximum lines per second, averaged over a second.
     pub lines_per_second: u64,
-    /// Bytes that may wait for a slow reader.
+    /// Maximum bytes that are buffered for a slow reader.
     pub waiting_bytes: usize,
 }
 
 impl Default for LogLimits {
-    /// A router that answers 100 requests a second logs 40 KB a second; five times that is room
-    /// for a storm of failures. Lines of half the usual length reach the bound of lines first. What
-    /// waits is two seconds of it.
+    /// A router that answers 100 requests per second logs 40 KB per second; five times that
+    /// leaves room for a burst of failures. Lines of half the usual length reach the limit on
+    /// lines first. The buffer holds two seconds of output.
     fn default() -> Self {
         Self {
             bytes_per_second: 200_000,
@@ -38,87 +38,94 @@
     }
 }
 
-/// Part of the limits that lines on work that went well may use: the rest is kept for those that
-/// explain a failure or a changed belief.
-const ORDINARY_PART: f64 = 0.5;
-/// Lines are gathered for so long before they are written: one wake-up for many.
-const GATHER: Duration = Duration::from_millis(50);
+/// Fraction of the limits that lines below warning level may use. The rest is reserved for
+/// warnings and errors, which explain a failure or a state change.
+const ORDINARY_FRACTION: f64 = 0.5;
+/// Pause between two writes, so that one wake-up of the thread writes many lines.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Lines that were dropped since the process started. Cheap to clone.
+/// Count of the lines dropped since the process started. Cheap to clone.
 #[derive(Debug, Clone, Default)]
 pub struct Dropped(Arc<AtomicU64>);
 
 impl Dropped {
-    /// How many.
+    /// Number of dropped lines.
     pub fn count(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// So much a second, saved up for one second.
-struct Allowance {
-    most: f64,
-    left: f64,
+/// A token bucket that holds and refills one second's worth of the limit.
+struct TokenBucket {
+    capacity: f64,
+    available: f64,
 }
 
-impl Allowance {
+impl TokenBucket {
     #[expect(clippy::cast_precision_loss, reason = "limits far below 2^52")]
-    fn new(most: u64) -> Self {
-        let most = most as f64;
-        Self { most, left: most }
+    fn new(capacity: u64) -> Self {
+        let capacity = capacity as f64;
+        Self {
+            capacity,
+            available: capacity,
+        }
     }
 
-    fn refill(&mut self, passed: Duration) {
-        self.left = (self.left + passed.as_secs_f64() * self.most).min(self.most);
+    fn refill(&mut self, elapsed: Duration) {
+        self.available =
+            (self.available + elapsed.as_secs_f64() * self.capacity).min(self.capacity);
     }
 
-    /// Whether so much may be taken while this part of the whole is kept.
-    fn has(&self, cost: f64, kept: f64) -> bool {
-        self.left - cost >= self.most * kept
+    /// Whether `cost` tokens can be taken so that the `reserved` fraction of the capacity remains.
+    fn has(&self, cost: f64, reserved: f64) -> bool {
+        self.available - cost >= self.capacity * reserved
     }
 }
 
-struct Waiting {
+struct Buffer {
+    /// Formatted lines that are not written yet.
     buf: Vec<u8>,
-    bytes: Allowance,
-    lines: Allowance,
-    /// When the allowances were last refilled.
-    counted: Instant,
+    bytes: TokenBucket,
+    lines: TokenBucket,
+    /// When `bytes` and `lines` were last refilled.
+    refilled_at: Instant,
+    /// Lines dropped since the last write.
     dropped: u64,
 }
 
 struct Shared {
     limits: LogLimits,
-    waiting: Mutex<Waiting>,
-    filled: Condvar,
+    buffer: Mutex<Buffer>,
+    /// Notified when the buffer has become non-empty.
+    not_empty: Condvar,
     dropped: Dropped,
 }
 
-struct Bounded(Arc<Shared>);
+struct BoundedDrain(Arc<Shared>);
 
 pub(super) fn logger(writer: impl Write + Send + 'static, limits: LogLimits) -> (Logger, Dropped) {
     let shared = Arc::new(Shared {
         limits,
-        waiting: Mutex::new(Waiting {
+        buffer: Mutex::new(Buffer {
             buf: Vec::new(),
-            bytes: Allowance::new(limits.bytes_per_second),
-            lines: Allowance::new(limits.lines_per_second),
-            counted: Instant::now(),
+            bytes: TokenBucket::new(limits.bytes_per_second),
+            lines: TokenBucket::new(limits.lines_per_second),
+            refilled_at: Instant::now(),
             dropped: 0,
         }),
-        filled: Condvar::new(),
+        not_empty: Condvar::new(),
         dropped: Dropped::default(),
     });
     let dropped = shared.dropped.clone();
-    let own = shared.clone();
-    thread::spawn(move || own.write_out(writer));
-    (Logger::root(Bounded(shared).fuse(), o!()), dropped)
+    let writer_shared = shared.clone();
+    thread::spawn(move || writer_shared.write_loop(writer));
+    (Logger::root(BoundedDrain(shared).fuse(), o!()), dropped)
 }
 
-/// One line under way.
-struct Line<'a>(&'a RefCell<Vec<u8>>);
+/// Appends a line to a buffer while it is being formatted.
+struct LineWriter<'a>(&'a RefCell<Vec<u8>>);
 
-impl Write for Line<'_> {
+impl Write for LineWriter<'_> {
     fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
         self.0.borrow_mut().write(buf)
     }
@@ -128,78 +135,79 @@
     }
 }
 
-impl Drain for Bounded {
+impl Drain for BoundedDrain {
     type Ok = ();
     type Err = std::io::Error;
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), Self::Err> {
-        let kept = if record.level().is_at_least(Level::Warning) {
+        let reserved = if record.level().is_at_least(Level::Warning) {
             0.0
         } else {
-            1.0 - ORDINARY_PART
+            1.0 - ORDINARY_FRACTION
         };
-        // Under a flood most lines are dropped; they need not be formatted for that.
-        if !self.0.has_room(kept) {
+        // Under overload most lines are dropped; checking first saves the cost of formatting them.
+        if !self.0.check_rate(reserved) {
             return Ok(());
         }
         let line = RefCell::new(Vec::with_capacity(512));
-        slog_json::Json::default(Line(&line)).log(record, values)?;
-        self.0.take(&line.borrow(), kept);
+        slog_json::Json::default(LineWriter(&line)).log(record, values)?;
+        self.0.enqueue(&line.borrow(), reserved);
         Ok(())
     }
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        // A panic elsewhere leaves whole lines and plain numbers.
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Buffer> {
+        // Safe after a panic elsewhere: the buffer holds only whole lines and plain counters.
+        self.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether any line may be taken while this part of the limits is kept; one that may not counts
-    /// as dropped.
-    fn has_room(&self, kept: f64) -> bool {
-        let mut waiting = self.lock();
-        let passed = waiting.counted.elapsed();
-        waiting.counted += passed;
-        waiting.bytes.refill(passed);
-        waiting.lines.refill(passed);
-        let allowed = waiting.lines.has(1.0, kept) && waiting.bytes.has(1.0, kept);
+    /// Whether the limits allow another line so that the `reserved` fraction of them remains. If
+    /// they don't, the line counts as dropped.
+    fn check_rate(&self, reserved: f64) -> bool {
+        let mut buffer = self.lock();
+        let elapsed = buffer.refilled_at.elapsed();
+        buffer.refilled_at += elapsed;
+        buffer.bytes.refill(elapsed);
+        buffer.lines.refill(elapsed);
+        let allowed = buffer.lines.has(1.0, reserved) && buffer.bytes.has(1.0, reserved);
         if !allowed {
-            self.dropped_one(&mut waiting);
+            self.count_dropped(&mut buffer);
         }
         allowed
     }
 
-    fn take(&self, line: &[u8], kept: f64) {
-        let mut waiting = self.lock();
+    /// Appends a formatted line to the buffer, or drops it if it exceeds the limits.
+    fn enqueue(&self, line: &[u8], reserved: f64) {
+        let mut buffer = self.lock();
         #[expect(clippy::cast_precision_loss, reason = "limits far below 2^52 bytes")]
-        let (bytes, full, room) = (
+        let (bytes, buffered, max_buffered) = (
             line.len() as f64,
-            waiting.buf.len() as f64,
+            buffer.buf.len() as f64,
             self.limits.waiting_bytes as f64,
         );
-        let fits = full + bytes <= room * (1.0 - kept);
-        if !fits || !waiting.bytes.has(bytes, kept) {
-            return self.dropped_one(&mut waiting);
+        let fits = buffered + bytes <= max_buffered * (1.0 - reserved);
+        if !fits || !buffer.bytes.has(bytes, reserved) {
+            return self.count_dropped(&mut buffer);
         }
-        waiting.bytes.left -= bytes;
-        waiting.lines.left -= 1.0;
-        let was_empty = waiting.buf.is_empty();
-        waiting.buf.extend_from_slice(line);
-        drop(waiting);
+        buffer.bytes.available -= bytes;
+        buffer.lines.available -= 1.0;
+        let was_empty = buffer.buf.is_empty();
+        buffer.buf.extend_from_slice(line);
+        drop(buffer);
         if was_empty {
-            self.filled.notify_one();
+            self.not_empty.notify_one();
         }
     }
 
-    fn dropped_one(&self, waiting: &mut Waiting) {
-        waiting.dropped += 1;
+    fn count_dropped(&self, buffer: &mut Buffer) {
+        buffer.dropped += 1;
         self.dropped.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn write_out(&self, mut writer: impl Write) {
+    fn write_loop(&self, mut writer: impl Write) {
         loop {
-            let (lines, dropped) = self.gathered();
+            let (lines, dropped) = self.wait_for_lines();
             let written = if dropped > 0 {
                 let line = format!(
                     "{{\"msg\":\"log_lines_dropped\",\"level\":\"WARN\",\"count\":{dropped}}}\n"
@@ -209,22 +217,22 @@
                 Ok(())
             };
             let written = written.and_then(|()| writer.write_all(&lines));
-            // Nobody can be told of a log that can't be written but by the count.
+            // A failed write can't be logged; the count of dropped lines is the only sign of it.
             if written.and_then(|()| writer.flush()).is_err() {
                 self.dropped.0.fetch_add(1, Ordering::Relaxed);
             }
-            thread::sleep(GATHER);
+            thread::sleep(FLUSH_INTERVAL);
         }
     }
 
-    /// Waits for lines and takes them.
-    fn gathered(&self) -> (Vec<u8>, u64) {
-        let mut waiting = self.lock();
-        while waiting.buf.is_empty() {
-            let woken = self.filled.wait(waiting);
-            waiting = woken.unwrap_or_else(PoisonError::into_inner);
+    /// Waits until lines are buffered, and takes them with the number of lines dropped before.
+    fn wait_for_lines(&self) -> (Vec<u8>, u64) {
+        let mut buffer = self.lock();
+        while buffer.buf.is_empty() {
+            let woken = self.not_empty.wait(buffer);
+            buffer = woken.unwrap_or_else(PoisonError::into_inner);
         }
-        let dropped = std::mem::take(&mut waiting.dropped);
-        (std::mem::take(&mut waiting.buf), dropped)
+        let dropped = std::mem::take(&mut buffer.dropped);
+        (std::mem::take(&mut buffer.buf), dropped)
     }
 }
--- a/crates/anvilreel/src/members.rs
+++ b/crates/anvilreel/src/members.rs
@@ -1,4 +1,4 @@
-//! Who is where, as the ledger's members tell.
+//! Addresses of instances, looked up in the membership that the ledger announced.
 
 use std::net::SocketAddr;
 
@@ -6,41 +6,42 @@
 
 use crate::held::Held;
 
-/// Relays that one process uses at most. More add nothing: one that answers is enough.
-const MOST_RELAYS: usize = 4;
+/// Maximum number of relays that a process uses. One that answers is enough; the others are spares.
+const MAX_RELAYS: usize = 4;
 
-/// Replicas of the ledger: those that are alive, then those known from the settings.
-pub fn replicas(held: &Held, known: &[SocketAddr]) -> Vec<SocketAddr> {
-    let mut found: Vec<SocketAddr> = alive(held, Role::Ledger).map(|i| i.addr).collect();
-    for addr in known {
-        if !found.contains(addr) {
-            found.push(*addr);
+/// Addresses of the ledger's replicas: those that are live members, then those from the settings.
+pub fn replicas(held: &Held, configured: &[SocketAddr]) -> Vec<SocketAddr> {
+    let mut addrs: Vec<SocketAddr> = alive(held, Role::Ledger).map(|i| i.addr).collect();
+    for addr in configured {
+        if !addrs.contains(addr) {
+            addrs.push(*addr);
         }
     }
-    found
+    addrs
 }
 
-/// Relays for a process of this name: some of those that are alive, others for another name, so
-/// that no relay carries all.
+/// Addresses of the relays that the process of this name uses. Each name gets a different choice
+/// among the live relays, which spreads the load over them.
 pub fn relays(held: &Held, name: &str) -> Vec<SocketAddr> {
-    let mut all: Vec<&Instance> = alive(held, Role::Relay).collect();
-    all.sort_by_key(|relay| {
-        xxhash_rust::xxh3::xxh3_64_with_seed(relay.id.as_bytes(), spread(name))
+    let mut live_relays: Vec<&Instance> = alive(held, Role::Relay).collect();
+    live_relays.sort_by_key(|relay| {
+        xxhash_rust::xxh3::xxh3_64_with_seed(relay.id.as_bytes(), name_hash(name))
     });
-    all.iter()
-        .take(MOST_RELAYS)
+    live_relays
+        .iter()
+        .take(MAX_RELAYS)
         .map(|relay| relay.addr)
         .collect()
 }
 
-/// Instances of a role that the ledger has heard of lately.
+/// Live instances of a role: the ledger has recently received heartbeats from them.
 pub fn alive(held: &Held, role: Role) -> impl Iterator<Item = &Instance> {
     let members = held.members.values();
-    let alive = members
+    let live = members
         .filter(move |member| member.instance.role == role && member.presence == Presence::Live);
-    alive.map(|member| &member.instance)
+    live.map(|member| &member.instance)
 }
 
-fn spread(name: &str) -> u64 {
+fn name_hash(name: &str) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name.as_bytes())
 }
--- a/crates/anvilreel/src/metrics.rs
+++ b/crates/anvilreel/src/metrics.rs
@@ -1,5 +1,6 @@
-//! What is measured, by cadence: sent over UDP in the statsd form, or kept for whoever comes and
-//! asks ([`exposition`]). docs/METRICS.md lists names and units.
+//! Metrics: their names, and a client that sends them over UDP in the statsd format or keeps them
+//! in memory for collectors that scrape them ([`exposition`]). docs/METRICS.md lists names and
+//! units.
 
 pub mod exposition;
 
@@ -12,49 +13,50 @@
 };
 use snafu::{ResultExt, Snafu};
 
-/// Requests that were answered whole. Count.
+/// Requests that were answered completely. Count.
 pub const REQUESTS_COMPLETED: &str = "requests.completed";
-/// Requests that were refused as not run. Count.
+/// Requests that were refused and did not run. Count.
 pub const REQUESTS_REFUSED: &str = "requests.refused";
-/// Requests that ended in doubt. Count.
+/// Requests whose outcome is unknown. Count.
 pub const REQUESTS_UNKNOWN: &str = "requests.unknown";
-/// Callers that left before the end. Count.
+/// Callers that disconnected before the end of their response. Count.
 pub const CALLERS_LEFT: &str = "callers.left";
 /// Time from a request's arrival to its first output. Milliseconds.
 pub const FIRST_OUTPUT: &str = "request.first_output";
-/// Requests under way. Gauge.
+/// Requests in flight. Gauge.
 pub const REQUESTS_OPEN: &str = "requests.open";
 /// Newest settings in force. Gauge, a log position.
 pub const SETTINGS_VERSION: &str = "settings.version";
-/// Runs under way at a sidecar. Gauge.
+/// Runs in progress at a sidecar. Gauge.
 pub const RUNS_OPEN: &str = "runs.open";
 /// Runs that were refused at a sidecar. Count.
 pub const RUNS_REFUSED: &str = "runs.refused";
-/// Newest committed position of the ledger's log, as a replica knows it. Gauge.
+/// Newest position of the ledger's log that a replica knows to be committed. Gauge.
 pub const LOG_COMMITTED: &str = "log.committed";
 /// Newest term that a replica of the ledger has seen. Gauge.
 pub const LOG_TERM: &str = "log.term";
-/// Whether a replica of the ledger leads: 1 or 0. Gauge.
+/// Whether a replica of the ledger is the leader: 1 or 0. Gauge.
 pub const LOG_LEADS: &str = "log.leads";
 /// Replicas of the ledger that vote, as a replica knows it. Gauge.
 pub const LOG_VOTERS: &str = "log.voters";
-/// Replicas of the ledger that catch up and don't vote yet, as a replica knows it. Gauge.
+/// Replicas of the ledger that are catching up and don't vote yet, as a replica knows it. Gauge.
 pub const LOG_LEARNERS: &str = "log.learners";
-/// Voters that answered the leader within an election time, itself among them; 0 elsewhere. Gauge.
+/// Voters that responded to the leader within the election timeout, including itself; 0 at other
+/// replicas. Gauge.
 pub const LOG_VOTERS_HEARD: &str = "log.voters_heard";
-/// Calls that a relay passed on to the ledger. Count.
+/// Calls that a relay forwarded to the ledger. Count.
 pub const RELAY_PASSED: &str = "relay.passed";
-/// Of these, those whose outcome nobody can tell. Count.
+/// Calls forwarded by a relay whose outcome is in doubt. Count.
 pub const RELAY_IN_DOUBT: &str = "relay.in_doubt";
-/// Of these, those for which no majority of the ledger was reached. Count.
+/// Calls forwarded by a relay for which no majority of the ledger was reached. Count.
 pub const RELAY_NO_QUORUM: &str = "relay.no_quorum";
-/// Streams of settings that a relay opened for others. Count.
+/// Follow streams that a relay opened for other processes. Count.
 pub const RELAY_STREAMS: &str = "relay.streams";
 
 /// Log lines that were dropped since the process started. Gauge.
 pub const LOG_DROPPED: &str = "log.lines_dropped";
 
-/// Every name with its unit, for the test that holds code and docs/METRICS.md together.
+/// Every name with its unit, for the test that compares the code with docs/METRICS.md.
 pub const ALL: &[(&str, &str)] = &[
     (REQUESTS_COMPLETED, "count"),
     (REQUESTS_REFUSED, "count"),
@@ -78,33 +80,33 @@
     (LOG_DROPPED, "gauge"),
 ];
 
-/// Metrics that can't be sent.
+/// Error of a metrics client.
 #[derive(Debug, Snafu)]
 pub enum MetricsError {
-    /// No socket to send from.
-    #[snafu(display("no UDP socket for metrics: {source}"))]
+    /// The UDP socket can't be created.
+    #[snafu(display("can't create a UDP socket for metrics: {source}"))]
     Socket {
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// The address is not accepted.
-    #[snafu(display("metrics can't go to {addr}: {source}"))]
+    /// The destination address is not accepted.
+    #[snafu(display("can't send metrics to {addr}: {source}"))]
     Sink {
-        /// Where to.
+        /// Destination.
         addr: SocketAddr,
-        /// Why.
+        /// Cause.
         source: cadence::MetricError,
     },
 }
 
-/// Counts, times and gauges of one process. Cheap to clone.
+/// Metrics client of one process. Cheap to clone.
 #[derive(Clone)]
 pub struct Metrics {
     client: Arc<StatsdClient>,
 }
 
 impl Metrics {
-    /// Sends to this address under `anvilreel.ROLE.`; nowhere without one.
+    /// Sends metrics to this address with the prefix `anvilreel.ROLE.`; discards them without one.
     pub fn new(role: &str, statsd: Option<SocketAddr>) -> Result<Self, MetricsError> {
         let Some(addr) = statsd else {
             return Ok(Self::silent(role));
@@ -119,7 +121,7 @@
         })
     }
 
-    /// Keeps all of it on a board, which [`exposition::serve`] hands out.
+    /// Keeps all metrics in memory; [`exposition::serve`] serves them.
     pub fn kept(role: &str) -> (Self, exposition::Board) {
         let board = exposition::Board::default();
         let sink = exposition::BoardSink(board.clone());
@@ -130,7 +132,7 @@
         (metrics, board)
     }
 
-    /// Sends nowhere.
+    /// Discards all metrics.
     pub fn silent(role: &str) -> Self {
         let client = StatsdClient::from_sink(&prefix(role), NopMetricSink);
         Self {
@@ -138,17 +140,17 @@
         }
     }
 
-    /// One more of these. A lost metric is no failure of the request it counts.
+    /// Increments a counter. Errors are ignored: a lost metric must not fail a request.
     pub fn count(&self, name: &str) {
         let _ = self.client.count(name, 1);
     }
 
-    /// How long something took.
-    pub fn time(&self, name: &str, took: Duration) {
-        let _ = self.client.time(name, took);
+    /// Records a duration.
+    pub fn time(&self, name: &str, duration: Duration) {
+        let _ = self.client.time(name, duration);
     }
 
-    /// How much of something there is.
+    /// Sets a gauge.
     pub fn gauge(&self, name: &str, value: u64) {
         let _ = self.client.gauge(name, value);
     }
--- a/crates/anvilreel/src/metrics/exposition.rs
+++ b/crates/anvilreel/src/metrics/exposition.rs
@@ -1,8 +1,8 @@
-//! Metrics as text for whoever comes and asks.
+//! Serves metrics as text to collectors that scrape them.
 //!
-//! A [`Board`] takes in what [`super::Metrics`] sends, in the statsd form, and keeps it: counts as
-//! sums, gauges as last values, times in the buckets of a histogram. [`serve`] hands it out over
-//! HTTP in the text form that most collectors read.
+//! A [`Board`] receives what [`super::Metrics`] sends in the statsd format and aggregates it:
+//! counts into sums, gauges into their last values, durations into histograms. [`serve`] serves
+//! them over HTTP in the Prometheus text format.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -22,32 +22,32 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// Upper bounds of a histogram's buckets, in milliseconds: from one step between two processes to
-/// the longest time that a request is kept.
+/// Upper bounds of a histogram's buckets, in milliseconds: from one message between two processes
+/// to the longest time that a request is held.
 pub const BUCKETS_MS: [u64; 14] = [
     1, 2, 5, 10, 25, 50, 100, 250, 500, 1_000, 2_500, 5_000, 10_000, 20_000,
 ];
-/// Idle time of a collector's connection.
-const IDLE: Duration = Duration::from_secs(30);
-/// Pause after a connection could not be accepted.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(50);
+/// Idle timeout of a collector's connection.
+const COLLECTOR_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Pause after a connection could not be accepted, before the next attempt.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Clone, PartialEq)]
 enum Value {
     Count(u64),
     Gauge(u64),
-    Times(Box<Times>),
+    Histogram(Box<Histogram>),
 }
 
 #[derive(Debug, Clone, Default, PartialEq)]
-struct Times {
+struct Histogram {
     buckets: [u64; BUCKETS_MS.len()],
     count: u64,
     sum_ms: u64,
 }
 
-impl Times {
-    fn take(&mut self, ms: u64) {
+impl Histogram {
+    fn observe(&mut self, ms: u64) {
         self.count += 1;
         self.sum_ms = self.sum_ms.saturating_add(ms);
         for (bucket, bound) in self.buckets.iter_mut().zip(BUCKETS_MS) {
@@ -56,7 +56,7 @@
     }
 }
 
-/// What was measured so far. Cheap to clone; all clones are one board.
+/// Metrics aggregated so far. Cheap to clone; clones share the same values.
 #[derive(Debug, Clone, Default)]
 pub struct Board {
     values: Arc<Mutex<BTreeMap<String, Value>>>,
@@ -64,12 +64,13 @@
 
 impl Board {
     fn lock(&self) -> MutexGuard<'_, BTreeMap<String, Value>> {
-        // A panic elsewhere leaves plain numbers.
+        // Safe after a panic elsewhere: the map holds only plain numbers.
         self.values.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in one metric in the statsd form, `NAME:VALUE|KIND`. False when it is none.
-    fn take(&self, metric: &str) -> bool {
+    /// Records one metric in the statsd format, `NAME:VALUE|KIND`. Returns false if it can't be
+    /// parsed.
+    fn record(&self, metric: &str) -> bool {
         let Some((name, rest)) = metric.split_once(':') else {
             return false;
         };
@@ -83,17 +84,17 @@
         let new = || match kind {
             "c" => Value::Count(0),
             "g" => Value::Gauge(0),
-            _ => Value::Times(Box::default()),
+            _ => Value::Histogram(Box::default()),
         };
         match values.entry(name.to_owned()).or_insert_with(new) {
             Value::Count(sum) => *sum = sum.saturating_add(value),
             Value::Gauge(last) => *last = value,
-            Value::Times(times) => times.take(value),
+            Value::Histogram(histogram) => histogram.observe(value),
         }
         true
     }
 
-    /// All of it as text.
+    /// Renders all metrics as text.
     pub fn text(&self) -> String {
         let mut text = String::new();
         for (name, value) in self.lock().iter() {
@@ -101,35 +102,35 @@
                 .chars()
                 .map(|c| if c.is_ascii_alphanumeric() { c } else { '_' })
                 .collect();
-            // Writing to a string does not fail.
+            // Writing to a string can't fail.
             let _ = match value {
                 Value::Count(sum) => {
                     writeln!(text, "# TYPE {name} counter\n{name} {sum}")
                 }
                 Value::Gauge(last) => writeln!(text, "# TYPE {name} gauge\n{name} {last}"),
-                Value::Times(times) => write_times(&mut text, &name, times),
+                Value::Histogram(histogram) => write_histogram(&mut text, &name, histogram),
             };
         }
         text
     }
 }
 
-fn write_times(text: &mut String, name: &str, times: &Times) -> std::fmt::Result {
+fn write_histogram(text: &mut String, name: &str, histogram: &Histogram) -> std::fmt::Result {
     writeln!(text, "# TYPE {name}_ms histogram")?;
-    for (bucket, bound) in times.buckets.iter().zip(BUCKETS_MS) {
+    for (bucket, bound) in histogram.buckets.iter().zip(BUCKETS_MS) {
         writeln!(text, "{name}_ms_bucket{{le=\"{bound}\"}} {bucket}")?;
     }
-    writeln!(text, "{name}_ms_bucket{{le=\"+Inf\"}} {}", times.count)?;
-    writeln!(text, "{name}_ms_sum {}", times.sum_ms)?;
-    writeln!(text, "{name}_ms_count {}", times.count)
+    writeln!(text, "{name}_ms_bucket{{le=\"+Inf\"}} {}", histogram.count)?;
+    writeln!(text, "{name}_ms_sum {}", histogram.sum_ms)?;
+    writeln!(text, "{name}_ms_count {}", histogram.count)
 }
 
-/// Puts metrics on a board.
+/// Records metrics in a [`Board`].
 pub(super) struct BoardSink(pub(super) Board);
 
 impl MetricSink for BoardSink {
     fn emit(&self, metric: &str) -> io::Result<usize> {
-        if self.0.take(metric) {
+        if self.0.record(metric) {
             return Ok(metric.len());
         }
         Err(io::Error::new(
@@ -139,29 +140,33 @@
     }
 }
 
-/// Hands the board out at any path, for as long as the process lives. `before` is called ahead of
-/// each answer, to bring gauges up to date.
-pub async fn serve(listener: TcpListener, board: Board, before: impl Fn() + Send + Sync + 'static) {
-    let before = Arc::new(before);
+/// Serves the metrics at every path, for as long as the process runs. `update_gauges` is called
+/// ahead of each response.
+pub async fn serve(
+    listener: TcpListener,
+    board: Board,
+    update_gauges: impl Fn() + Send + Sync + 'static,
+) {
+    let update_gauges = Arc::new(update_gauges);
     loop {
         let Ok((socket, _)) = listener.accept().await else {
-            sleep(ACCEPT_AGAIN).await;
+            sleep(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
         let board = board.clone();
-        let before = before.clone();
+        let update_gauges = update_gauges.clone();
         let service = service_fn(move |_: Request<Incoming>| {
-            before();
-            let mut answer = Response::new(Full::new(Bytes::from(board.text())));
-            *answer.status_mut() = StatusCode::OK;
-            async move { Ok::<_, Infallible>(answer) }
+            update_gauges();
+            let mut response = Response::new(Full::new(Bytes::from(board.text())));
+            *response.status_mut() = StatusCode::OK;
+            async move { Ok::<_, Infallible>(response) }
         });
         let connection = Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(IDLE)
+            .header_read_timeout(COLLECTOR_IDLE_TIMEOUT)
             .serve_connection(TokioIo::new(socket), service);
         tokio::spawn(async move {
-            // The collector learns of a broken connection by itself, and comes again.
+            // The collector notices a broken connection itself, and scrapes again.
             let _ = connection.await;
         });
     }
--- a/crates/anvilreel/src/peers.rs
+++ b/crates/anvilreel/src/peers.rs
@@ -1,4 +1,4 @@
-//! Channels to other processes, one for each address, made when first needed.
+//! A cache of channels to other processes: one for each address, created on first use.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,14 +7,14 @@
 use anvil_wire::Channel;
 use arc_swap::ArcSwap;
 
-/// Channels by address. Looking one up takes no lock.
+/// Channels by address. A lookup takes no lock.
 #[derive(Default)]
 pub struct Peers {
     channels: ArcSwap<BTreeMap<SocketAddr, Channel>>,
 }
 
 impl Peers {
-    /// The channel to an address.
+    /// Returns the channel to an address; creates it on first use.
     pub fn to(&self, addr: SocketAddr) -> Channel {
         if let Some(channel) = self.channels.load().get(&addr) {
             return channel.clone();
@@ -25,11 +25,12 @@
             channels.entry(addr).or_insert_with(|| channel.clone());
             Arc::new(channels)
         });
-        // Another request may have been first; all must share one connection.
+        // A concurrent call may have inserted its channel first; all callers must share one
+        // connection.
         self.channels.load().get(&addr).cloned().unwrap_or(channel)
     }
 
-    /// Forgets addresses that nobody is expected at.
+    /// Drops the channels to all addresses except the wanted ones.
     pub fn keep(&self, wanted: impl Fn(&SocketAddr) -> bool) {
         self.channels.rcu(|channels| {
             let mut channels = BTreeMap::clone(channels);
--- a/crates/anvilreel/src/relay.rs
+++ b/crates/anvilreel/src/relay.rs
@@ -1,10 +1,11 @@
-//! Passes calls on to the ledger, for processes that can't reach it themselves.
+//! Forwards calls to the ledger for processes that can't reach it themselves.
 //!
-//! Failure: routers are cut off from every replica of the ledger, while they still reach other
-//! instances that are not. It shows as settings that grow old and as budgets that can't be drawn
-//! on, for as long as the cut lasts. A relay beside each endpoint asks the ledger for them. It
-//! keeps nothing and decides nothing: what it passes on is as true as if it had been said directly,
-//! because the ledger confirms by majority and followers take only what is newer.
+//! A network partition can cut routers off from every replica of the ledger while they still
+//! reach other instances that are connected to it. Without relays, their settings go stale and
+//! they can't draw on budgets until the partition heals. A relay beside each endpoint therefore
+//! forwards their calls. It stores nothing and decides nothing. A forwarded reply is as reliable
+//! as a direct one, because the ledger confirms by majority and followers apply only newer
+//! versions.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -25,23 +26,23 @@
 use crate::metrics::{self, Metrics};
 use crate::watcher::{SILENCE, Watcher};
 
-/// Longest time that a call is passed on. Whoever asks waits no longer for one way.
-const PASS_WITHIN: Duration = Duration::from_millis(900);
-/// Longest wait for one replica's answer. A commit takes some 10 ms.
-const ONE_REPLICA: Duration = Duration::from_millis(250);
+/// Timeout of a forwarded call. Callers wait no longer than this for one route to the ledger.
+const FORWARD_TIMEOUT: Duration = Duration::from_millis(900);
+/// Timeout for the reply of one replica. A commit takes about 10 ms.
+const REPLICA_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What a relay is told at its start.
+/// Settings of a relay.
 #[derive(Debug, Clone)]
 pub struct RelaySettings {
     /// Name of the instance.
     pub id: InstanceId,
-    /// Where it stands.
+    /// Zone of the instance.
     pub zone: Zone,
-    /// Where the other processes connect.
+    /// Address at which other processes connect.
     pub listen: SocketAddr,
-    /// Where this process listens, if the address above is passed on to it by something between.
+    /// Address to bind, where it differs from the one above because connections are forwarded.
     pub bind: Option<SocketAddr>,
-    /// Replicas of the ledger that are known at the start.
+    /// Replicas of the ledger that are used at the start.
     pub ledger: Vec<SocketAddr>,
 }
 
@@ -50,12 +51,12 @@
     watcher: Arc<Watcher>,
     log: Logger,
     metrics: Metrics,
-    life: Life,
+    lifecycle: Life,
 }
 
-/// The relay's own way to the ledger.
+/// Creates the relay's own ledger client, with the watcher that updates its replicas.
 pub fn watcher(cfg: &RelaySettings) -> Arc<Watcher> {
-    let ledger = LedgerClient::new(&cfg.ledger).with_patience(ONE_REPLICA);
+    let ledger = LedgerClient::new(&cfg.ledger).with_patience(REPLICA_TIMEOUT);
     Arc::new(Watcher::new(ledger, cfg.id.clone(), &cfg.ledger))
 }
 
@@ -74,12 +75,12 @@
         cfg,
         log,
         metrics,
-        life: Life::begin(),
+        lifecycle: Life::begin(),
     });
-    let answering = relay.clone();
+    let handler = relay.clone();
     let handlers = Handlers::default().with::<LedgerCall, _, _>(move |req, tx| {
-        let relay = answering.clone();
-        async move { relay.answer(req, tx).await }
+        let relay = handler.clone();
+        async move { relay.handle(req, tx).await }
     });
     tokio::select! {
         () = stop => {}
@@ -95,28 +96,29 @@
     async fn announce(&self) {
         let instance = Instance {
             id: self.cfg.id.clone(),
-            incarnation: self.life.incarnation,
+            incarnation: self.lifecycle.incarnation,
             role: Role::Relay,
             zone: self.cfg.zone.clone(),
             addr: self.cfg.listen,
             endpoint: None,
         };
-        announce::run(&self.watcher.ledger, &self.life, &instance).await;
+        announce::run(&self.watcher.ledger, &self.lifecycle, &instance).await;
     }
 
-    async fn answer(&self, req: LedgerRequest, tx: ReplySender<LedgerReply>) {
+    async fn handle(&self, req: LedgerRequest, tx: ReplySender<LedgerReply>) {
         if let LedgerRequest::Follow {
             instance,
             interest,
             version,
         } = req
         {
-            self.pass_stream(instance, interest, version, tx).await;
+            self.forward_stream(instance, interest, version, tx).await;
             return;
         }
         self.metrics.count(metrics::RELAY_PASSED);
-        // The asker can't tell whether a lost answer was carried out, so a doubt stays a doubt.
-        let reply = match self.watcher.ledger.ask(&req, PASS_WITHIN).await {
+        // The command may have been applied although its reply was lost, so the caller must also
+        // learn that the outcome is in doubt.
+        let reply = match self.watcher.ledger.ask(&req, FORWARD_TIMEOUT).await {
             Ok(reply) => reply,
             Err(LedgerError::InDoubt) => {
                 self.metrics.count(metrics::RELAY_IN_DOUBT);
@@ -127,11 +129,11 @@
                 LedgerReply::NoQuorum
             }
         };
-        // Fails only where the asker is gone.
+        // Fails only if the caller has disconnected.
         let _ = tx.finish(&reply).await;
     }
 
-    async fn pass_stream(
+    async fn forward_stream(
         &self,
         instance: InstanceId,
         interest: FollowScope,
--- a/crates/anvilreel/src/watcher.rs
+++ b/crates/anvilreel/src/watcher.rs
@@ -1,4 +1,7 @@
-//! Keeps up with who leads to the ledger.
+//! Keeps a ledger client's list of replicas up to date.
+//!
+//! A [`Watcher`] follows the ledger's membership at one replica at a time and moves on to the
+//! next one when the stream ends or the replica becomes unresponsive.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,15 +17,15 @@
 use crate::ledger_client::LedgerClient;
 use crate::members;
 
-/// A followed replica that says nothing for so long is left for another one. A replica that is
-/// current says so every 0.3 s.
+/// Maximum time without a message from a followed replica; after it another replica is followed.
+/// An up-to-date replica sends an event at least every 0.3 s.
 pub const SILENCE: Duration = Duration::from_millis(900);
-/// Pause before another replica is followed.
-const AGAIN: Duration = Duration::from_millis(100);
+/// Pause before the next replica is followed.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Follows the ledger only for its members, and tells a client which replicas there are.
+/// Follows only the ledger's membership, and sets the replicas of a ledger client from it.
 pub struct Watcher {
-    /// Whom it tells.
+    /// The client whose replicas are kept up to date.
     pub ledger: LedgerClient,
     id: InstanceId,
     seeds: ArcSwap<Vec<SocketAddr>>,
@@ -30,7 +33,8 @@
 }
 
 impl Watcher {
-    /// For the process of this name; the seeds are used beside all replicas that are known.
+    /// A watcher for the process of this name. The seeds are used in addition to all replicas
+    /// learned from the membership.
     pub fn new(ledger: LedgerClient, id: InstanceId, seeds: &[SocketAddr]) -> Self {
         Self {
             ledger,
@@ -40,43 +44,45 @@
         }
     }
 
-    /// Takes other seeds, as the settings name them now, beside the replicas that are known.
+    /// Replaces the seeds after the settings have changed, and adds them to the client's replicas.
     ///
-    /// Failure: the settings come to name replicas that are cut off, and whoever replaces what it
-    /// knows by them gets no answer until the ledger's members change. Replicas that are gone leave
-    /// the list with the next change of the members.
+    /// The client's other replicas stay: if the settings name only replicas that are cut off, a
+    /// client that used nothing else would get no reply until the ledger's membership changes.
+    /// Replicas that have been removed leave the list with the next change of the membership.
     pub fn set_seeds(&self, seeds: &[SocketAddr]) {
         self.seeds.store(Arc::new(seeds.to_vec()));
         self.ledger.add_ways(seeds);
     }
 
-    /// Number of a replica that is current, as far as is known: for others to follow.
+    /// Index of the replica that is being followed, and so probably up to date, for other
+    /// streams to follow as well.
     pub fn followed(&self) -> usize {
         self.followed.load(Ordering::Relaxed)
     }
 
-    /// Follows one replica after the other, for as long as the process lives.
+    /// Follows one replica after the other, for as long as the process runs.
     pub async fn run(&self) {
-        let mut held = Held::default();
+        let mut view = Held::default();
         loop {
             let replica = self.followed();
-            self.follow_one(replica, &mut held).await;
+            self.follow_replica(replica, &mut view).await;
             self.followed
                 .store(replica.wrapping_add(1), Ordering::Relaxed);
-            sleep(AGAIN).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 
-    async fn follow_one(&self, replica: usize, held: &mut Held) {
+    async fn follow_replica(&self, replica: usize, view: &mut Held) {
         let opening =
             self.ledger
-                .follow(replica, self.id.clone(), FollowScope::Members, held.version);
+                .follow(replica, self.id.clone(), FollowScope::Members, view.version);
         let Ok(Ok(mut replies)) = timeout(SILENCE, opening).await else {
             return;
         };
-        while let Ok(Ok(Some(LedgerReply::Follow(told)))) = timeout(SILENCE, replies.next()).await {
-            if held.apply(told) {
-                let replicas = members::replicas(held, &self.seeds.load());
+        while let Ok(Ok(Some(LedgerReply::Follow(event)))) = timeout(SILENCE, replies.next()).await
+        {
+            if view.apply(event) {
+                let replicas = members::replicas(view, &self.seeds.load());
                 self.ledger.set_ways(&replicas, &[]);
             }
         }
