--- a/crates/anvilreel/src/operator.rs
+++ b/crates/anvilreel/src/operator.rs
@@ -1,8 +1,8 @@
-//! The operators' client: changes, top-ups, reading, draining and orders.
+//! The operators' client: changes, top-ups, queries, drains and orders, and reports from logs.
 //!
-//! Every change carries an id. When the answer is lost, the client resends under the same id and
-//! gets the first answer; when even that fails it says that the end is *not known* and names the
-//! id, and never that nothing was done.
+//! Every change carries an id. If the reply is lost, the client resends the change under the same
+//! id and receives the first reply. If that fails too, it reports that the outcome is unknown,
+//! with the id, and never that nothing was done.
 //!
 //! ```no_run
 //! # async fn demo() -> Result<(), anvilreel::operator::OperatorError> {
@@ -15,8 +15,8 @@
 //! # Ok(()) }
 //! ```
 //!
-//! [`Client`] finds the leader; the actions beside it ([`apply`], [`get`], [`top_up`], …) each do
-//! one thing and return a typed report that prints as text or as JSON.
+//! [`Client`] finds the leader. Each action ([`apply`], [`get`], [`top_up`], …) returns a typed
+//! report that prints as text or as JSON.
 
 mod change;
 mod client;
@@ -34,8 +34,8 @@
 pub use drain::drain;
 pub use error::{ExitCode, OperatorError};
 pub use explain::{Explanation, explain};
-pub use log_line::Told;
-pub use losses::{Loss, Losses, Second, Spent, losses};
+pub use log_line::LogLine;
+pub use losses::{BudgetSpending, Loss, Losses, SecondCounts, losses};
 pub use order::order;
 pub use read::{audit, budgets, diff, get, members, status};
 pub use report::{
--- a/crates/anvilreel/src/operator/change.rs
+++ b/crates/anvilreel/src/operator/change.rs
@@ -1,4 +1,4 @@
-//! Changes: documents, top-ups and write-offs.
+//! Changes: documents, top-ups, write-offs and drains.
 
 use std::path::Path;
 use std::time::SystemTime;
@@ -12,18 +12,18 @@
 
 use super::client::Client;
 use super::error::{FileSnafu, OperatorError, PathSnafu, SettingsSnafu};
-use super::read::entry;
+use super::read::read_document;
 use super::report::{Receipt, Spread};
 
-/// Time between looks at how far a change has spread.
-const LOOK_AGAIN: Duration = Duration::from_millis(200);
+/// Interval at which the rollout of a change is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A change that was committed, and how far it got.
+/// A committed change and its rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Applied {
-    /// That it is committed.
+    /// Receipt of the committed change.
     pub receipt: Receipt,
-    /// Where it is in force.
+    /// Where the change is in force.
     pub spread: Spread,
 }
 
@@ -33,15 +33,16 @@
     }
 }
 
-/// An id that no other client picks: the time, then random bits.
-fn fresh_id() -> ChangeId {
+/// A unique change id: the time, then random bits.
+fn new_change_id() -> ChangeId {
     let random: u64 = rand::random();
     change_id(SystemTime::now(), &format!("{random:016x}"))
 }
 
-/// Writes or removes one document, then waits until it is in force everywhere or time is up.
+/// Writes or removes one document, then waits until the change is in force everywhere or the
+/// client's timeout has passed.
 ///
-/// Without `expected` the document is read first and the change rests on what was read.
+/// Without `expected`, the current revision is read first and is the one expected.
 pub async fn apply(
     client: &Client,
     path: TreePath,
@@ -54,11 +55,11 @@
     }
     let expected = match expected {
         Some(expected) => expected,
-        None => entry(client, &path)
+        None => read_document(client, &path)
             .await?
             .map_or(0, |entry| entry.revision),
     };
-    let id = id.unwrap_or_else(fresh_id);
+    let id = id.unwrap_or_else(new_change_id);
     let change = Change {
         id: id.clone(),
         operator: client.operator().clone(),
@@ -67,20 +68,20 @@
         edit,
         at: SystemTime::now(),
     };
-    let receipt = changed(client, &id, Command::Change(change)).await?;
+    let receipt = propose_change(client, &id, Command::Change(change)).await?;
     let spread = wait_in_force(client, receipt.revision).await?;
     Ok(Applied { receipt, spread })
 }
 
-/// The documents below a folder, in an order in which each finds what it names.
+/// Reads the documents below a folder, ordered so that each comes after those it refers to.
 ///
 /// A file `teams/counter.toml` is the document `teams/counter`.
 pub fn change_paths(folder: &Path) -> Result<Vec<(TreePath, String)>, OperatorError> {
     let kinds = ["organisations", "services", "budgets", "models", "teams"];
-    let mut found = Vec::new();
+    let mut documents = Vec::new();
     let fleet = folder.join("fleet.toml");
     if fleet.exists() {
-        found.push((TreePath::Fleet, read_file(&fleet)?));
+        documents.push((TreePath::Fleet, read_file(&fleet)?));
     }
     for kind in kinds {
         let folder = folder.join(kind);
@@ -99,24 +100,24 @@
         {
             let name = file.file_stem().unwrap_or_default().to_string_lossy();
             let path = TreePath::try_from(format!("{kind}/{name}")).context(PathSnafu)?;
-            found.push((path, read_file(file)?));
+            documents.push((path, read_file(file)?));
         }
     }
-    Ok(found)
+    Ok(documents)
 }
 
 fn read_file(file: &Path) -> Result<String, OperatorError> {
     std::fs::read_to_string(file).context(FileSnafu { file })
 }
 
-/// Pays tokens into a budget. Under the same id they are paid once, however often it is sent.
+/// Credits tokens to a budget. Idempotent: under the same id they are credited only once.
 pub async fn top_up(
     client: &Client,
     budget: BudgetId,
     amount: Tokens,
     id: Option<ChangeId>,
 ) -> Result<Receipt, OperatorError> {
-    let id = id.unwrap_or_else(fresh_id);
+    let id = id.unwrap_or_else(new_change_id);
     let top_up = TopUp {
         id: id.clone(),
         operator: client.operator().clone(),
@@ -124,17 +125,18 @@
         amount,
         at: SystemTime::now(),
     };
-    changed(client, &id, Command::TopUp(top_up)).await
+    propose_change(client, &id, Command::TopUp(top_up)).await
 }
 
-/// Gives up a fenced grant whose evidence is lost: bills a part of it, the rest goes back.
+/// Closes a fenced grant whose evidence is lost: charges `bill` tokens of it to the budget, and
+/// returns the rest.
 pub async fn write_off(
     client: &Client,
     grant: GrantId,
     bill: Tokens,
     id: Option<ChangeId>,
 ) -> Result<Receipt, OperatorError> {
-    let id = id.unwrap_or_else(fresh_id);
+    let id = id.unwrap_or_else(new_change_id);
     let write_off = WriteOff {
         id: id.clone(),
         operator: client.operator().clone(),
@@ -142,26 +144,27 @@
         bill,
         at: SystemTime::now(),
     };
-    changed(client, &id, Command::WriteOff(write_off)).await
+    propose_change(client, &id, Command::WriteOff(write_off)).await
 }
 
-/// Sends a drain of an instance in its present life.
-pub(super) async fn drain_command(
+/// Proposes the drain of an instance, for its current incarnation.
+pub(super) async fn propose_drain(
     client: &Client,
     instance: InstanceId,
     id: Option<ChangeId>,
 ) -> Result<Receipt, OperatorError> {
-    let id = id.unwrap_or_else(fresh_id);
+    let id = id.unwrap_or_else(new_change_id);
     let drain = anvil_world::command::Drain {
         id: id.clone(),
         operator: client.operator().clone(),
         instance,
         at: SystemTime::now(),
     };
-    changed(client, &id, Command::Drain(drain)).await
+    propose_change(client, &id, Command::Drain(drain)).await
 }
 
-async fn changed(
+/// Proposes a command whose reply is a change receipt.
+async fn propose_change(
     client: &Client,
     id: &ChangeId,
     command: Command,
@@ -172,7 +175,7 @@
     }
 }
 
-/// Where a version is in force now.
+/// Queries where a version is in force.
 pub async fn in_force(client: &Client, revision: Revision) -> Result<Spread, OperatorError> {
     match client.query(Query::InForce(revision)).await? {
         QueryAnswer::InForce(in_force) => Ok(Spread::new(revision, in_force)),
@@ -180,7 +183,7 @@
     }
 }
 
-/// Looks until a version is in force everywhere or the client's time is up.
+/// Polls until a version is in force everywhere or the client's timeout has passed.
 pub(super) async fn wait_in_force(
     client: &Client,
     revision: Revision,
@@ -191,6 +194,6 @@
         if spread.everywhere() || Instant::now() >= deadline {
             return Ok(spread);
         }
-        sleep(LOOK_AGAIN).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/anvilreel/src/operator/client.rs
+++ b/crates/anvilreel/src/operator/client.rs
@@ -1,4 +1,5 @@
-//! The operators' side of [`LedgerClient`]: who asks, how long, and what is known at the end.
+//! The operators' wrapper around [`LedgerClient`]: adds the operator's name and a timeout, and
+//! maps failures to errors that say whether a change was made.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,52 +11,53 @@
 use super::OperatorError;
 use crate::ledger_client::{LedgerClient, LedgerError};
 
-/// A client of the ledger's replicas.
+/// A client of the ledger, for one operator.
 #[derive(Clone)]
 pub struct Client {
     ledger: Arc<LedgerClient>,
-    tried: Vec<SocketAddr>,
+    addrs: Vec<SocketAddr>,
     operator: OperatorId,
     within: Duration,
 }
 
 impl Client {
-    /// A client of these replicas, with 10 s for each action.
+    /// Creates a client of these replicas, with a timeout of 10 s for each action.
     pub fn new(ledgers: &[SocketAddr]) -> Self {
         Self {
             ledger: Arc::new(LedgerClient::new(ledgers)),
-            tried: ledgers.to_vec(),
+            addrs: ledgers.to_vec(),
             operator: "operator".into(),
             within: Duration::from_secs(10),
         }
     }
 
-    /// Who the changes are made by.
+    /// Sets the operator recorded with each change.
     pub fn with_operator(mut self, operator: OperatorId) -> Self {
         self.operator = operator;
         self
     }
 
-    /// How long an action may take.
+    /// Sets the timeout of an action.
     pub fn with_time(mut self, within: Duration) -> Self {
         self.within = within;
         self
     }
 
-    /// Who the changes are made by.
+    /// The operator recorded with each change.
     pub fn operator(&self) -> &OperatorId {
         &self.operator
     }
 
-    /// How long an action may take.
+    /// The timeout of an action.
     pub fn within(&self) -> Duration {
         self.within
     }
 
-    /// Puts a command into the log, resending it under the same id while the end is in doubt.
+    /// Appends a command to the ledger's log, resending it under the same id while its outcome is
+    /// in doubt.
     ///
-    /// Failure: the leader dies after it committed and before it answered. Asking the next
-    /// leader again is safe, for the ledger gives a known id its first answer.
+    /// A leader may crash after it has committed the command and before it has replied. Resending
+    /// to the next leader is safe, because the ledger replies to a known id with the first answer.
     pub async fn propose(&self, id: &ChangeId, command: Command) -> Result<Answer, OperatorError> {
         match self.ledger.propose(command, self.within).await {
             Ok(Answer::Denied(source)) => Err(OperatorError::Denied { source }),
@@ -66,20 +68,20 @@
         }
     }
 
-    /// Reads, confirmed by a majority.
+    /// Reads from the ledger; the answer is confirmed by a majority.
     pub async fn query(&self, query: Query) -> Result<QueryAnswer, OperatorError> {
         match self.ledger.query(query, self.within).await {
             Ok(answer) => Ok(answer),
             Err(LedgerError::WrongKind) => Err(OperatorError::Unexpected),
-            // A read changes nothing, so a lost answer is as good as none.
+            // A read changes nothing, so a lost reply is never in doubt.
             Err(_) => Err(self.not_done()),
         }
     }
 
     fn not_done(&self) -> OperatorError {
-        let tried: Vec<_> = self.tried.iter().map(ToString::to_string).collect();
+        let addrs: Vec<_> = self.addrs.iter().map(ToString::to_string).collect();
         OperatorError::NotDone {
-            tried: tried.join(", "),
+            tried: addrs.join(", "),
         }
     }
 }
--- a/crates/anvilreel/src/operator/drain.rs
+++ b/crates/anvilreel/src/operator/drain.rs
@@ -1,19 +1,20 @@
-//! Emptying an instance.
+//! Draining an instance.
 
 use anvil_world::prelude::*;
 
-use super::change::{Applied, drain_command, wait_in_force};
+use super::change::{Applied, propose_drain, wait_in_force};
 use super::{Client, OperatorError};
 
-/// Marks an instance as leaving and waits until everybody knows.
+/// Marks an instance as leaving and waits until the change is in force everywhere or the client's
+/// timeout has passed.
 ///
-/// It finishes what it has; no new work reaches it once the change is in force.
+/// The instance finishes its work in flight and receives no new work once the change is in force.
 pub async fn drain(
     client: &Client,
     instance: InstanceId,
     id: Option<ChangeId>,
 ) -> Result<Applied, OperatorError> {
-    let receipt = drain_command(client, instance, id).await?;
+    let receipt = propose_drain(client, instance, id).await?;
     let spread = wait_in_force(client, receipt.revision).await?;
     Ok(Applied { receipt, spread })
 }
--- a/crates/anvilreel/src/operator/error.rs
+++ b/crates/anvilreel/src/operator/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong for an operator, told as far as it is known.
+//! Errors of operator actions. They distinguish what was certainly not done from what is unknown.
 
 use std::path::PathBuf;
 
@@ -8,21 +8,21 @@
 use anvil_world::prelude::*;
 use snafu::Snafu;
 
-/// How the command ends for the shell.
+/// Exit status of the command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ExitCode {
     /// Done.
     Done = 0,
-    /// The command line, a file or its contents are wrong; nothing was sent.
+    /// The command line, a file or its contents are invalid; nothing was sent.
     Wrong = 2,
     /// The ledger refused; nothing was changed.
     Denied = 3,
-    /// The ledger could not be asked; nothing was changed.
+    /// The ledger could not be reached; nothing was changed.
     NotDone = 4,
-    /// It may or may not have been done: resend under the same id.
+    /// The outcome is unknown; resend under the same id.
     NotKnown = 5,
-    /// Committed, but not in force everywhere within the time.
+    /// Committed, but not in force everywhere within the timeout.
     NotEverywhere = 6,
 }
 
@@ -30,68 +30,68 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum OperatorError {
-    /// No leader with a majority answered; nothing was changed.
-    #[snafu(display("not done: no leader with a majority answered at {tried}"))]
+    /// No leader with a majority replied; nothing was changed.
+    #[snafu(display("not done: no leader with a majority replied at {tried}"))]
     NotDone {
-        /// The addresses.
+        /// The addresses that were tried.
         tried: String,
     },
-    /// The answer was lost and could not be had again.
+    /// The reply was lost, and so were those to the resent change.
     #[snafu(display(
-        "not known: the answer to change {id} was lost; it may be in force. \
-         Send it again with --id {id} to learn which; it is not made twice"
+        "outcome unknown: the reply to change {id} was lost; the change may be in force. \
+         Send it again with --id {id} to find out; it is not made twice"
     ))]
     NotKnown {
         /// The id to resend with.
         id: ChangeId,
     },
-    /// The ledger refused.
+    /// The ledger refused; nothing was changed.
     #[snafu(display("not done: {source}"))]
     Denied {
-        /// Why.
+        /// Cause.
         source: Denial,
     },
-    /// The ledger answered something else than was asked.
-    #[snafu(display("the ledger answered in a way this client doesn't understand"))]
+    /// The reply is not of the expected kind.
+    #[snafu(display("outcome unknown: the reply is of a kind that this client doesn't expect"))]
     Unexpected,
-    /// Settings text that is not accepted; nothing was sent.
+    /// Invalid settings text; nothing was sent.
     #[snafu(display("{source}"))]
     Settings {
-        /// Path, line, what was found and what is allowed.
+        /// Path, line, the value found and the values allowed.
         source: SettingsError,
     },
-    /// A path that is not one.
+    /// Invalid path of a document.
     #[snafu(display("{source}"))]
     Path {
-        /// What is allowed.
+        /// Cause, with what is allowed.
         source: PathError,
     },
     /// A file that can't be read.
     #[snafu(display("{}: {source}", file.display()))]
     File {
-        /// Which.
+        /// Path of the file.
         file: PathBuf,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// The sidecar could not be reached. The fencing number is used up; order again.
-    #[snafu(display("not known: the sidecar {sidecar} did not answer: {source}"))]
+    /// The sidecar did not reply. The fencing number is used up; a new order takes another one.
+    #[snafu(display("outcome unknown: the sidecar {sidecar} did not reply: {source}"))]
     Sidecar {
-        /// Which.
+        /// The sidecar.
         sidecar: InstanceId,
-        /// Why.
+        /// Cause.
         source: WireError,
     },
     /// No such instance.
     #[snafu(display("no such instance: {id}"))]
     NoInstance {
-        /// The name.
+        /// Name that was given.
         id: InstanceId,
     },
 }
 
 impl OperatorError {
-    /// The exit code that goes with it.
+    /// The exit code for this error.
     pub fn exit_code(&self) -> ExitCode {
         match self {
             Self::NotDone { .. } => ExitCode::NotDone,
--- a/crates/anvilreel/src/operator/explain.rs
+++ b/crates/anvilreel/src/operator/explain.rs
@@ -1,14 +1,15 @@
-//! Tells one request's way out of the logs of several processes.
+//! Collects the log lines of one request from the logs of several processes.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use serde::Serialize;
 
-use super::log_line::Told;
+use super::log_line::LogLine;
 
-/// Log lines of beliefs that decide what becomes of requests, by their message.
-const BELIEFS: [&str; 10] = [
+/// Messages of log lines that record a process's view of the fleet, which decides how it handles
+/// requests.
+const VIEW_MESSAGES: [&str; 10] = [
     "gateway_table_in_force",
     "gateway_out_of_touch",
     "gateway_in_touch",
@@ -21,44 +22,47 @@
     "gateway_leaving",
 ];
 
-/// A request's way, in order of time.
+/// The log lines of one request, in order of time.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Explanation {
-    /// The id that was asked for.
+    /// Id of the request.
     pub request: String,
-    /// Its lines, each behind the beliefs that its process held then.
-    pub lines: Vec<Told>,
-    /// Lines that could not be read, and were passed over.
+    /// The request's lines, each preceded by the lines that show its process's view at that time.
+    pub lines: Vec<LogLine>,
+    /// Lines that could not be parsed and were skipped.
     pub unreadable: usize,
 }
 
-/// Reads logs, each under the name of its process, for the lines of one request.
+/// Collects the lines of one request from logs, given as pairs of process name and text.
 pub fn explain<'a>(request: &str, logs: impl Iterator<Item = (&'a str, &'a str)>) -> Explanation {
-    let mut found = Explanation {
+    let mut explanation = Explanation {
         request: request.into(),
         ..Explanation::default()
     };
     for (process, text) in logs {
-        read_log(&mut found, process, text);
+        read_log(&mut explanation, process, text);
     }
-    found.lines.sort_by(|a, b| a.at.cmp(&b.at));
-    found
+    explanation.lines.sort_by(|a, b| a.at.cmp(&b.at));
+    explanation
 }
 
-fn read_log(found: &mut Explanation, process: &str, text: &str) {
-    let mut beliefs: BTreeMap<&str, Told> = BTreeMap::new();
+fn read_log(explanation: &mut Explanation, process: &str, text: &str) {
+    let mut view_lines: BTreeMap<&str, LogLine> = BTreeMap::new();
     for line in text.lines().filter(|line| !line.trim().is_empty()) {
-        let Some(told) = Told::read(process, line) else {
-            found.unreadable += 1;
+        let Some(parsed) = LogLine::parse(process, line) else {
+            explanation.unreadable += 1;
             continue;
         };
-        if told.values.get("request") == Some(&found.request) {
-            found
+        if parsed.values.get("request") == Some(&explanation.request) {
+            explanation
                 .lines
-                .extend(std::mem::take(&mut beliefs).into_values());
-            found.lines.push(told);
-        } else if let Some(belief) = BELIEFS.iter().find(|belief| **belief == told.message) {
-            beliefs.insert(belief, told);
+                .extend(std::mem::take(&mut view_lines).into_values());
+            explanation.lines.push(parsed);
+        } else if let Some(message) = VIEW_MESSAGES
+            .iter()
+            .find(|message| **message == parsed.message)
+        {
+            view_lines.insert(message, parsed);
         }
     }
 }
--- a/crates/anvilreel/src/operator/log_line.rs
+++ b/crates/anvilreel/src/operator/log_line.rs
@@ -1,32 +1,32 @@
-//! One line of a process's log, read back.
+//! Parsing of the log lines that processes write.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 use serde_json::Value;
 
-/// One line of a log.
+/// One parsed line of a process's log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Told {
-    /// When, as the line says; all processes write it in the same form.
+pub struct LogLine {
+    /// Timestamp as written in the line. All processes use the same format, so it sorts by time.
     pub at: String,
-    /// Whose log it stands in.
+    /// Name of the process that wrote the line.
     pub process: String,
-    /// What it says.
+    /// Message of the line.
     pub message: String,
-    /// Everything else that it holds, in the order of its keys.
+    /// All other values of the line, ordered by key.
     pub values: BTreeMap<String, String>,
 }
 
-impl Told {
-    /// Reads one line; `None` when it is none of ours.
-    pub fn read(process: &str, line: &str) -> Option<Self> {
-        // A collector may have put something before the line.
+impl LogLine {
+    /// Parses one line; `None` if it holds no JSON object.
+    pub fn parse(process: &str, line: &str) -> Option<Self> {
+        // A log collector may have added a prefix to the line.
         let json = &line[line.find('{')?..];
         let Ok(Value::Object(fields)) = serde_json::from_str(json) else {
             return None;
         };
-        let mut told = Self {
+        let mut parsed = Self {
             at: String::new(),
             process: process.into(),
             message: String::new(),
@@ -38,22 +38,22 @@
                 other => other.to_string(),
             };
             match key.as_str() {
-                "ts" => told.at = text,
-                "msg" => told.message = text,
+                "ts" => parsed.at = text,
+                "msg" => parsed.message = text,
                 _ => {
-                    told.values.insert(key, text);
+                    parsed.values.insert(key, text);
                 }
             }
         }
-        Some(told)
+        Some(parsed)
     }
 
-    /// A value as text; empty where there is none.
+    /// A value as text; empty if the key is absent.
     pub fn text(&self, key: &str) -> &str {
         self.values.get(key).map_or("", String::as_str)
     }
 
-    /// A value as a number; `None` where there is none.
+    /// A value as a number; `None` if the key is absent or the value is not a number.
     pub fn number(&self, key: &str) -> Option<u64> {
         self.values.get(key)?.parse().ok()
     }
--- a/crates/anvilreel/src/operator/losses.rs
+++ b/crates/anvilreel/src/operator/losses.rs
@@ -1,7 +1,7 @@
-//! Adds up what requests were lost to, out of the logs of several processes.
+//! Aggregates failed requests and spent tokens from the logs of several processes.
 //!
-//! Where [`super::explain`] tells one request's way, this tells which decisions cost how many requests, in
-//! which seconds, and where each budget's tokens went.
+//! While [`super::explain`] shows one request, this reports which decisions made how many requests
+//! fail, in which seconds, and what each budget's tokens were spent on.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -9,240 +9,244 @@
 
 use serde::Serialize;
 
-use super::log_line::Told;
+use super::log_line::LogLine;
 
 const COMPLETED: &str = "gateway_request_completed";
 const FAILED: &str = "gateway_request_failed";
 const GRANTS: &str = "gateway_grants";
-const CONFIGURATION: &str = "configuration_taken";
-const BILL_DROPPED: &str = "gateway_bill_dropped";
+const CONFIGURATION_APPLIED: &str = "configuration_taken";
+const CHARGE_DROPPED: &str = "gateway_bill_dropped";
 
-/// Length of a log's time up to the second.
-const TO_THE_SECOND: usize = 19;
-/// Seconds and decisions that are printed.
-const MOST_PRINTED: usize = 20;
+/// Length of the prefix of a timestamp that ends with the seconds.
+const SECOND_PREFIX_LEN: usize = 19;
+/// Maximum number of seconds, and of decisions, that the text report prints.
+const MAX_PRINTED: usize = 20;
 
-/// Requests that ended alike, for the same reason.
+/// Failed requests with the same outcome and the same decisions.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Loss {
-    /// How they ended.
+    /// Their outcome.
     pub outcome: String,
-    /// The last decisions on them, with names, numbers and times left out.
+    /// The last decisions before it, without names, numbers and times.
     pub decision: String,
-    /// How many.
+    /// Number of requests.
     pub requests: usize,
-    /// The first one's time.
+    /// Time at which the first one ended.
     pub first: String,
-    /// The last one's time.
+    /// Time at which the last one ended.
     pub last: String,
-    /// The first one's id, for `explain`.
+    /// Id of the first one, for `explain`.
     pub example: String,
 }
 
-/// What ended in one second.
+/// Counts of the requests that ended in one second.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
-pub struct Second {
-    /// Which.
+pub struct SecondCounts {
+    /// The second, as a timestamp.
     pub at: String,
     /// Requests that ended in it.
     pub requests: usize,
-    /// Those of them that did not complete.
+    /// Requests that ended in it without completing.
     pub failed: usize,
 }
 
-/// Where one budget's tokens went.
+/// What one budget's tokens were spent on.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
-pub struct Spent {
-    /// Which budget.
+pub struct BudgetSpending {
+    /// Name of the budget.
     pub budget: String,
-    /// What it was worth in all, by the newest configuration.
+    /// Tokens credited in total, according to the newest configuration.
     pub credited: u64,
-    /// Billed for requests that completed.
+    /// Tokens billed for completed requests.
     pub completed: u64,
-    /// Billed for requests that ended after a part of their answer.
+    /// Tokens billed for requests that ended after a part of their response was delivered.
     pub partly: u64,
-    /// Billed for requests of whose answer nothing was delivered.
+    /// Tokens billed for requests of whose response nothing was delivered.
     pub undelivered: u64,
-    /// Left to be granted, by the ledger's last refusal.
+    /// Tokens not granted yet, according to the ledger's last refusal.
     pub left: Option<u64>,
-    /// In grants that were open then: set aside by running requests, idle, or lost with a process.
+    /// Tokens in open grants at that time: reserved by running requests, idle, or lost with a
+    /// process.
     pub granted: Option<u64>,
-    /// Requests that it could not pay for.
+    /// Requests refused because the budget could not pay for them.
     pub refused: usize,
 }
 
-impl Spent {
-    /// Tokens that the ledger has billed or lost and no line tells of: requests of processes that died,
-    /// and lines that were dropped. `None` before the ledger has refused anything.
-    pub fn untold(&self) -> Option<u64> {
-        let known = self.left? + self.granted?;
-        let told = self.completed + self.partly + self.undelivered;
-        Some(self.credited.saturating_sub(known).saturating_sub(told))
+impl BudgetSpending {
+    /// Tokens that were billed or lost and appear in no log line, because the process crashed or
+    /// the line was dropped. `None` if the ledger has not refused anything yet.
+    pub fn unaccounted(&self) -> Option<u64> {
+        let unspent = self.left? + self.granted?;
+        let logged = self.completed + self.partly + self.undelivered;
+        Some(self.credited.saturating_sub(unspent).saturating_sub(logged))
     }
 }
 
-/// What requests were lost to.
+/// Report on failed requests and spent tokens.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Losses {
     /// Requests whose end was logged.
     pub requests: usize,
-    /// Those of them that completed.
+    /// Requests that completed.
     pub completed: usize,
-    /// The others by reason, the most frequent first.
+    /// The other requests by reason, the most frequent reason first.
     pub losses: Vec<Loss>,
-    /// Seconds in which requests were lost, the worst first.
-    pub seconds: Vec<Second>,
-    /// Budgets by name.
-    pub budgets: Vec<Spent>,
-    /// Lines that could not be read, and were passed over.
+    /// Seconds in which requests failed, the one with the most failures first.
+    pub seconds: Vec<SecondCounts>,
+    /// Budgets, ordered by name.
+    pub budgets: Vec<BudgetSpending>,
+    /// Lines that could not be parsed and were skipped.
     pub unreadable: usize,
 }
 
 #[derive(Default)]
-struct Counting {
-    found: Losses,
+struct Aggregation {
+    report: Losses,
     losses: BTreeMap<(String, String), Loss>,
-    seconds: BTreeMap<String, Second>,
-    budgets: BTreeMap<String, Spent>,
+    seconds: BTreeMap<String, SecondCounts>,
+    budgets: BTreeMap<String, BudgetSpending>,
     /// When each budget's last refusal was logged.
     refused_at: BTreeMap<String, String>,
-    /// When the newest configuration was taken.
+    /// When the newest configuration was applied.
     configured_at: String,
-    /// Bills by request, to be taken back where one was dropped.
-    bills: BTreeMap<String, (String, u64)>,
-    dropped: Vec<String>,
+    /// Charges for undelivered responses by request, with the budget; subtracted again if the
+    /// charge was dropped.
+    undelivered_charges: BTreeMap<String, (String, u64)>,
+    dropped_charges: Vec<String>,
 }
 
-/// Reads logs, each under the name of its process.
+/// Aggregates logs, given as pairs of process name and text.
 pub fn losses<'a>(logs: impl Iterator<Item = (&'a str, &'a str)>) -> Losses {
-    let mut counting = Counting::default();
+    let mut aggregation = Aggregation::default();
     for (process, text) in logs {
         for line in text.lines().filter(|line| !line.trim().is_empty()) {
-            match Told::read(process, line) {
-                Some(told) => counting.take(&told),
-                None => counting.found.unreadable += 1,
+            match LogLine::parse(process, line) {
+                Some(parsed) => aggregation.record(&parsed),
+                None => aggregation.report.unreadable += 1,
             }
         }
     }
-    counting.finish()
+    aggregation.finish()
 }
 
-impl Counting {
-    fn take(&mut self, told: &Told) {
-        match told.message.as_str() {
-            COMPLETED => self.ended(told, true),
-            FAILED => self.ended(told, false),
-            GRANTS => self.refusals(told),
-            CONFIGURATION => self.credits(told),
-            BILL_DROPPED => self.dropped.push(told.text("request").into()),
+impl Aggregation {
+    fn record(&mut self, line: &LogLine) {
+        match line.message.as_str() {
+            COMPLETED => self.record_end(line, true),
+            FAILED => self.record_end(line, false),
+            GRANTS => self.record_refusals(line),
+            CONFIGURATION_APPLIED => self.record_credits(line),
+            CHARGE_DROPPED => self.dropped_charges.push(line.text("request").into()),
             _ => {}
         }
     }
 
-    fn ended(&mut self, told: &Told, completed: bool) {
-        self.found.requests += 1;
-        let at: String = told.at.chars().take(TO_THE_SECOND).collect();
+    fn record_end(&mut self, line: &LogLine, completed: bool) {
+        self.report.requests += 1;
+        let at: String = line.at.chars().take(SECOND_PREFIX_LEN).collect();
         let second = self.seconds.entry(at.clone()).or_default();
         second.at = at;
         second.requests += 1;
         second.failed += usize::from(!completed);
-        self.bill(told, completed);
+        self.record_charge(line, completed);
         if completed {
-            self.found.completed += 1;
+            self.report.completed += 1;
             return;
         }
-        let outcome = told.text("outcome");
-        let decision = without_particulars(told.text("steps"));
+        let outcome = line.text("outcome");
+        let decision = without_details(line.text("steps"));
         let key = (outcome.to_owned(), decision);
         let loss = self.losses.entry(key.clone()).or_default();
-        if loss.requests == 0 || told.at < loss.first {
-            loss.first.clone_from(&told.at);
-            loss.example = told.text("request").into();
+        if loss.requests == 0 || line.at < loss.first {
+            loss.first.clone_from(&line.at);
+            loss.example = line.text("request").into();
         }
-        loss.last = loss.last.clone().max(told.at.clone());
+        loss.last = loss.last.clone().max(line.at.clone());
         loss.requests += 1;
         (loss.outcome, loss.decision) = key;
     }
 
-    fn bill(&mut self, told: &Told, completed: bool) {
-        let organisation = told.text("organisation");
+    fn record_charge(&mut self, line: &LogLine, completed: bool) {
+        let organisation = line.text("organisation");
         if organisation.is_empty() || organisation == "null" {
             return;
         }
-        let billed = told.number("billed").unwrap_or(0);
+        let billed = line.number("billed").unwrap_or(0);
         let spent = self.budgets.entry(organisation.into()).or_default();
-        let begun = told.number("first_ms").is_some_and(|ms| ms > 0);
-        let part = match (completed, begun) {
+        let delivery_begun = line.number("first_ms").is_some_and(|ms| ms > 0);
+        let part = match (completed, delivery_begun) {
             (true, _) => &mut spent.completed,
             (false, true) => &mut spent.partly,
             (false, false) => &mut spent.undelivered,
         };
         *part += billed;
-        spent.refused += usize::from(told.text("outcome").starts_with("budget_"));
-        if !completed && !begun && billed > 0 {
-            let bill = (organisation.to_owned(), billed);
-            self.bills.insert(told.text("request").into(), bill);
+        spent.refused += usize::from(line.text("outcome").starts_with("budget_"));
+        if !completed && !delivery_begun && billed > 0 {
+            let charge = (organisation.to_owned(), billed);
+            self.undelivered_charges
+                .insert(line.text("request").into(), charge);
         }
     }
 
-    fn refusals(&mut self, told: &Told) {
-        for refusal in told.text("refused").split("GrantRefusal").skip(1) {
+    fn record_refusals(&mut self, line: &LogLine) {
+        for refusal in line.text("refused").split("GrantRefusal").skip(1) {
             let Some(budget) = refusal.split('"').nth(1) else {
                 continue;
             };
             let at = self.refused_at.entry(budget.into()).or_default();
-            if *at > told.at {
+            if *at > line.at {
                 continue;
             }
-            at.clone_from(&told.at);
+            at.clone_from(&line.at);
             let spent = self.budgets.entry(budget.into()).or_default();
             spent.left = number_after(refusal, "left: ");
             spent.granted = number_after(refusal, "outstanding: ");
         }
     }
 
-    fn credits(&mut self, told: &Told) {
-        let credits = serde_json::from_str::<BTreeMap<String, u64>>(told.text("credits"));
+    fn record_credits(&mut self, line: &LogLine) {
+        let credits = serde_json::from_str::<BTreeMap<String, u64>>(line.text("credits"));
         let Ok(credits) = credits else {
-            self.found.unreadable += 1;
+            self.report.unreadable += 1;
             return;
         };
-        if self.configured_at > told.at {
+        if self.configured_at > line.at {
             return;
         }
-        self.configured_at.clone_from(&told.at);
+        self.configured_at.clone_from(&line.at);
         for (budget, credited) in credits {
             self.budgets.entry(budget).or_default().credited = credited;
         }
     }
 
     fn finish(mut self) -> Losses {
-        for request in &self.dropped {
-            if let Some((budget, tokens)) = self.bills.remove(request) {
+        for request in &self.dropped_charges {
+            if let Some((budget, tokens)) = self.undelivered_charges.remove(request) {
                 let spent = self.budgets.entry(budget).or_default();
                 spent.undelivered = spent.undelivered.saturating_sub(tokens);
             }
         }
-        let mut found = self.found;
-        found.losses = self.losses.into_values().collect();
-        found.losses.sort_by_key(|loss| Reverse(loss.requests));
-        let lost = self
+        let mut report = self.report;
+        report.losses = self.losses.into_values().collect();
+        report.losses.sort_by_key(|loss| Reverse(loss.requests));
+        let with_failures = self
             .seconds
             .into_values()
             .filter(|second| second.failed > 0);
-        found.seconds = lost.collect();
-        found.seconds.sort_by_key(|second| Reverse(second.failed));
+        report.seconds = with_failures.collect();
+        report.seconds.sort_by_key(|second| Reverse(second.failed));
         let named = self
             .budgets
             .into_iter()
-            .map(|(budget, spent)| Spent { budget, ..spent });
-        found.budgets = named.collect();
-        found
+            .map(|(budget, spent)| BudgetSpending { budget, ..spent });
+        report.budgets = named.collect();
+        report
     }
 }
 
-/// A request's steps with what differs from request to request left out, so that equal reasons look alike.
-fn without_particulars(steps: &str) -> String {
+/// Removes all words with digits from a request's steps: names, numbers and times, which differ
+/// between requests with equal decisions.
+fn without_details(steps: &str) -> String {
     let words = steps
         .split_whitespace()
         .filter(|word| !word.contains(|c: char| c.is_ascii_digit()));
@@ -260,7 +264,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let failed = self.requests - self.completed;
         writeln!(f, "{} requests, {failed} not completed", self.requests)?;
-        for loss in self.losses.iter().take(MOST_PRINTED) {
+        for loss in self.losses.iter().take(MAX_PRINTED) {
             writeln!(
                 f,
                 "{:6} {}: {} (from {} to {}, such as {})",
@@ -268,7 +272,7 @@
             )?;
         }
         writeln!(f, "worst seconds: not completed of all")?;
-        for second in self.seconds.iter().take(MOST_PRINTED) {
+        for second in self.seconds.iter().take(MAX_PRINTED) {
             writeln!(f, "{} {} of {}", second.at, second.failed, second.requests)?;
         }
         writeln!(
@@ -288,7 +292,7 @@
                 spent.undelivered,
                 known(spent.left),
                 known(spent.granted),
-                known(spent.untold()),
+                known(spent.unaccounted()),
                 spent.refused
             )?;
         }
--- a/crates/anvilreel/src/operator/order.rs
+++ b/crates/anvilreel/src/operator/order.rs
@@ -13,21 +13,22 @@
 use super::report::OrderReport;
 use super::{Client, OperatorError};
 
-/// Loading a model takes the weight store's time.
-const PATIENCE: Duration = Duration::from_mins(10);
+/// Timeout of an order. Long, because loading a model's weights from the weight store takes
+/// minutes.
+const ORDER_TIMEOUT: Duration = Duration::from_mins(10);
 
-/// Takes the next fencing number from the ledger and gives the order to the sidecar.
+/// Obtains the next fencing number from the ledger and sends the order to the sidecar.
 pub async fn order(
     client: &Client,
     sidecar: InstanceId,
     kind: OrderKind,
 ) -> Result<OrderReport, OperatorError> {
     let started = Instant::now();
-    let fence = next_number(client, &sidecar, &kind).await?;
-    let addr = address_of(client, &sidecar).await?;
+    let fence = next_fence_number(client, &sidecar, &kind).await?;
+    let addr = sidecar_addr(client, &sidecar).await?;
     let req = SidecarRequest::Order { fence, kind };
     let call = Channel::new(addr);
-    let reply = call.call::<SidecarCall>(&req, PATIENCE).await;
+    let reply = call.call::<SidecarCall>(&req, ORDER_TIMEOUT).await;
     let context = SidecarSnafu {
         sidecar: sidecar.clone(),
     };
@@ -42,12 +43,13 @@
     })
 }
 
-async fn next_number(
+async fn next_fence_number(
     client: &Client,
     sidecar: &InstanceId,
     kind: &OrderKind,
 ) -> Result<FenceNumber, OperatorError> {
-    // Resending takes a further number, which is harmless, so this id is only for the message.
+    // The ledger does not deduplicate orders: resending only consumes another number, which is
+    // harmless. The id is used only in the error message.
     let id = change_id(SystemTime::now(), "order");
     let order = Order {
         sidecar: sidecar.clone(),
@@ -59,7 +61,7 @@
     }
 }
 
-async fn address_of(
+async fn sidecar_addr(
     client: &Client,
     sidecar: &InstanceId,
 ) -> Result<std::net::SocketAddr, OperatorError> {
--- a/crates/anvilreel/src/operator/read.rs
+++ b/crates/anvilreel/src/operator/read.rs
@@ -1,4 +1,4 @@
-//! Reading: documents, budgets, the audit trail and the state of the fleet.
+//! Queries: documents, budgets, the audit trail and the state of the fleet.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 use super::report::{AuditReport, BudgetReport, DiffReport, StatusReport, TreeReport};
 use super::{Client, OperatorError};
 
-/// Budgets asked for at a time.
-const PAGE: u32 = 1_000;
+/// Number of budgets requested at a time.
+const PAGE_SIZE: u32 = 1_000;
 
-/// Documents whose path starts with this text.
+/// Reads the documents whose path starts with this text.
 pub async fn get(client: &Client, prefix: &str) -> Result<TreeReport, OperatorError> {
     match client.query(Query::Tree(prefix.into())).await? {
         QueryAnswer::Tree(tree) => Ok(TreeReport(tree)),
@@ -21,8 +21,8 @@
     }
 }
 
-/// One document, where it is there.
-pub(super) async fn entry(
+/// Reads one document, if it exists.
+pub(super) async fn read_document(
     client: &Client,
     path: &TreePath,
 ) -> Result<Option<TreeEntry>, OperatorError> {
@@ -30,13 +30,13 @@
     Ok(tree.remove(path))
 }
 
-/// How a text differs from what stands in the tree.
+/// Compares a text with the document in the tree.
 pub async fn diff(
     client: &Client,
     path: TreePath,
     text: &str,
 ) -> Result<DiffReport, OperatorError> {
-    let entry = entry(client, &path).await?;
+    let entry = read_document(client, &path).await?;
     let revision = entry.as_ref().map_or(0, |entry| entry.revision);
     let old = entry.map(|entry| entry.text).unwrap_or_default();
     let diff = TextDiff::from_lines(&*old, text);
@@ -49,19 +49,24 @@
     })
 }
 
-/// One budget, or all of them.
+/// Reads one budget, or all of them.
 pub async fn budgets(
     client: &Client,
     one: Option<BudgetId>,
 ) -> Result<BudgetReport, OperatorError> {
     if let Some(id) = one {
-        return Ok(BudgetReport(page(client, Query::Budget(id)).await?));
+        return Ok(BudgetReport(
+            query_budgets(client, Query::Budget(id)).await?,
+        ));
     }
     let mut all: Vec<BudgetView> = Vec::new();
     loop {
         let after = all.last().map(|view| view.id.clone());
-        let query = Query::Budgets { after, limit: PAGE };
-        let more = page(client, query).await?;
+        let query = Query::Budgets {
+            after,
+            limit: PAGE_SIZE,
+        };
+        let more = query_budgets(client, query).await?;
         if more.is_empty() {
             return Ok(BudgetReport(all));
         }
@@ -69,14 +74,14 @@
     }
 }
 
-async fn page(client: &Client, query: Query) -> Result<Vec<BudgetView>, OperatorError> {
+async fn query_budgets(client: &Client, query: Query) -> Result<Vec<BudgetView>, OperatorError> {
     match client.query(query).await? {
         QueryAnswer::Budgets(views) => Ok(views),
         _ => Err(OperatorError::Unexpected),
     }
 }
 
-/// Lines of the audit trail.
+/// Reads lines of the audit trail.
 pub async fn audit(client: &Client, filter: AuditFilter) -> Result<AuditReport, OperatorError> {
     match client.query(Query::Audit(filter)).await? {
         QueryAnswer::Audit(lines) => Ok(AuditReport(lines)),
@@ -84,7 +89,7 @@
     }
 }
 
-/// All instances that were ever heard of.
+/// Reads all members, including those that are gone.
 pub async fn members(client: &Client) -> Result<BTreeMap<InstanceId, Member>, OperatorError> {
     match client.query(Query::Members).await? {
         QueryAnswer::Members(members) => Ok(members),
@@ -92,7 +97,7 @@
     }
 }
 
-/// How the ledger and the fleet are.
+/// Reads the state of the ledger and of the fleet.
 pub async fn status(client: &Client) -> Result<StatusReport, OperatorError> {
     let QueryAnswer::Status(ledger) = client.query(Query::Status).await? else {
         return Err(OperatorError::Unexpected);
--- a/crates/anvilreel/src/operator/report.rs
+++ b/crates/anvilreel/src/operator/report.rs
@@ -1,4 +1,4 @@
-//! What the actions report, as text for people and as JSON for programs.
+//! Reports of the operator actions, printed as text for people or as JSON for programs.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,14 +9,14 @@
 use anvil_world::prelude::*;
 use serde::Serialize;
 
-/// That a change was accepted.
+/// Receipt of a committed change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Receipt {
-    /// The change's id.
+    /// Id of the change.
     pub id: ChangeId,
-    /// The version it leads to.
+    /// Revision that the change has created.
     pub revision: Revision,
-    /// Whether the change had been made before and this is its first answer.
+    /// Whether the change had been committed before, so that this repeats its first receipt.
     pub resent: bool,
 }
 
@@ -32,14 +32,14 @@
 
 impl fmt::Display for Receipt {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let again = if self.resent {
-            " (made before; this is its first answer)"
+        let resent_note = if self.resent {
+            " (committed before; this repeats the first receipt)"
         } else {
             ""
         };
         write!(
             f,
-            "done: change {} at revision {}{again}",
+            "done: change {} at revision {}{resent_note}",
             self.id, self.revision
         )
     }
@@ -48,26 +48,26 @@
 /// Where a version is in force.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Spread {
-    /// The version asked about.
+    /// The version.
     pub revision: Revision,
-    /// Instances that have it in force.
+    /// Number of instances at which it is in force.
     pub there: usize,
-    /// Live instances that do not, and seconds since their last sign of life.
+    /// Live instances at which it is not, with the seconds since their last heartbeat.
     pub missing: BTreeMap<InstanceId, u64>,
 }
 
 impl Spread {
-    /// What the ledger says of one version.
-    pub fn new(revision: Revision, in_force: VersionRollout) -> Self {
-        let missing = in_force.missing.into_iter();
+    /// Converts the ledger's answer about one version.
+    pub fn new(revision: Revision, rollout: VersionRollout) -> Self {
+        let missing = rollout.missing.into_iter();
         Self {
             revision,
-            there: in_force.there.len(),
+            there: rollout.there.len(),
             missing: missing.map(|(id, ago)| (id, ago.as_secs())).collect(),
         }
     }
 
-    /// Whether nobody holds an older version.
+    /// Whether no live instance has an older version in force.
     pub fn everywhere(&self) -> bool {
         self.missing.is_empty()
     }
@@ -81,7 +81,7 @@
             self.revision, self.there
         )?;
         for (id, ago) in &self.missing {
-            write!(f, "\n  not yet at {id}, last heard of {ago} s ago")?;
+            write!(f, "\n  not yet at {id}, last heartbeat {ago} s ago")?;
         }
         Ok(())
     }
@@ -105,14 +105,14 @@
     }
 }
 
-/// How a file differs from what stands in the tree.
+/// Difference between a file and the document in the tree.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct DiffReport {
-    /// The document.
+    /// Path of the document.
     pub path: TreePath,
-    /// The revision it was compared with, 0 for none.
+    /// Revision of the document; 0 if it does not exist.
     pub revision: Revision,
-    /// Unified diff; empty when nothing differs.
+    /// Unified diff; empty if there is no difference.
     pub diff: String,
 }
 
@@ -187,14 +187,14 @@
         .try_for_each(|line| writeln!(f, "  {mark} {line}"))
 }
 
-/// How the ledger and the fleet are.
+/// State of the ledger and of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct StatusReport {
-    /// The ledger.
+    /// State of the ledger.
     pub ledger: LedgerStatus,
-    /// Where its newest version is in force.
+    /// Where the newest version is in force.
     pub spread: Spread,
-    /// Instances by state.
+    /// Members with their presence.
     pub members: BTreeMap<InstanceId, Member>,
 }
 
@@ -224,16 +224,16 @@
     }
 }
 
-/// What came of an order to an endpoint.
+/// Result of an order to an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct OrderReport {
-    /// Its sidecar.
+    /// Sidecar of the endpoint.
     pub sidecar: InstanceId,
-    /// The number it carried.
+    /// Fencing number of the order.
     pub fence: FenceNumber,
-    /// What the sidecar said.
+    /// Result that the sidecar reported.
     pub result: anvil_wire::msg::OrderResult,
-    /// How long it took.
+    /// Time until the sidecar's reply.
     pub took: Duration,
 }
 
--- a/crates/anvilreel/tests/losses.rs
+++ b/crates/anvilreel/tests/losses.rs
@@ -65,7 +65,7 @@
     assert_eq!((spent.credited, spent.completed), (2_000, 1_000));
     assert_eq!((spent.partly, spent.undelivered), (200, 0));
     assert_eq!((spent.left, spent.granted), (Some(50), Some(600)));
-    assert_eq!(spent.untold(), Some(150));
+    assert_eq!(spent.unaccounted(), Some(150));
     assert_eq!(spent.refused, 2);
     assert!(
         found
