--- a/crates/anvilreel/tests/compare/play.rs
+++ b/crates/anvilreel/tests/compare/play.rs
@@ -1,8 +1,9 @@
-//! One played load of money under three ways of sharing a budget between routers.
+//! Simulates one load under three schemes of sharing budgets between routers.
 //!
-//! Virtual time, one seed, the same requests for every way. The judge sees everything: a refusal
-//! is false when the budget still had room for the request's bound beyond all that was settled
-//! and all that runs anywhere.
+//! The simulation runs in virtual time; one seed gives the same requests for every scheme. It
+//! knows the true state of each budget: a refusal is false if the budget could still cover the
+//! request's maximum cost, besides everything spent and everything reserved by requests that run
+//! at any router.
 
 #![allow(dead_code, missing_docs)]
 
@@ -21,30 +22,33 @@
 /// How budgets are shared between routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Way {
+    /// Routers hold grants from the ledger.
     Grants,
+    /// Each router gets an equal part of every budget at the start.
     EvenSplit,
+    /// Routers ask the ledger for every request.
     AskLedger,
 }
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Debug, Clone)]
 pub struct Play {
     pub way: Way,
     pub seed: u64,
     pub routers: usize,
     pub budgets: usize,
-    /// Whether four of five requests come to one router.
+    /// Whether four of five requests go to one router.
     pub skewed: bool,
-    /// What all requests cost together, in percent of what was paid in.
+    /// Total cost of all requests, in percent of the credited tokens.
     pub used: u64,
     /// Whether half of the routers are cut off from the ledger for 60 s.
     pub partition: bool,
     pub policy: GrantPolicy,
 }
 
-/// Played time.
-pub const LONG: Duration = Duration::from_mins(4);
-const CUT: std::ops::Range<Duration> = Duration::from_secs(90)..Duration::from_secs(150);
+/// Simulated time.
+pub const SIMULATED_TIME: Duration = Duration::from_mins(4);
+const PARTITION_TIME: std::ops::Range<Duration> = Duration::from_secs(90)..Duration::from_secs(150);
 const REQUESTS: usize = 24_000;
 const STEP: Duration = Duration::from_millis(50);
 const ROUND_TRIP: Duration = Duration::from_millis(4);
@@ -56,77 +60,80 @@
     budget: usize,
     cost: Tokens,
     bound: Tokens,
-    lasts: Duration,
+    run_time: Duration,
 }
 
-/// What came of it.
+/// Results of a simulation.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Outcome {
     pub requests: u64,
     pub refused: u64,
     pub falsely: u64,
     pub overspend: Tokens,
-    /// Most bytes of grant traffic of one router in one second, both directions.
+    /// Maximum bytes of grant traffic of one router in one second, both directions.
     pub peak_bytes: usize,
-    /// Mean bytes a second and router.
+    /// Mean bytes per second and router.
     pub mean_bytes: usize,
 }
 
 impl Outcome {
-    /// False refusals of all requests, in thousandths of a percent.
+    /// Share of requests that were falsely refused, in thousandths of a percent.
     pub fn false_milli_percent(&self) -> u64 {
         self.falsely * 100_000 / self.requests.max(1)
     }
 }
 
-/// The judge's view of one budget.
+/// True state of one budget.
 #[derive(Debug, Clone, Copy, Default)]
-struct Judged {
+struct BudgetTruth {
     credited: Tokens,
     spent: Tokens,
     running: Tokens,
 }
 
-/// One request that runs.
+/// A running request.
 struct Running {
     ends: Now,
     request: usize,
     reservation: Option<Reservation>,
 }
 
-struct Player {
+struct Simulator {
     play: Play,
     requests: Vec<Request>,
-    judged: Vec<Judged>,
-    /// By router and budget, for the even split.
+    budget_truths: Vec<BudgetTruth>,
+    /// Tokens left by router and budget, for [`Way::EvenSplit`].
     shares: Vec<Vec<Tokens>>,
     accounts: Vec<GrantAccount>,
     state: State,
     index: LogIndex,
+    /// Requests that wait for a grant, and until when.
     waiting: Vec<(usize, Option<Now>)>,
     running: Vec<Running>,
+    /// Answers to grant batches, by time of arrival and router.
     in_flight: BTreeMap<(Now, usize), anvil_world::command::GrantBatchAnswer>,
+    /// Bytes of grant traffic by router and second.
     bytes: BTreeMap<(usize, u64), usize>,
     outcome: Outcome,
 }
 
 pub fn play(play: Play) -> Outcome {
-    Player::new(play).run()
+    Simulator::new(play).run()
 }
 
 fn budget(i: usize) -> BudgetId {
     format!("b{i:05}").into()
 }
 
-fn draw(play: &Play) -> Vec<Request> {
+fn generate_requests(play: &Play) -> Vec<Request> {
     let mut rng = ChaCha8Rng::seed_from_u64(play.seed);
-    let mut made: Vec<_> = (0..REQUESTS)
+    let mut requests: Vec<_> = (0..REQUESTS)
         .map(|_| {
             let cost = rng.random_range(50..450);
-            let loud = play.skewed && rng.random_range(0..5) != 0;
+            let to_skewed_router = play.skewed && rng.random_range(0..5) != 0;
             Request {
-                at: LONG.mul_f64(rng.random_range(0.01..0.97)),
-                router: if loud {
+                at: SIMULATED_TIME.mul_f64(rng.random_range(0.01..0.97)),
+                router: if to_skewed_router {
                     0
                 } else {
                     rng.random_range(0..play.routers)
@@ -134,25 +141,27 @@
                 budget: rng.random_range(0..play.budgets),
                 cost,
                 bound: cost * rng.random_range(12..40) / 10,
-                lasts: Duration::from_millis(rng.random_range(200..4_000)),
+                run_time: Duration::from_millis(rng.random_range(200..4_000)),
             }
         })
         .collect();
-    made.sort_by_key(|request| request.at);
-    made
+    requests.sort_by_key(|request| request.at);
+    requests
 }
 
-impl Player {
+impl Simulator {
     fn new(play: Play) -> Self {
-        let requests = draw(&play);
-        let mut judged = vec![Judged::default(); play.budgets];
+        let requests = generate_requests(&play);
+        let mut budget_truths = vec![BudgetTruth::default(); play.budgets];
         for request in &requests {
-            judged[request.budget].credited += request.cost * 100 / play.used;
+            budget_truths[request.budget].credited += request.cost * 100 / play.used;
         }
-        let shares = judged.iter().map(|b| b.credited / play.routers as u64);
+        let shares = budget_truths
+            .iter()
+            .map(|b| b.credited / play.routers as u64);
         let shares: Vec<_> = shares.collect();
         let account = |i: usize| GrantAccount::new(format!("r{i}").into(), 1, play.policy.clone());
-        let mut player = Self {
+        let mut simulator = Self {
             shares: vec![shares; play.routers],
             accounts: (0..play.routers).map(account).collect(),
             state: State::default(),
@@ -163,30 +172,30 @@
             bytes: BTreeMap::new(),
             outcome: Outcome::default(),
             requests,
-            judged,
+            budget_truths,
             play,
         };
-        player.pay_in();
-        player
+        simulator.credit_budgets();
+        simulator
     }
 
-    fn pay_in(&mut self) {
-        self.put("organisations/paper", "");
+    fn credit_budgets(&mut self) {
+        self.put_document("organisations/paper", "");
         for i in 0..self.play.budgets {
             let id = budget(i);
-            self.put(&format!("budgets/{id}"), "organisation = \"paper\"");
+            self.put_document(&format!("budgets/{id}"), "organisation = \"paper\"");
             let top_up = TopUp {
                 id: change_id(std::time::UNIX_EPOCH, &format!("top-{i}")),
                 operator: "wanjiru".into(),
                 budget: id,
-                amount: self.judged[i].credited,
+                amount: self.budget_truths[i].credited,
                 at: std::time::UNIX_EPOCH,
             };
             self.apply(&Command::TopUp(top_up));
         }
     }
 
-    fn put(&mut self, path: &str, text: &str) {
+    fn put_document(&mut self, path: &str, text: &str) {
         let change = Change {
             id: change_id(std::time::UNIX_EPOCH, path),
             operator: "wanjiru".into(),
@@ -208,62 +217,62 @@
     fn run(mut self) -> Outcome {
         let mut next = 0;
         let mut now = Duration::ZERO;
-        while now < LONG + Duration::from_secs(10) {
+        while now < SIMULATED_TIME + Duration::from_secs(10) {
             self.end_runs(now);
-            self.take_answers(now);
+            self.deliver_answers(now);
             self.send_batches(now);
-            self.try_waiting(now);
+            self.retry_waiting(now);
             while next < self.requests.len() && self.requests[next].at <= now {
                 self.arrive(now, next, None);
                 next += 1;
             }
             now += STEP;
         }
-        self.judge_spending();
+        self.finish_outcome();
         self.outcome
     }
 
-    fn judge_spending(&mut self) {
+    fn finish_outcome(&mut self) {
         self.outcome.requests = self.requests.len() as u64;
-        let over = self.judged.iter();
-        let over = over.map(|b| b.spent.saturating_sub(b.credited));
-        self.outcome.overspend = over.sum();
+        let overspends = self.budget_truths.iter();
+        let overspends = overspends.map(|b| b.spent.saturating_sub(b.credited));
+        self.outcome.overspend = overspends.sum();
         self.outcome.peak_bytes = self.bytes.values().copied().max().unwrap_or_default();
-        let all: usize = self.bytes.values().sum();
-        let seconds = usize::try_from(LONG.as_secs()).unwrap_or(1);
-        self.outcome.mean_bytes = all / seconds / self.play.routers;
+        let total_bytes: usize = self.bytes.values().sum();
+        let seconds = usize::try_from(SIMULATED_TIME.as_secs()).unwrap_or(1);
+        self.outcome.mean_bytes = total_bytes / seconds / self.play.routers;
     }
 
-    fn is_cut(&self, now: Now, router: usize) -> bool {
-        // Every second router, the loud one among them.
-        self.play.partition && CUT.contains(&now) && router.is_multiple_of(2)
+    fn is_partitioned(&self, now: Now, router: usize) -> bool {
+        // Every second router, including the one that gets most requests when skewed.
+        self.play.partition && PARTITION_TIME.contains(&now) && router.is_multiple_of(2)
     }
 
     fn arrive(&mut self, now: Now, request: usize, until: Option<Now>) {
-        let wanted = self.requests[request].clone();
+        let arriving = self.requests[request].clone();
         match self.play.way {
             Way::Grants => self.arrive_by_grants(now, request, until),
             Way::EvenSplit => {
-                let share = &mut self.shares[wanted.router][wanted.budget];
-                let fits = *share >= wanted.bound;
-                *share -= if fits { wanted.bound } else { 0 };
-                self.begin_or_refuse(now, request, fits);
+                let share = &mut self.shares[arriving.router][arriving.budget];
+                let fits = *share >= arriving.bound;
+                *share -= if fits { arriving.bound } else { 0 };
+                self.start_or_refuse(now, request, fits);
             }
             Way::AskLedger => {
-                let fits = self.has_room(&wanted) && !self.is_cut(now, wanted.router);
-                self.begin_or_refuse(now, request, fits);
-                let second = (wanted.router, now.as_secs());
-                // A reservation and a settlement, each a round trip through the log.
+                let fits = self.has_room(&arriving) && !self.is_partitioned(now, arriving.router);
+                self.start_or_refuse(now, request, fits);
+                let second = (arriving.router, now.as_secs());
+                // A reservation and a settlement, each a round trip of two messages to the ledger.
                 *self.bytes.entry(second).or_default() += 4 * 60;
             }
         }
     }
 
     fn arrive_by_grants(&mut self, now: Now, request: usize, until: Option<Now>) {
-        let wanted = &self.requests[request];
-        let split = Split::single_payer(budget(wanted.budget));
-        match self.accounts[wanted.router].reserve(now, &split, wanted.bound) {
-            Ok(reservation) => self.begin(now, request, Some(reservation)),
+        let arriving = &self.requests[request];
+        let split = Split::single_payer(budget(arriving.budget));
+        match self.accounts[arriving.router].reserve(now, &split, arriving.bound) {
+            Ok(reservation) => self.start_run(now, request, Some(reservation)),
             Err(Shortage::Refused(_)) => self.refuse(request),
             Err(Shortage::WaitFor { until: first, .. }) => {
                 let until = until.unwrap_or(first);
@@ -276,27 +285,27 @@
         }
     }
 
-    fn begin_or_refuse(&mut self, now: Now, request: usize, fits: bool) {
+    fn start_or_refuse(&mut self, now: Now, request: usize, fits: bool) {
         if fits {
-            self.begin(now, request, None);
+            self.start_run(now, request, None);
         } else {
             self.refuse(request);
         }
     }
 
-    fn begin(&mut self, now: Now, request: usize, reservation: Option<Reservation>) {
-        let wanted = &self.requests[request];
-        self.judged[wanted.budget].running += wanted.bound;
+    fn start_run(&mut self, now: Now, request: usize, reservation: Option<Reservation>) {
+        let arriving = &self.requests[request];
+        self.budget_truths[arriving.budget].running += arriving.bound;
         self.running.push(Running {
-            ends: now + wanted.lasts,
+            ends: now + arriving.run_time,
             request,
             reservation,
         });
     }
 
-    fn has_room(&self, wanted: &Request) -> bool {
-        let b = self.judged[wanted.budget];
-        b.spent + b.running + wanted.bound <= b.credited
+    fn has_room(&self, arriving: &Request) -> bool {
+        let b = self.budget_truths[arriving.budget];
+        b.spent + b.running + arriving.bound <= b.credited
     }
 
     fn refuse(&mut self, request: usize) {
@@ -307,26 +316,26 @@
     }
 
     fn end_runs(&mut self, now: Now) {
-        let (ended, going): (Vec<_>, Vec<_>) = std::mem::take(&mut self.running)
+        let (ended, remaining): (Vec<_>, Vec<_>) = std::mem::take(&mut self.running)
             .into_iter()
             .partition(|run| run.ends <= now);
-        self.running = going;
+        self.running = remaining;
         for run in ended {
-            let done = &self.requests[run.request];
-            let b = &mut self.judged[done.budget];
-            b.running -= done.bound;
-            b.spent += done.cost;
+            let finished = &self.requests[run.request];
+            let b = &mut self.budget_truths[finished.budget];
+            b.running -= finished.bound;
+            b.spent += finished.cost;
             if self.play.way == Way::EvenSplit {
-                self.shares[done.router][done.budget] += done.bound - done.cost;
+                self.shares[finished.router][finished.budget] += finished.bound - finished.cost;
             }
             if let Some(reservation) = run.reservation {
-                let settled = self.accounts[done.router].settle(reservation, done.cost);
+                let settled = self.accounts[finished.router].settle(reservation, finished.cost);
                 settled.expect("no invariant is broken");
             }
         }
     }
 
-    fn try_waiting(&mut self, now: Now) {
+    fn retry_waiting(&mut self, now: Now) {
         for (request, until) in std::mem::take(&mut self.waiting) {
             self.arrive(now, request, until);
         }
@@ -340,12 +349,12 @@
             let Some(batch) = self.accounts[router].next_batch(now) else {
                 continue;
             };
-            if self.is_cut(now, router) {
+            if self.is_partitioned(now, router) {
                 continue;
             }
             let command = Command::GrantBatch(batch);
-            let ask = LedgerRequest::Propose(command.clone());
-            let mut bytes = encode(&ask).expect("a message").len();
+            let message = LedgerRequest::Propose(command.clone());
+            let mut bytes = encode(&message).expect("a message").len();
             let answer = self.apply(&command);
             let reply = LedgerReply::Applied {
                 index: self.index,
@@ -359,14 +368,14 @@
         }
     }
 
-    fn take_answers(&mut self, now: Now) {
+    fn deliver_answers(&mut self, now: Now) {
         while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().0 > now {
                 return;
             }
             let ((_, router), answer) = entry.remove_entry();
-            let taken = self.accounts[router].apply_answer(now, &answer);
-            taken.expect("no invariant is broken");
+            let applied = self.accounts[router].apply_answer(now, &answer);
+            applied.expect("no invariant is broken");
         }
     }
 }
--- a/crates/anvilreel/tests/losses.rs
+++ b/crates/anvilreel/tests/losses.rs
@@ -1,4 +1,4 @@
-//! What requests were lost to, added up from recorded lines.
+//! The report on failed requests and spent tokens, computed from recorded log lines.
 
 use anvilreel::operator::{Losses, losses};
 
@@ -22,30 +22,34 @@
     losses([("router-1", ROUTER), ("ledger-1", LEDGER)].into_iter())
 }
 
-/// Operators see 402s and clients that left. The report names each decision once, with how often and when it was
-/// taken, although ids and times differ.
+/// Requests fail for the same reason with different ids and times. The report must list the reason
+/// once, with the number of requests and the time range.
 #[test]
-fn equal_decisions_are_added_up() {
-    let found = read();
+fn failures_with_equal_decisions_are_aggregated() {
+    let report = read();
     assert_eq!(
-        (found.requests, found.completed, found.unreadable),
+        (report.requests, report.completed, report.unreadable),
         (5, 1, 1)
     );
-    let first = &found.losses[0];
+    let first = &report.losses[0];
     assert_eq!(first.outcome, "budget_exhausted");
     assert!(first.decision.contains("BudgetExhausted"), "{first:?}");
     assert_eq!((first.requests, first.example.as_str()), (2, "a2"));
     assert_eq!(first.last, "2026-01-01T00:00:01.300Z");
     assert_eq!(
-        found.losses.iter().map(|loss| loss.requests).sum::<usize>(),
+        report
+            .losses
+            .iter()
+            .map(|loss| loss.requests)
+            .sum::<usize>(),
         4
     );
 }
 
 #[test]
-fn the_worst_second_comes_first() {
-    let found = read();
-    let seconds: Vec<_> = found
+fn the_second_with_the_most_failures_comes_first() {
+    let report = read();
+    let seconds: Vec<_> = report
         .seconds
         .iter()
         .map(|s| (&*s.at, s.failed, s.requests))
@@ -56,19 +60,20 @@
     );
 }
 
-/// A budget of 2,000 is used up though only 1,200 were billed in any line: 600 lie in grants, 50 are left, and 150
-/// were billed by processes whose lines are lost. A bill that was dropped later counts as none.
+/// A budget of 2,000 tokens is exhausted although the log lines bill only 1,200: 600 are in open
+/// grants, 50 are left, and 150 were billed by processes whose log lines are lost. A charge that
+/// was dropped later does not count.
 #[test]
 fn a_budgets_tokens_are_accounted_for() {
-    let found = read();
-    let spent = &found.budgets[0];
+    let report = read();
+    let spent = &report.budgets[0];
     assert_eq!((spent.credited, spent.completed), (2_000, 1_000));
     assert_eq!((spent.partly, spent.undelivered), (200, 0));
     assert_eq!((spent.left, spent.granted), (Some(50), Some(600)));
     assert_eq!(spent.unaccounted(), Some(150));
     assert_eq!(spent.refused, 2);
     assert!(
-        found
+        report
             .to_string()
             .contains("co-op 2000; 1000, 200, 0; 50, 600, 150; 2")
     );
--- a/crates/anvilreel/tests/path_fleet.rs
+++ b/crates/anvilreel/tests/path_fleet.rs
@@ -1,4 +1,4 @@
-//! The real shells on loopback: ledger, routers, sidecars and stand-ins, over TCP.
+//! End-to-end tests: ledger, routers, sidecars and stand-in endpoints, over TCP on loopback.
 
 #[path = "path_fleet/answers.rs"]
 mod answers;
--- a/crates/anvilreel/tests/path_fleet/answers.rs
+++ b/crates/anvilreel/tests/path_fleet/answers.rs
@@ -1,9 +1,9 @@
-//! Whole answers, billed once.
+//! Responses are complete and billed once.
 
 use super::fleet::{Fleet, chat_body, expected, json, streamed_text, text};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_is_whole_streamed_or_not_and_billed_as_measured() {
+async fn responses_are_complete_and_billed_by_usage_streamed_or_not() {
     let fleet = Fleet::start(1, 1).await;
     let prompt = "tokens=40 grades of bond";
     let whole = fleet.chat(0, None, prompt).await;
@@ -26,39 +26,38 @@
             .next()
             .is_some_and(|event| event.contains("\"usage\""))
     );
-    fleet.billed(2 * cost).await;
+    fleet.wait_until_billed(2 * cost).await;
 }
 
-/// A clerk's connection drops after the answer was made; the client library retries with the
-/// same key, by chance through another router. Without claims the summary would run again and
-/// be billed again.
+/// A caller's connection breaks after the response was generated, and its client retries with the
+/// same key through another router. Without claims the request would run and be billed again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_retry_through_another_router_gets_the_same_answer_and_one_bill() {
+async fn a_retry_through_another_router_gets_the_same_response_and_is_billed_once() {
     let fleet = Fleet::start(2, 2).await;
     let prompt = "tokens=20 stock of March";
     let first = fleet.chat(0, Some("march"), prompt).await;
     let again = fleet.chat(1, Some("march"), prompt).await;
     assert_eq!(text(&first), expected(prompt));
     assert_eq!(text(&again), expected(prompt));
-    assert_eq!(fleet.started(), 1);
+    assert_eq!(fleet.started_runs(), 1);
     let cost = json(&first)["usage"]["total_tokens"]
         .as_u64()
         .expect("a number");
-    fleet.billed(cost).await;
+    fleet.wait_until_billed(cost).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_key_with_another_body_is_refused_and_runs_nothing() {
+async fn a_reused_key_with_another_body_is_refused_and_runs_nothing() {
     let fleet = Fleet::start(2, 1).await;
     fleet.chat(0, Some("k"), "tokens=4 one").await;
     let other = fleet.chat(1, Some("k"), "tokens=4 two").await;
     assert_eq!(other.status, 422);
     assert_eq!(json(&other)["error"]["type"], "key_reused");
-    assert_eq!(fleet.started(), 1);
+    assert_eq!(fleet.started_runs(), 1);
 }
 
-/// A member's till sends an order twice because the first answer was slow. A doubled order
-/// ships books that can't be returned.
+/// A client sends an order twice because the first response was slow. Running it twice would place
+/// two orders, which can't be undone.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_order_sent_twice_runs_once() {
     let fleet = Fleet::start(2, 1).await;
@@ -71,20 +70,20 @@
     assert_eq!((a.status.as_u16(), b.status.as_u16()), (200, 200));
     assert_eq!(a.body, b.body);
     assert_eq!(fleet.plain.runs().get("order-7"), Some(&1));
-    fleet.billed(1).await;
+    fleet.wait_until_billed(1).await;
 }
 
-/// An order is placed and its sidecar's instance restarts. The member asks again under the same
-/// key and was told "it may have run" although the ledger knows that it did: somebody would place
-/// it a second time by hand.
+/// An order runs, its sidecar's instance restarts, and the client retries with the same key. The
+/// router must not report the outcome as unknown: the ledger knows that the order has run, and an
+/// unknown outcome would lead people to place it a second time by hand.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_whose_answer_is_lost_is_told_to_have_run() {
+async fn an_order_whose_response_is_lost_is_reported_as_completed() {
     let mut fleet = Fleet::start(1, 1).await;
     let headers = [("idempotency-key", "order-9"), ("order-id", "order-9")];
     let path = "/services/swatches/orders";
     let placed = fleet.send(0, path, &headers, "{}").await;
     assert_eq!(placed.status.as_u16(), 200);
-    fleet.billed(1).await;
+    fleet.wait_until_billed(1).await;
     fleet.restart_plain_sidecar().await;
     let again = fleet.send(0, path, &headers, "{}").await;
     assert_eq!(again.status.as_u16(), 410);
--- a/crates/anvilreel/tests/path_fleet/bad_input.rs
+++ b/crates/anvilreel/tests/path_fleet/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bad input: a clear typed error, nothing run, nothing billed.
+//! Invalid input is refused with a typed error; nothing runs and nothing is billed.
 
 use anvil_standins::client::Answer;
 
@@ -16,7 +16,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn each_kind_of_bad_request_is_told_apart_and_costs_nothing() {
+async fn each_kind_of_invalid_request_has_its_own_error_and_costs_nothing() {
     let fleet = Fleet::start(1, 1).await;
     let good = chat_body("tokens=4 hello", false);
     let wrong_key = [("authorization", "Bearer wrong")];
@@ -60,12 +60,12 @@
     }
     let nowhere = fleet.send(0, "/services/nothing/orders", &[], "{}").await;
     check(&nowhere, 503, "no_endpoint");
-    assert_eq!(fleet.started(), 0);
+    assert_eq!(fleet.started_runs(), 0);
     assert_eq!(fleet.budget().await.billed, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_body_that_is_not_json_is_told_with_its_line_and_column() {
+async fn invalid_json_is_reported_with_line_and_column() {
     let fleet = Fleet::start(1, 1).await;
     let answer = fleet.send(0, CHAT, &[], "{\"model\":\n  oops").await;
     let message = json(&answer)["error"]["message"].to_string();
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_path_that_nobody_serves_is_not_found() {
+async fn an_unknown_path_is_not_found() {
     let fleet = Fleet::start(1, 1).await;
     let answer = fleet.send(0, "/v1/nothing", &[], "{}").await;
     assert_eq!(answer.status, 404);
--- a/crates/anvilreel/tests/path_fleet/callers.rs
+++ b/crates/anvilreel/tests/path_fleet/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that leave, or read slowly.
+//! Callers that disconnect early or read slowly.
 
 use std::time::Duration;
 
@@ -10,10 +10,11 @@
 
 const CHAT: &str = "/v1/chat/completions";
 
-/// A customer hangs up in mid-answer. Without the cancel the engine works on for nobody; without
-/// the bill the work already done is a gift, and with the whole bound it is a theft.
+/// A caller disconnects in the middle of its response. Without the cancel the engine would go on
+/// generating output that nobody reads. Only the output so far may be billed: billing nothing
+/// gives work away, and billing the reserved maximum overcharges.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_stops_the_run_and_pays_for_what_was_made() {
+async fn a_disconnect_cancels_the_run_and_bills_the_output_so_far() {
     let slow = engine::Config {
         token_time: Duration::from_millis(10),
         ..engine::Config::default()
@@ -23,24 +24,33 @@
     let body = chat_body("tokens=400 a long history", true);
     let sent = fleet.client.send(&url, request(&url, &[], body)).await;
     let mut answer = sent.expect("an answer").into_body();
-    answer.frame().await.expect("output").expect("whole");
+    answer
+        .frame()
+        .await
+        .expect("output")
+        .expect("a valid frame");
     drop(answer);
     eventually("the part that was made is billed", || async {
         fleet.budget().await.billed > 0
     })
     .await;
     sleep(Duration::from_millis(100)).await;
-    let made = fleet.engines[0].engine.tokens();
+    let generated = fleet.engines[0].engine.tokens();
     sleep(Duration::from_millis(200)).await;
-    assert_eq!(fleet.engines[0].engine.tokens(), made, "the engine stopped");
-    assert!(made < 400);
+    assert_eq!(
+        fleet.engines[0].engine.tokens(),
+        generated,
+        "the engine stopped"
+    );
+    assert!(generated < 400);
     let billed = fleet.budget().await.billed;
     assert!(billed < 400, "billed {billed}");
 }
 
-/// A caller that chose its key may come back: the run goes on, and the retry gets all of it.
+/// A caller that chose its own key may retry after a disconnect, so the run continues, and the
+/// retry receives the complete response.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_with_a_key_that_leaves_finds_its_answer_later() {
+async fn a_retry_by_key_after_a_disconnect_gets_the_complete_response() {
     let fleet = Fleet::start(1, 1).await;
     let prompt = "tokens=100 history of watch 12";
     let url = fleet.url(0, CHAT);
@@ -51,17 +61,21 @@
         .send(&url, request(&url, &headers, body.clone()))
         .await;
     let mut answer = sent.expect("an answer").into_body();
-    answer.frame().await.expect("output").expect("whole");
+    answer
+        .frame()
+        .await
+        .expect("output")
+        .expect("a valid frame");
     drop(answer);
     let again = fleet.send(0, CHAT, &headers, body).await;
     assert_eq!(streamed_text(&again.body), (expected(prompt), true));
-    assert_eq!(fleet.started(), 1);
+    assert_eq!(fleet.started_runs(), 1);
 }
 
-/// A caller behind a bad line reads a little at a time. Its answer waits at the sidecar, and
-/// others are served meanwhile.
+/// A caller on a slow connection reads a little at a time. Its response is buffered at the sidecar,
+/// and other callers are served meanwhile.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_reads_slowly_gets_all_and_holds_up_nobody() {
+async fn a_slow_reader_gets_the_complete_response_and_delays_nobody() {
     let fleet = Fleet::start(1, 1).await;
     let prompt = "tokens=400 slow";
     let url = fleet.url(0, CHAT);
@@ -70,7 +84,7 @@
     let mut answer = sent.expect("an answer").into_body();
     let mut read = Vec::new();
     while let Some(frame) = answer.frame().await {
-        let frame = frame.expect("whole").into_data().expect("bytes");
+        let frame = frame.expect("a valid frame").into_data().expect("bytes");
         read.extend_from_slice(&frame);
         if read.len() < 4_000 {
             sleep(Duration::from_millis(50)).await;
--- a/crates/anvilreel/tests/path_fleet/catalogues.rs
+++ b/crates/anvilreel/tests/path_fleet/catalogues.rs
@@ -1,4 +1,4 @@
-//! Code and catalogues hold together.
+//! The events and metrics in the code match the pages that document them.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -12,7 +12,7 @@
     std::fs::read_to_string(path).expect("a page")
 }
 
-/// Cells of the table rows whose first cell passes.
+/// Cells of the table rows whose first cell satisfies `is_row`.
 fn rows(page: &str, is_row: impl Fn(&str) -> bool) -> Vec<Vec<String>> {
     let rows = page.lines().filter_map(|line| line.strip_prefix("| "));
     let cells = rows.map(|row| {
@@ -23,16 +23,16 @@
     cells.filter(|cells| is_row(&cells[0])).collect()
 }
 
-/// Number of the first event of a crate above this one.
-const FIRST_ABOVE: u16 = 6_000;
+/// First number of the events that belong to crates which depend on this one.
+const FIRST_DEPENDENT_EVENT: u16 = 6_000;
 
 #[test]
-fn every_event_stands_in_the_catalogue_and_the_other_way_round() {
+fn events_in_code_and_docs_match() {
     let page = page("EVENTS.md");
-    // Those of the crates above this one are held against their own code, in their own tests.
-    let own = |number: u16| number < FIRST_ABOVE;
+    // Events of the dependent crates are compared with their code in their own tests.
+    let own = |number: u16| number < FIRST_DEPENDENT_EVENT;
     let rows = rows(&page, |first| first.parse().is_ok_and(own));
-    let mut listed = BTreeMap::new();
+    let mut documented = BTreeMap::new();
     for row in rows {
         assert_eq!(
             row.len(),
@@ -41,34 +41,34 @@
         );
         assert!(!row[3].is_empty() && !row[4].is_empty(), "{row:?}");
         let number: u16 = row[0].parse().expect("a number");
-        let twice = listed.insert(number, (row[1].clone(), row[2].clone()));
+        let twice = documented.insert(number, (row[1].clone(), row[2].clone()));
         assert_eq!(twice, None, "event {number} is listed twice");
     }
     let own = events::ALL.iter().map(|e| (e.number, e.name, e.level));
     let ledger = ledger_service::events::ALL
         .iter()
         .map(|e| (e.number, e.name, e.level));
-    let code: BTreeMap<_, _> = own
+    let in_code: BTreeMap<_, _> = own
         .chain(ledger)
         .map(|(number, name, level)| {
             let level = level.as_str().to_lowercase();
             (number, (format!("`{name}`"), level))
         })
         .collect();
-    assert_eq!(listed, code);
+    assert_eq!(documented, in_code);
 }
 
 #[test]
-fn every_metric_stands_on_its_page_and_the_other_way_round() {
+fn metrics_in_code_and_docs_match() {
     let page = page("METRICS.md");
     let rows = rows(&page, |first| first.starts_with('`'));
-    let listed: BTreeMap<_, _> = rows
+    let documented: BTreeMap<_, _> = rows
         .into_iter()
         .map(|row| (row[0].clone(), row[1].clone()))
         .collect();
-    let code: BTreeMap<_, _> = metrics::ALL
+    let in_code: BTreeMap<_, _> = metrics::ALL
         .iter()
         .map(|(name, unit)| (format!("`{name}`"), (*unit).to_owned()))
         .collect();
-    assert_eq!(listed, code);
+    assert_eq!(documented, in_code);
 }
--- a/crates/anvilreel/tests/path_fleet/fleet.rs
+++ b/crates/anvilreel/tests/path_fleet/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet and a caller for the tests.
+//! A small fleet in one process, with helpers to send requests to it.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -25,27 +25,27 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
 
-/// Longest wait for anything in these tests.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of every wait in these tests.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// One engine with its sidecar.
-pub struct Beside {
+/// A stand-in engine and its sidecar; `None` after the sidecar was stopped.
+pub struct EngineWithSidecar {
     pub engine: engine::Handle,
     pub sidecar: Option<Sidecar>,
 }
 
-/// All processes, running in this one.
+/// A fleet whose roles all run in the test process.
 pub struct Fleet {
     pub ledger: LedgerClient,
     pub ledger_addr: SocketAddr,
     pub ledger_handle: Option<(LedgerHandle, oneshot::Sender<()>)>,
     pub routers: Vec<Option<Router>>,
-    pub engines: Vec<Beside>,
+    pub engines: Vec<EngineWithSidecar>,
     pub plain: plain::Handle,
-    // Kept running beside the plain service.
+    // Sidecar of the plain service.
     plain_sidecar: Sidecar,
     pub client: Client,
-    // Kept for its drop, which removes the folder.
+    // Held because dropping it removes the folder.
     _data: tempfile::TempDir,
 }
 
@@ -53,13 +53,13 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, port))
 }
 
-/// The ledger needs to know its own address before it listens.
+/// The ledger must be given a free port, because its settings name its address before it binds.
 fn free_addr() -> SocketAddr {
     crate::ports::free_addr().expect("a free port")
 }
 
 impl Fleet {
-    /// So many routers and engines, one plain service, and the demo's settings.
+    /// Starts this many routers and engines, one plain service, and the demo's settings.
     pub async fn start(routers: usize, engines: usize) -> Self {
         Self::start_with(routers, engines, engine::Config::default()).await
     }
@@ -88,18 +88,18 @@
             let settings =
                 sidecar_settings(number + 1, ledger_addr, engine.addr(), EndpointKind::Engine);
             let sidecar = Some(start_sidecar(&settings).await);
-            fleet.engines.push(Beside { engine, sidecar });
+            fleet.engines.push(EngineWithSidecar { engine, sidecar });
         }
         for number in 0..routers {
-            let router = fleet.router(number).await;
+            let router = fleet.start_router(number).await;
             fleet.routers.push(Some(router));
         }
         fleet.wait_ready(routers, engines + 1).await;
         fleet
     }
 
-    /// A router; odd ones stand in another zone than even ones.
-    pub async fn router(&self, number: usize) -> Router {
+    /// Starts a router. Odd and even numbers are in different zones.
+    pub async fn start_router(&self, number: usize) -> Router {
         let zone = ["local-a", "local-b"][number % 2];
         let settings = RouterSettings {
             id: format!("router-{number}").into(),
@@ -126,11 +126,11 @@
     }
 
     pub fn url(&self, router: usize, path: &str) -> String {
-        let router = self.routers[router].as_ref().expect("it runs");
+        let router = self.routers[router].as_ref().expect("it is running");
         format!("http://{}{path}", router.addr())
     }
 
-    /// Sends a request with the demo key and reads its answer whole.
+    /// Sends a request with the demo key and reads the complete response.
     pub async fn send(
         &self,
         router: usize,
@@ -140,11 +140,11 @@
     ) -> HttpAnswer {
         let url = self.url(router, path);
         let req = request(&url, headers, body);
-        let answer = timeout(PATIENCE, self.client.whole(&url, req)).await;
+        let answer = timeout(WAIT_TIMEOUT, self.client.whole(&url, req)).await;
         answer.expect("in time").expect("an answer")
     }
 
-    /// A chat that is answered in one piece.
+    /// Sends a chat request whose response is not streamed.
     pub async fn chat(&self, router: usize, key: Option<&str>, prompt: &str) -> HttpAnswer {
         let headers: Vec<_> = key
             .map(|key| ("idempotency-key", key))
@@ -155,26 +155,34 @@
             .await
     }
 
-    /// What stands at the demo budget.
+    /// Reads the demo budget from the ledger.
     pub async fn budget(&self) -> Budget {
         let query = Query::Budget(BUDGET.into());
-        let answer = self.ledger.query(query, PATIENCE).await.expect("a budget");
+        let answer = self
+            .ledger
+            .query(query, WAIT_TIMEOUT)
+            .await
+            .expect("a budget");
         let QueryAnswer::Budgets(mut budgets) = answer else {
             panic!("another answer");
         };
         budgets.remove(0).budget
     }
 
-    /// Returns when so many tokens are billed.
-    pub async fn billed(&self, tokens: Tokens) {
+    /// Waits until the billed tokens of the demo budget equal `tokens`.
+    pub async fn wait_until_billed(&self, tokens: Tokens) {
         let what = format!("{tokens} tokens are billed");
         eventually(&what, || async { self.budget().await.billed == tokens }).await;
     }
 
-    /// Writes a document over what stands, and waits until a router has it in force.
-    pub async fn put(&self, path: &str, text: &str) {
+    /// Writes a document and waits until every router has applied it.
+    pub async fn put_document(&self, path: &str, text: &str) {
         let query = Query::Tree(path.into());
-        let answer = self.ledger.query(query, PATIENCE).await.expect("a tree");
+        let answer = self
+            .ledger
+            .query(query, WAIT_TIMEOUT)
+            .await
+            .expect("a tree");
         let QueryAnswer::Tree(tree) = answer else {
             panic!("another answer");
         };
@@ -191,13 +199,13 @@
         let command = Command::Change(change);
         let answer = self
             .ledger
-            .propose(command, PATIENCE)
+            .propose(command, WAIT_TIMEOUT)
             .await
             .expect("written");
         let Answer::Changed(receipt) = answer else {
             panic!("{answer:?}");
         };
-        eventually("it is in force", || async {
+        eventually("the document is in force", || async {
             let mut routers = self.routers.iter().flatten();
             routers.all(|router| router.view_version() >= receipt.revision)
         })
@@ -215,31 +223,31 @@
         };
         let command = Command::TopUp(top_up);
         self.ledger
-            .propose(command, PATIENCE)
+            .propose(command, WAIT_TIMEOUT)
             .await
             .expect("paid in");
     }
 
-    /// Runs that all engines have started.
-    pub fn started(&self) -> u64 {
+    /// Number of runs started at all engines.
+    pub fn started_runs(&self) -> u64 {
         self.engines
             .iter()
-            .map(|beside| beside.engine.started())
+            .map(|engine_with_sidecar| engine_with_sidecar.engine.started())
             .sum()
     }
 
-    /// Ends the plain service's sidecar as a crash does, and starts another life of it.
+    /// Replaces the plain service's sidecar by a new incarnation, as after a crash.
     pub async fn restart_plain_sidecar(&mut self) {
         let addr = self.plain.addr();
         let settings = sidecar_settings(0, self.ledger_addr, addr, EndpointKind::Plain);
         let new = start_sidecar(&settings).await;
-        let life = new.life();
+        let incarnation = new.life();
         std::mem::replace(&mut self.plain_sidecar, new).kill();
         let id = settings.id.clone();
-        eventually("the new life is known", || async {
-            let members = self.ledger.query(Query::Members, PATIENCE).await;
+        eventually("the ledger knows the new incarnation", || async {
+            let members = self.ledger.query(Query::Members, WAIT_TIMEOUT).await;
             matches!(members, Ok(QueryAnswer::Members(members))
-                if members[&id].instance.incarnation == life)
+                if members[&id].instance.incarnation == incarnation)
         })
         .await;
         sleep(Duration::from_millis(300)).await;
@@ -247,7 +255,7 @@
 
     /// Stops the ledger.
     pub async fn stop_ledger(&mut self) {
-        let (handle, stop) = self.ledger_handle.take().expect("it runs");
+        let (handle, stop) = self.ledger_handle.take().expect("it is running");
         stop.send(()).expect("it listens");
         handle.stopped().await;
     }
@@ -273,7 +281,7 @@
     (addr, (handle.expect("a ledger"), tx))
 }
 
-/// Settings of the sidecar with this number, beside an endpoint.
+/// Settings of the sidecar with this number, for the endpoint at this address.
 pub fn sidecar_settings(
     number: usize,
     ledger: SocketAddr,
@@ -306,7 +314,7 @@
     started.await.expect("a sidecar")
 }
 
-/// A POST with the demo key.
+/// A POST request with the demo key, unless the headers hold another authorization.
 pub fn request(
     url: &str,
     headers: &[(&str, &str)],
@@ -327,7 +335,7 @@
     serde_json::json!({"model": MODEL, "stream": stream, "messages": [message]}).to_string()
 }
 
-/// The answer that every engine gives.
+/// The response text that every stand-in engine generates for this prompt.
 pub fn expected(prompt: &str) -> String {
     let messages = [engine::Message::user(prompt)];
     engine::expected_answer(MODEL, &messages, 512)
@@ -337,7 +345,7 @@
     serde_json::from_slice(&answer.body).expect("JSON")
 }
 
-/// The text of a chat's answer.
+/// The text of a chat response.
 pub fn text(answer: &HttpAnswer) -> String {
     let json = json(answer);
     let content = json["choices"][0]["message"]["content"].as_str();
@@ -346,7 +354,7 @@
         .to_owned()
 }
 
-/// The text of a streamed answer, and whether its end mark came.
+/// The text of a streamed response, and whether its end marker was received.
 pub fn streamed_text(body: &[u8]) -> (String, bool) {
     let body = std::str::from_utf8(body).expect("text");
     let mut text = String::new();
@@ -363,13 +371,13 @@
     (text, done)
 }
 
-/// Waits until something holds.
-pub async fn eventually<F: Future<Output = bool>>(what: &str, mut holds: impl FnMut() -> F) {
+/// Waits until a condition is true; fails with the text `what` after the timeout.
+pub async fn eventually<F: Future<Output = bool>>(what: &str, mut condition: impl FnMut() -> F) {
     let wait = async {
-        while !holds().await {
+        while !condition().await {
             sleep(Duration::from_millis(10)).await;
         }
     };
-    let waited = timeout(PATIENCE, wait).await;
-    assert!(waited.is_ok(), "not within {PATIENCE:?}: {what}");
+    let waited = timeout(WAIT_TIMEOUT, wait).await;
+    assert!(waited.is_ok(), "not within {WAIT_TIMEOUT:?}: {what}");
 }
--- a/crates/anvilreel/tests/path_fleet/losses.rs
+++ b/crates/anvilreel/tests/path_fleet/losses.rs
@@ -1,4 +1,4 @@
-//! Processes that die with streams open.
+//! Processes that crash while streams are open.
 
 use std::time::Duration;
 
@@ -16,10 +16,10 @@
     }
 }
 
-/// A router dies with an answer half out, and the client retries through another one. The run
-/// goes on beside its engine; without the claim at a second router it would start again.
+/// A router crashes in the middle of a response, and the client retries through another one. The
+/// run continues at its sidecar. Without the claim held by a second router it would start again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_router_dies_and_the_retry_reads_the_same_run() {
+async fn a_retry_after_a_router_crash_attaches_to_the_same_run() {
     let mut fleet = Fleet::start_with(3, 2, slow()).await;
     let prompt = "tokens=100 ledger of Mombasa";
     let headers = [("idempotency-key", "mombasa")];
@@ -30,20 +30,24 @@
         .send(&url, request(&url, &headers, body.clone()))
         .await;
     let mut answer = sent.expect("an answer").into_body();
-    answer.frame().await.expect("output").expect("whole");
-    fleet.routers[0].take().expect("it runs").kill();
+    answer
+        .frame()
+        .await
+        .expect("output")
+        .expect("a valid frame");
+    fleet.routers[0].take().expect("it is running").kill();
     let again = fleet.send(1, CHAT, &headers, body).await;
     assert_eq!(streamed_text(&again.body), (expected(prompt), true));
-    assert_eq!(fleet.started(), 1);
+    assert_eq!(fleet.started_runs(), 1);
 }
 
-/// An engine dies in mid-answer. The caller must get the rest without a gap and without hearing
-/// of it, and pay once.
+/// An engine crashes in the middle of a response. The caller must receive the rest without a gap
+/// or an error, and be billed once.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_dies_and_another_goes_on_without_a_gap() {
+async fn another_engine_continues_after_an_engine_crash_without_a_gap() {
     let fleet = Fleet::start_with(1, 2, slow()).await;
-    for beside in &fleet.engines {
-        beside.engine.set_dying_after(30);
+    for engine_with_sidecar in &fleet.engines {
+        engine_with_sidecar.engine.set_dying_after(30);
     }
     let prompt = "tokens=80 repair history";
     let url = fleet.url(0, CHAT);
@@ -51,13 +55,17 @@
     let sent = fleet.client.send(&url, request(&url, &[], body)).await;
     let mut answer = sent.expect("an answer").into_body();
     let mut read = Vec::new();
-    let first = answer.frame().await.expect("output").expect("whole");
+    let first = answer
+        .frame()
+        .await
+        .expect("output")
+        .expect("a valid frame");
     read.extend_from_slice(&first.into_data().expect("bytes"));
-    for beside in &fleet.engines {
-        beside.engine.set_dying_after(0);
+    for engine_with_sidecar in &fleet.engines {
+        engine_with_sidecar.engine.set_dying_after(0);
     }
     while let Some(frame) = answer.frame().await {
-        let frame = frame.expect("whole");
+        let frame = frame.expect("a valid frame");
         read.extend_from_slice(&frame.into_data().expect("bytes"));
     }
     assert_eq!(streamed_text(&read), (expected(prompt), true));
@@ -66,13 +74,13 @@
     let cost = json(&whole)["usage"]["total_tokens"]
         .as_u64()
         .expect("a number");
-    fleet.billed(2 * cost).await;
+    fleet.wait_until_billed(2 * cost).await;
 }
 
-/// The ledger can't be reached. An order must not leave for the service unclaimed, and the
-/// refusal says so truly.
+/// The ledger is unreachable. An order must not be sent to the service without a claim, and the
+/// refusal must say that it did not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_order_without_the_ledger_is_refused_and_did_not_run() {
+async fn an_order_is_refused_and_does_not_run_without_the_ledger() {
     let mut fleet = Fleet::start(1, 1).await;
     fleet.stop_ledger().await;
     let headers = [("idempotency-key", "o"), ("order-id", "o")];
@@ -88,13 +96,18 @@
     assert!(fleet.plain.runs().is_empty());
 }
 
-/// A sidecar dies in a young fleet, where no router can vouch yet that a key never ran. Every
-/// request with a caller's key was told "unknown" until the ledger missed the dead one, although
-/// its address refused connections: no process, so no run that could be billed beside this one.
+/// A sidecar crashes in a new fleet, where no router has held claims long enough to confirm that a
+/// key never ran. Requests with a caller's key then probe the sidecars. The crashed one refuses
+/// connections, so no process is left that could run the key; without counting that as a negative
+/// answer, every such request would end as unknown until the ledger removes the sidecar.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_dead_sidecar_puts_nobody_elses_request_in_doubt() {
+async fn a_crashed_sidecar_does_not_make_new_requests_unknown() {
     let mut fleet = Fleet::start(2, 3).await;
-    fleet.engines[0].sidecar.take().expect("it runs").kill();
+    fleet.engines[0]
+        .sidecar
+        .take()
+        .expect("it is running")
+        .kill();
     for number in 0..12 {
         let prompt = format!("tokens=5 card {number}");
         let key = format!("card-{number}");
@@ -103,10 +116,11 @@
     }
 }
 
-/// A sidecar dies in mid-answer with its instance. The caller gets the rest from another endpoint,
-/// and the use that it is told and billed is that of the whole answer, counted once.
+/// A sidecar crashes with its instance in the middle of a response. The caller receives the rest
+/// from another endpoint. The usage reported and billed must be that of the complete response,
+/// counted once.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_sidecar_dies_and_the_use_told_is_that_of_the_whole_answer() {
+async fn reported_usage_covers_the_complete_response_after_a_sidecar_crash() {
     let mut fleet = Fleet::start_with(1, 2, slow()).await;
     let prompt = "tokens=200 repair history of a chronograph";
     let url = fleet.url(0, CHAT);
@@ -116,22 +130,30 @@
     let mut answer = sent.expect("an answer").into_body();
     let mut read = Vec::new();
     for _ in 0..20 {
-        let frame = answer.frame().await.expect("output").expect("whole");
+        let frame = answer
+            .frame()
+            .await
+            .expect("output")
+            .expect("a valid frame");
         read.extend_from_slice(&frame.into_data().expect("bytes"));
     }
     let busy = fleet.engines.iter().position(|b| b.engine.started() > 0);
     let busy = busy.expect("one works on it");
-    fleet.engines[busy].sidecar.take().expect("it runs").kill();
+    fleet.engines[busy]
+        .sidecar
+        .take()
+        .expect("it is running")
+        .kill();
     while let Some(frame) = answer.frame().await {
-        let frame = frame.expect("whole");
+        let frame = frame.expect("a valid frame");
         read.extend_from_slice(&frame.into_data().expect("bytes"));
     }
     assert_eq!(streamed_text(&read), (expected(prompt), true));
-    let told = String::from_utf8_lossy(&read);
+    let received = String::from_utf8_lossy(&read);
     let undisturbed = fleet.chat(0, None, prompt).await;
     let whole = json(&undisturbed)["usage"].clone();
     for count in ["prompt_tokens", "completion_tokens"] {
         let wanted = format!("\"{count}\":{}", whole[count]);
-        assert!(told.contains(&wanted), "{wanted} is not in {told}");
+        assert!(received.contains(&wanted), "{wanted} is not in {received}");
     }
 }
--- a/crates/anvilreel/tests/path_fleet/rolling.rs
+++ b/crates/anvilreel/tests/path_fleet/rolling.rs
@@ -1,4 +1,4 @@
-//! Everything is replaced, one after the other, while callers go on calling.
+//! Processes are replaced one after the other while callers send requests.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -15,28 +15,28 @@
     Fleet, chat_body, expected, json, request, sidecar_settings, start_sidecar, text,
 };
 
-const CLERKS: usize = 6;
-const QUESTIONS: usize = 30;
-const TRIES: usize = 200;
-const RETRY: Duration = Duration::from_millis(25);
+const CALLERS: usize = 6;
+const CHATS_PER_CALLER: usize = 30;
+const MAX_ATTEMPTS: usize = 200;
+const RETRY_PAUSE: Duration = Duration::from_millis(25);
 
 type Addresses = Arc<Mutex<Vec<SocketAddr>>>;
 
-/// A clerk that asks one question after the other, each under its own key, through any router.
-struct Clerk {
+/// A caller that sends one chat request after the other, each with its own key, to any router.
+struct Caller {
     number: usize,
     client: Client,
     routers: Addresses,
 }
 
-impl Clerk {
-    /// Retries through the next router until there is an answer.
+impl Caller {
+    /// Retries through the next router until the request succeeds.
     async fn send(&self, path: &str, headers: &[(&str, &str)], body: &str) -> serde_json::Value {
         let mut refusals = Vec::new();
-        for turn in 0..TRIES {
+        for attempt in 0..MAX_ATTEMPTS {
             let addr = {
                 let routers = self.routers.lock().expect("not poisoned");
-                routers[(self.number + turn) % routers.len()]
+                routers[(self.number + attempt) % routers.len()]
             };
             let url = format!("http://{addr}{path}");
             let sent = self
@@ -51,23 +51,23 @@
                 Ok(answer) if answer.status == 200 => return json(&answer),
                 Ok(answer) => {
                     let error = json(&answer)["error"].clone();
-                    let mends = error["retry_after_ms"].is_u64();
-                    assert!(mends || error["outcome"] == "not_run", "{error}");
+                    let is_retryable = error["retry_after_ms"].is_u64();
+                    assert!(is_retryable || error["outcome"] == "not_run", "{error}");
                     refusals.push(error["type"].to_string());
                 }
-                // A connection that was closed between two requests.
+                // The connection was closed between two requests.
                 Err(_) => refusals.push("closed".into()),
             }
-            sleep(RETRY).await;
+            sleep(RETRY_PAUSE).await;
         }
         refusals.dedup();
-        panic!("no answer for clerk {}: {refusals:?}", self.number);
+        panic!("no response for caller {}: {refusals:?}", self.number);
     }
 
-    /// Returns what the answers cost by their own word.
+    /// Sends all requests and returns their total cost according to the usage in the responses.
     async fn work(self) -> u64 {
         let mut cost = 0;
-        for number in 0..QUESTIONS {
+        for number in 0..CHATS_PER_CALLER {
             let key = format!("clerk-{}-{number}", self.number);
             let prompt = format!("tokens=20 {key}");
             let headers = [("idempotency-key", key.as_str())];
@@ -94,93 +94,106 @@
     }
 }
 
-/// A fleet with clerks at work.
-struct Noon {
+/// A fleet under load.
+struct LoadedFleet {
     fleet: Fleet,
     routers: Addresses,
-    clerks: JoinSet<u64>,
+    callers: JoinSet<u64>,
 }
 
-impl Noon {
+impl LoadedFleet {
     async fn start() -> Self {
         let fleet = Fleet::start_with(2, 2, slow()).await;
         let addrs = fleet.routers.iter().flatten().map(Router::addr).collect();
         let routers: Addresses = Arc::new(Mutex::new(addrs));
-        let mut clerks = JoinSet::new();
-        for number in 0..CLERKS {
+        let mut callers = JoinSet::new();
+        for number in 0..CALLERS {
             let (client, routers) = (fleet.client.clone(), routers.clone());
-            let clerk = Clerk {
+            let caller = Caller {
                 number,
                 client,
                 routers,
             };
-            clerks.spawn(clerk.work());
+            callers.spawn(caller.work());
         }
         Self {
             fleet,
             routers,
-            clerks,
+            callers,
         }
     }
 
     async fn replace_router(&mut self, number: usize) {
-        let router = self.fleet.router(number).await;
+        let router = self.fleet.start_router(number).await;
         self.routers.lock().expect("not poisoned")[number] = router.addr();
         self.fleet.routers[number] = Some(router);
     }
 
-    /// Every answer was whole, everything ran once, and the bill is what the answers said.
+    /// Checks that every response was complete, every request ran once, and the billed tokens are
+    /// those that the responses report.
     async fn check(mut self) {
         let mut cost = 0;
-        while let Some(worked) = self.clerks.join_next().await {
-            cost += worked.expect("every answer was whole");
+        while let Some(caller_cost) = self.callers.join_next().await {
+            cost += caller_cost.expect("every response is complete");
         }
-        let runs = u64::try_from(CLERKS * QUESTIONS).expect("a small number");
-        assert_eq!(self.fleet.started(), runs, "each question ran once");
+        let runs = u64::try_from(CALLERS * CHATS_PER_CALLER).expect("a small number");
+        assert_eq!(
+            self.fleet.started_runs(),
+            runs,
+            "each chat request ran once"
+        );
         let orders = self.fleet.plain.runs();
         assert!(orders.values().all(|ran| *ran == 1), "{orders:?}");
-        assert_eq!(orders.len(), CLERKS * QUESTIONS / 5);
-        self.fleet.billed(cost).await;
+        assert_eq!(orders.len(), CALLERS * CHATS_PER_CALLER / 5);
+        self.fleet.wait_until_billed(cost).await;
     }
 }
 
-/// A new version is rolled out at noon. Every router and every engine's sidecar is replaced
-/// while clerks ask and order. None may see a cut answer or a refusal that a retry does not
-/// mend, nothing may run twice, and the bill must be what the answers said.
+/// Every router and every engine's sidecar is replaced by planned stops under load. No caller may
+/// see a truncated response or a refusal that can't be retried, no request may run twice, and the
+/// billed tokens must be those that the responses report.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rolling_restart_cuts_nothing_short_and_bills_once() {
-    let mut noon = Noon::start().await;
+async fn a_rolling_restart_truncates_no_response_and_bills_once() {
+    let mut loaded = LoadedFleet::start().await;
     for number in 0..2 {
-        let router = noon.fleet.routers[number].take().expect("it runs");
+        let router = loaded.fleet.routers[number].take().expect("it is running");
         router.stop().await;
-        noon.replace_router(number).await;
+        loaded.replace_router(number).await;
         sleep(Duration::from_millis(300)).await;
     }
     for number in 0..2 {
-        let fleet = &mut noon.fleet;
-        let beside = &mut fleet.engines[number];
-        beside.sidecar.take().expect("it runs").stop().await;
-        let engine = beside.engine.addr();
+        let fleet = &mut loaded.fleet;
+        let engine_with_sidecar = &mut fleet.engines[number];
+        engine_with_sidecar
+            .sidecar
+            .take()
+            .expect("it is running")
+            .stop()
+            .await;
+        let engine = engine_with_sidecar.engine.addr();
         let settings =
             sidecar_settings(number + 1, fleet.ledger_addr, engine, EndpointKind::Engine);
         fleet.engines[number].sidecar = Some(start_sidecar(&settings).await);
         sleep(Duration::from_millis(300)).await;
     }
-    noon.check().await;
+    loaded.check().await;
 }
 
-/// Routers die one after the other with answers half out and come back empty, and clients retry.
-/// Without claims and evidence, questions would run twice, and what the dead routers had charged
-/// would be billed twice or never.
+/// Routers crash one after the other in the middle of responses and restart without state, and
+/// clients retry. Without claims and evidence, requests would run twice, and the charges of the
+/// crashed routers would be billed twice or never.
 #[tokio::test(flavor = "multi_thread")]
-async fn routers_that_die_under_load_leave_one_run_and_one_bill() {
-    let mut noon = Noon::start().await;
+async fn router_crashes_under_load_cause_no_second_run_or_charge() {
+    let mut loaded = LoadedFleet::start().await;
     for round in 0..4 {
         sleep(Duration::from_millis(200)).await;
         let number = round % 2;
-        noon.fleet.routers[number].take().expect("it runs").kill();
+        loaded.fleet.routers[number]
+            .take()
+            .expect("it is running")
+            .kill();
         sleep(Duration::from_millis(100)).await;
-        noon.replace_router(number).await;
+        loaded.replace_router(number).await;
     }
-    noon.check().await;
+    loaded.check().await;
 }
--- a/crates/anvilreel/tests/proof_processes.rs
+++ b/crates/anvilreel/tests/proof_processes.rs
@@ -1,5 +1,5 @@
-//! The real shells over TCP on loopback, under load and faults. What ran is counted at the
-//! stand-ins and compared with the bill and with what every caller got.
+//! End-to-end tests over TCP on loopback, under load and faults. The stand-in endpoints count what
+//! ran; the counts are compared with the billed tokens and with the responses of all callers.
 
 #[allow(dead_code)]
 #[path = "path_fleet/fleet.rs"]
@@ -21,20 +21,20 @@
 
 const CHAT: &str = "/v1/chat/completions";
 const ORDER: &str = "/services/swatches/orders";
-/// Longest time for one try of a caller.
-const TRY: Duration = Duration::from_secs(5);
-/// How often a caller comes back.
-const TRIES: u32 = 60;
+/// Timeout of one attempt of a caller.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of attempts of a caller.
+const MAX_ATTEMPTS: u32 = 60;
 
-/// What all callers got.
+/// Counts over all callers.
 #[derive(Default)]
-struct Got {
+struct Counts {
     answers: AtomicU64,
     orders: AtomicU64,
     retries: AtomicU64,
 }
 
-/// Where callers reach the routers: they change as routers come and go.
+/// Base URLs of the running routers; updated as routers are stopped and started.
 type Addresses = Arc<std::sync::Mutex<Vec<String>>>;
 
 fn slow() -> engine::Config {
@@ -53,19 +53,20 @@
     format!("tokens={} ledger of member {number}", 20 + number % 40)
 }
 
-/// One caller that wants one whole answer, and comes back with its key until it has it.
-async fn ask(number: usize, to: Addresses, got: Arc<Got>) {
+/// One caller that sends one chat request, and retries it with the same key until its response is
+/// complete.
+async fn chat_until_complete(number: usize, router_urls: Addresses, counts: Arc<Counts>) {
     let (client, key) = (Client::default(), format!("ask-{number}"));
     let headers = [("idempotency-key", key.as_str())];
     let body = chat_body(&prompt(number), true);
-    for attempt in 0..TRIES {
-        let Some(base) = pick(&to, number + attempt as usize) else {
+    for attempt in 0..MAX_ATTEMPTS {
+        let Some(base) = pick_router(&router_urls, number + attempt as usize) else {
             sleep(Duration::from_millis(50)).await;
             continue;
         };
         let url = format!("{base}{CHAT}");
         let sent = client.whole(&url, request(&url, &headers, body.clone()));
-        if let Ok(Ok(answer)) = timeout(TRY, sent).await
+        if let Ok(Ok(answer)) = timeout(ATTEMPT_TIMEOUT, sent).await
             && answer.status.is_success()
         {
             let (text, done) = streamed_text(&answer.body);
@@ -74,73 +75,76 @@
                 "{number}: {text}"
             );
             if done {
-                assert_eq!(text, expected(&prompt(number)), "whole, but it is not");
-                got.answers.fetch_add(1, Ordering::Relaxed);
+                assert_eq!(text, expected(&prompt(number)), "ended, but is incomplete");
+                counts.answers.fetch_add(1, Ordering::Relaxed);
                 return;
             }
         }
-        got.retries.fetch_add(1, Ordering::Relaxed);
+        counts.retries.fetch_add(1, Ordering::Relaxed);
         sleep(Duration::from_millis(150)).await;
     }
 }
 
-/// One member that wants one order placed, and sends it again until it is answered.
-async fn order(number: usize, to: Addresses, got: Arc<Got>) {
+/// One caller that places one order, and retries it with the same key until it succeeds.
+async fn order_until_accepted(number: usize, router_urls: Addresses, counts: Arc<Counts>) {
     let (client, key) = (Client::default(), format!("order-{number}"));
     let headers = [
         ("idempotency-key", key.as_str()),
         ("order-id", key.as_str()),
     ];
-    for attempt in 0..TRIES {
-        let Some(base) = pick(&to, number + attempt as usize) else {
+    for attempt in 0..MAX_ATTEMPTS {
+        let Some(base) = pick_router(&router_urls, number + attempt as usize) else {
             sleep(Duration::from_millis(50)).await;
             continue;
         };
         let url = format!("{base}{ORDER}");
         let sent = client.whole(&url, request(&url, &headers, "{}"));
-        if let Ok(Ok(answer)) = timeout(2 * TRY, sent).await
+        if let Ok(Ok(answer)) = timeout(2 * ATTEMPT_TIMEOUT, sent).await
             && answer.status.is_success()
         {
-            got.orders.fetch_add(1, Ordering::Relaxed);
+            counts.orders.fetch_add(1, Ordering::Relaxed);
             return;
         }
-        got.retries.fetch_add(1, Ordering::Relaxed);
+        counts.retries.fetch_add(1, Ordering::Relaxed);
         sleep(Duration::from_millis(150)).await;
     }
 }
 
-fn pick(to: &Addresses, number: usize) -> Option<String> {
-    let to = to.lock().expect("no panic holds it");
-    (!to.is_empty()).then(|| to[number % to.len()].clone())
+fn pick_router(router_urls: &Addresses, number: usize) -> Option<String> {
+    let router_urls = router_urls.lock().expect("not poisoned");
+    (!router_urls.is_empty()).then(|| router_urls[number % router_urls.len()].clone())
 }
 
-/// Compares what ran with what was billed and with what callers got.
-async fn compare(fleet: &Fleet, got: &Got, asks: usize, orders: usize, cost: Tokens) {
+/// Checks that no order ran twice, every caller succeeded and the budget was not overspent.
+async fn check_counts(fleet: &Fleet, counts: &Counts, chats: usize, orders: usize, cost: Tokens) {
     let runs: BTreeMap<_, _> = fleet.plain.runs();
-    let doubled: Vec<_> = runs.iter().filter(|(_, n)| **n > 1).collect();
-    assert!(doubled.is_empty(), "orders that ran twice: {doubled:?}");
+    let run_twice: Vec<_> = runs.iter().filter(|(_, n)| **n > 1).collect();
+    assert!(
+        run_twice.is_empty(),
+        "orders that ran more than once: {run_twice:?}"
+    );
     let (answers, placed) = (
-        got.answers.load(Ordering::Relaxed),
-        got.orders.load(Ordering::Relaxed),
+        counts.answers.load(Ordering::Relaxed),
+        counts.orders.load(Ordering::Relaxed),
     );
-    let retries = got.retries.load(Ordering::Relaxed);
-    let started = fleet.started();
+    let retries = counts.retries.load(Ordering::Relaxed);
+    let started = fleet.started_runs();
     let budget = fleet.budget().await;
     println!(
-        "{answers} answers of {asks}, {placed} orders of {orders}, {retries} retries, {started} \
+        "{answers} answers of {chats}, {placed} orders of {orders}, {retries} retries, {started} \
          runs started, {} orders ran, billed {}, whole answers and orders cost {cost}",
         runs.len(),
         budget.billed
     );
-    assert_eq!((answers, placed), (asks as u64, orders as u64));
+    assert_eq!((answers, placed), (chats as u64, orders as u64));
     assert!(budget.billed <= budget.credited, "overspent");
 }
 
-/// What the answers to so many callers and orders cost, in tokens: the prompt's as the engine
-/// counts them, asked for once.
-async fn cost_of(fleet: &Fleet, asks: usize) -> Tokens {
+/// Total cost in tokens of the responses to this many chat requests, as the engines report it.
+/// Sends each request once.
+async fn cost_of(fleet: &Fleet, chats: usize) -> Tokens {
     let mut cost = 0;
-    for number in 0..asks {
+    for number in 0..chats {
         let answer = fleet.chat(0, None, &prompt(number)).await;
         let total = fleet::json(&answer)["usage"]["total_tokens"].as_u64();
         cost += total.expect("a number");
@@ -148,69 +152,84 @@
     cost
 }
 
-/// Every router is killed with streams open, one after the other, and replaced, while clients
-/// retry by key. A member would see a cut stream, and on the retry its whole answer, paid once.
+/// Routers are killed with open streams, one after the other, and replaced, while clients retry by
+/// key. A caller may see a truncated stream; its retry must get the complete response, billed once.
 #[tokio::test(flavor = "multi_thread")]
-async fn routers_die_while_clients_retry() {
-    const ASKS: usize = 24;
+async fn routers_crash_while_clients_retry() {
+    const CHATS: usize = 24;
     const ORDERS: usize = 12;
     let mut fleet = Fleet::start_with(3, 2, slow()).await;
-    let cost = cost_of(&fleet, ASKS).await;
-    fleet.billed(cost).await;
-    let to: Addresses = Arc::new(std::sync::Mutex::new(addresses(&fleet)));
-    let got = Arc::new(Got::default());
+    let cost = cost_of(&fleet, CHATS).await;
+    fleet.wait_until_billed(cost).await;
+    let router_urls: Addresses = Arc::new(std::sync::Mutex::new(addresses(&fleet)));
+    let counts = Arc::new(Counts::default());
     let mut callers = Vec::new();
-    for number in 0..ASKS {
-        callers.push(tokio::spawn(ask(number, to.clone(), got.clone())));
+    for number in 0..CHATS {
+        callers.push(tokio::spawn(chat_until_complete(
+            number,
+            router_urls.clone(),
+            counts.clone(),
+        )));
     }
     for number in 0..ORDERS {
-        callers.push(tokio::spawn(order(number, to.clone(), got.clone())));
+        callers.push(tokio::spawn(order_until_accepted(
+            number,
+            router_urls.clone(),
+            counts.clone(),
+        )));
     }
     for slot in 0..2 {
         sleep(Duration::from_millis(120)).await;
-        fleet.routers[slot].take().expect("it runs").kill();
-        *to.lock().expect("no panic holds it") = addresses(&fleet);
-        let next = fleet.router(slot).await;
+        fleet.routers[slot].take().expect("it is running").kill();
+        *router_urls.lock().expect("not poisoned") = addresses(&fleet);
+        let next = fleet.start_router(slot).await;
         fleet.routers[slot] = Some(next);
-        *to.lock().expect("no panic holds it") = addresses(&fleet);
+        *router_urls.lock().expect("not poisoned") = addresses(&fleet);
     }
     for caller in callers {
-        caller.await.expect("what a caller got is right");
+        caller.await.expect("every response is correct");
     }
-    let all = 2 * cost + ORDERS as Tokens;
-    compare(&fleet, &got, ASKS, ORDERS, all).await;
-    // Killed routers' grants are closed by the sidecars' evidence, so the bill comes to it.
-    fleet.billed(all).await;
+    let total_cost = 2 * cost + ORDERS as Tokens;
+    check_counts(&fleet, &counts, CHATS, ORDERS, total_cost).await;
+    // The grants of the killed routers are closed by the sidecars' evidence, so that all their
+    // charges are billed in the end.
+    fleet.wait_until_billed(total_cost).await;
 }
 
-/// Every router is replaced under load, one after the other, by a planned stop, and money is paid
-/// in meanwhile. No answer is cut short, and everything is billed once.
+/// Every router is replaced under load by a planned stop, one after the other, while the budget is
+/// topped up. No response may be truncated, and each must be billed once.
 #[tokio::test(flavor = "multi_thread")]
 async fn routers_are_replaced_under_load() {
-    const ASKS: usize = 16;
+    const CHATS: usize = 16;
     let mut fleet = Fleet::start_with(2, 2, slow()).await;
-    let cost = cost_of(&fleet, ASKS).await;
-    fleet.billed(cost).await;
-    let to: Addresses = Arc::new(std::sync::Mutex::new(addresses(&fleet)));
-    let got = Arc::new(Got::default());
-    let callers: Vec<_> = (0..ASKS)
-        .map(|number| tokio::spawn(ask(number, to.clone(), got.clone())))
+    let cost = cost_of(&fleet, CHATS).await;
+    fleet.wait_until_billed(cost).await;
+    let router_urls: Addresses = Arc::new(std::sync::Mutex::new(addresses(&fleet)));
+    let counts = Arc::new(Counts::default());
+    let callers: Vec<_> = (0..CHATS)
+        .map(|number| {
+            tokio::spawn(chat_until_complete(
+                number,
+                router_urls.clone(),
+                counts.clone(),
+            ))
+        })
         .collect();
     for slot in 0..2 {
-        let stopping = fleet.routers[slot].take().expect("it runs");
-        *to.lock().expect("no panic holds it") = addresses(&fleet);
-        let next = fleet.router(slot).await;
-        // A planned stop returns when the last stream has ended.
-        timeout(fleet::PATIENCE, stopping.stop())
+        let stopping = fleet.routers[slot].take().expect("it is running");
+        *router_urls.lock().expect("not poisoned") = addresses(&fleet);
+        let next = fleet.start_router(slot).await;
+        // A planned stop returns after the last stream has ended.
+        timeout(fleet::WAIT_TIMEOUT, stopping.stop())
             .await
-            .expect("it ends");
+            .expect("the planned stop ends");
         fleet.routers[slot] = Some(next);
-        *to.lock().expect("no panic holds it") = addresses(&fleet);
+        *router_urls.lock().expect("not poisoned") = addresses(&fleet);
         fleet.top_up(&format!("during-{slot}"), 1_000).await;
     }
     for caller in callers {
-        caller.await.expect("what a caller got is right");
+        caller.await.expect("every response is correct");
     }
-    compare(&fleet, &got, ASKS, 0, 2 * cost).await;
-    fleet.billed(2 * cost).await;
+    check_counts(&fleet, &counts, CHATS, 0, 2 * cost).await;
+    fleet.wait_until_billed(2 * cost).await;
 }
--- a/crates/anvilreel/tests/support/ports.rs
+++ b/crates/anvilreel/tests/support/ports.rs
@@ -1,24 +1,24 @@
-//! Addresses for processes that stop and come back.
+//! Loopback addresses for processes that are stopped and restarted in a test.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// First of the ports that are handed out. All lie below those that the operating system gives to
-/// outgoing connections: one of these would take the address of a process while it is down.
-const FIRST: u16 = 12_000;
-/// How many there are.
-const COUNT: u16 = 20_000;
+/// First port of the range. The range lies below the ephemeral ports of the operating system: an
+/// outgoing connection could otherwise take the port of a process while it is down.
+const FIRST_PORT: u16 = 12_000;
+/// Number of ports in the range.
+const PORT_COUNT: u16 = 20_000;
 
-static TAKEN: AtomicU16 = AtomicU16::new(0);
+static NEXT_OFFSET: AtomicU16 = AtomicU16::new(0);
 
-/// An address at which nobody listens. Each call gives another one; several test processes begin at
-/// different places.
+/// Returns a free address on loopback. Each call returns another one, and the starting point
+/// depends on the process id, so that concurrent test processes use different ports.
 pub fn free_addr() -> std::io::Result<SocketAddr> {
-    let begin = u16::try_from(std::process::id() * 97 % u32::from(COUNT)).unwrap_or(0);
+    let start = u16::try_from(std::process::id() * 97 % u32::from(PORT_COUNT)).unwrap_or(0);
     loop {
-        let at = (u32::from(begin) + u32::from(TAKEN.fetch_add(1, Ordering::Relaxed)))
-            % u32::from(COUNT);
-        let port = FIRST + u16::try_from(at).unwrap_or(0);
+        let offset = (u32::from(start) + u32::from(NEXT_OFFSET.fetch_add(1, Ordering::Relaxed)))
+            % u32::from(PORT_COUNT);
+        let port = FIRST_PORT + u16::try_from(offset).unwrap_or(0);
         match TcpListener::bind(("127.0.0.1", port)) {
             Ok(listener) => return listener.local_addr(),
             Err(e) if e.kind() == std::io::ErrorKind::AddrInUse => {}
