--- a/crates/anvilreel/src/life.rs
+++ b/crates/anvilreel/src/life.rs
@@ -66,7 +66,7 @@
     }
 
     /// Sleeps, but no longer than until the planned stop begins.
-    pub async fn pause(&self, time: Duration) {
+    pub async fn sleep_unless_draining(&self, time: Duration) {
         tokio::select! {
             () = tokio::time::sleep(time) => {}
             () = self.left() => {}
--- a/crates/anvilreel/src/local.rs
+++ b/crates/anvilreel/src/local.rs
@@ -27,7 +27,7 @@
 use crate::router::{Router, RouterError};
 use crate::sidecar::Sidecar;
 
-pub use demo::{BUDGET, KEY, MODEL, PREPAID, SERVICE, seed};
+pub use demo::{BUDGET, INITIAL_CREDIT, KEY, MODEL, SERVICE, seed_demo};
 
 /// Maximum time until all roles are ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -100,7 +100,7 @@
         let (stop_ledger, stop_rx) = oneshot::channel();
         let ledger_handle = start_ledger(settings, log, stop_rx).await?;
         let ledger = ledger_handle.addr;
-        demo::seed(&LedgerClient::new(&[ledger]))
+        demo::seed_demo(&LedgerClient::new(&[ledger]))
             .await
             .context(SeedSnafu)?;
         let mut sidecars = Vec::new();
--- a/crates/anvilreel/src/local/demo.rs
+++ b/crates/anvilreel/src/local/demo.rs
@@ -19,14 +19,14 @@
 /// The budget that pays for the demo team.
 pub const BUDGET: &str = "demo";
 /// Tokens credited to the budget at the first start.
-pub const PREPAID: Tokens = 1_000_000;
+pub const INITIAL_CREDIT: Tokens = 1_000_000;
 
 /// Timeout of each call to the ledger.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Writes the demo's documents and credits its budget, unless the demo team exists already.
 /// Returns whether it has written them.
-pub async fn seed(ledger: &LedgerClient) -> Result<bool, LedgerError> {
+pub async fn seed_demo(ledger: &LedgerClient) -> Result<bool, LedgerError> {
     let answer = ledger.query(Query::Tree("".into()), CALL_TIMEOUT).await?;
     if matches!(&answer, QueryAnswer::Tree(tree) if tree.contains_key(&team_path())) {
         return Ok(false);
@@ -50,7 +50,7 @@
         id: change_id(at, "demo-top-up"),
         operator: "local".into(),
         budget: BUDGET.into(),
-        amount: PREPAID,
+        amount: INITIAL_CREDIT,
         at,
     };
     ledger.propose(Command::TopUp(top_up), CALL_TIMEOUT).await?;
--- a/crates/anvilreel/src/metrics.rs
+++ b/crates/anvilreel/src/metrics.rs
@@ -124,7 +124,7 @@
     /// Keeps all metrics in memory; [`exposition::serve`] serves them.
     pub fn kept(role: &str) -> (Self, exposition::Board) {
         let board = exposition::Board::default();
-        let sink = exposition::BoardSink(board.clone());
+        let sink = exposition::RegistrySink(board.clone());
         let client = StatsdClient::from_sink(&prefix(role), sink);
         let metrics = Self {
             client: Arc::new(client),
--- a/crates/anvilreel/src/metrics/exposition.rs
+++ b/crates/anvilreel/src/metrics/exposition.rs
@@ -126,9 +126,9 @@
 }
 
 /// Records metrics in a [`Board`].
-pub(super) struct BoardSink(pub(super) Board);
+pub(super) struct RegistrySink(pub(super) Board);
 
-impl MetricSink for BoardSink {
+impl MetricSink for RegistrySink {
     fn emit(&self, metric: &str) -> io::Result<usize> {
         if self.0.record(metric) {
             return Ok(metric.len());
--- a/crates/anvilreel/src/operator.rs
+++ b/crates/anvilreel/src/operator.rs
@@ -29,7 +29,7 @@
 mod read;
 mod report;
 
-pub use change::{Applied, apply, change_paths, in_force, top_up, write_off};
+pub use change::{Applied, apply, change_paths, query_rollout, top_up, write_off};
 pub use client::Client;
 pub use drain::drain;
 pub use error::{ExitCode, OperatorError};
@@ -39,5 +39,6 @@
 pub use order::order;
 pub use read::{audit, budgets, diff, get, members, status};
 pub use report::{
-    AuditReport, BudgetReport, DiffReport, OrderReport, Receipt, Spread, StatusReport, TreeReport,
+    AuditReport, BudgetReport, DiffReport, OrderReport, Receipt, RolloutReport, StatusReport,
+    TreeReport,
 };
--- a/crates/anvilreel/src/operator/change.rs
+++ b/crates/anvilreel/src/operator/change.rs
@@ -13,7 +13,7 @@
 use super::client::Client;
 use super::error::{FileSnafu, OperatorError, PathSnafu, SettingsSnafu};
 use super::read::read_document;
-use super::report::{Receipt, Spread};
+use super::report::{Receipt, RolloutReport};
 
 /// Interval at which the rollout of a change is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
@@ -24,7 +24,7 @@
     /// Receipt of the committed change.
     pub receipt: Receipt,
     /// Where the change is in force.
-    pub spread: Spread,
+    pub spread: RolloutReport,
 }
 
 impl std::fmt::Display for Applied {
@@ -176,9 +176,12 @@
 }
 
 /// Queries where a version is in force.
-pub async fn in_force(client: &Client, revision: Revision) -> Result<Spread, OperatorError> {
+pub async fn query_rollout(
+    client: &Client,
+    revision: Revision,
+) -> Result<RolloutReport, OperatorError> {
     match client.query(Query::InForce(revision)).await? {
-        QueryAnswer::InForce(in_force) => Ok(Spread::new(revision, in_force)),
+        QueryAnswer::InForce(rollout) => Ok(RolloutReport::new(revision, rollout)),
         _ => Err(OperatorError::Unexpected),
     }
 }
@@ -187,10 +190,10 @@
 pub(super) async fn wait_in_force(
     client: &Client,
     revision: Revision,
-) -> Result<Spread, OperatorError> {
-    let deadline = Instant::now() + client.within();
+) -> Result<RolloutReport, OperatorError> {
+    let deadline = Instant::now() + client.timeout();
     loop {
-        let spread = in_force(client, revision).await?;
+        let spread = query_rollout(client, revision).await?;
         if spread.everywhere() || Instant::now() >= deadline {
             return Ok(spread);
         }
--- a/crates/anvilreel/src/operator/client.rs
+++ b/crates/anvilreel/src/operator/client.rs
@@ -17,7 +17,7 @@
     ledger: Arc<LedgerClient>,
     addrs: Vec<SocketAddr>,
     operator: OperatorId,
-    within: Duration,
+    timeout: Duration,
 }
 
 impl Client {
@@ -27,7 +27,7 @@
             ledger: Arc::new(LedgerClient::new(ledgers)),
             addrs: ledgers.to_vec(),
             operator: "operator".into(),
-            within: Duration::from_secs(10),
+            timeout: Duration::from_secs(10),
         }
     }
 
@@ -38,8 +38,8 @@
     }
 
     /// Sets the timeout of an action.
-    pub fn with_time(mut self, within: Duration) -> Self {
-        self.within = within;
+    pub fn with_time(mut self, timeout: Duration) -> Self {
+        self.timeout = timeout;
         self
     }
 
@@ -49,8 +49,8 @@
     }
 
     /// The timeout of an action.
-    pub fn within(&self) -> Duration {
-        self.within
+    pub fn timeout(&self) -> Duration {
+        self.timeout
     }
 
     /// Appends a command to the ledger's log, resending it under the same id while its outcome is
@@ -59,18 +59,18 @@
     /// A leader may crash after it has committed the command and before it has replied. Resending
     /// to the next leader is safe, because the ledger replies to a known id with the first answer.
     pub async fn propose(&self, id: &ChangeId, command: Command) -> Result<Answer, OperatorError> {
-        match self.ledger.propose(command, self.within).await {
+        match self.ledger.propose(command, self.timeout).await {
             Ok(Answer::Denied(source)) => Err(OperatorError::Denied { source }),
             Ok(answer) => Ok(answer),
             Err(LedgerError::Unreachable) => Err(self.not_done()),
-            Err(LedgerError::InDoubt) => Err(OperatorError::NotKnown { id: id.clone() }),
+            Err(LedgerError::InDoubt) => Err(OperatorError::OutcomeUnknown { id: id.clone() }),
             Err(LedgerError::WrongKind) => Err(OperatorError::Unexpected),
         }
     }
 
     /// Reads from the ledger; the answer is confirmed by a majority.
     pub async fn query(&self, query: Query) -> Result<QueryAnswer, OperatorError> {
-        match self.ledger.query(query, self.within).await {
+        match self.ledger.query(query, self.timeout).await {
             Ok(answer) => Ok(answer),
             Err(LedgerError::WrongKind) => Err(OperatorError::Unexpected),
             // A read changes nothing, so a lost reply is never in doubt.
--- a/crates/anvilreel/src/operator/error.rs
+++ b/crates/anvilreel/src/operator/error.rs
@@ -21,7 +21,7 @@
     /// The ledger could not be reached; nothing was changed.
     NotDone = 4,
     /// The outcome is unknown; resend under the same id.
-    NotKnown = 5,
+    OutcomeUnknown = 5,
     /// Committed, but not in force everywhere within the timeout.
     NotEverywhere = 6,
 }
@@ -41,7 +41,7 @@
         "outcome unknown: the reply to change {id} was lost; the change may be in force. \
          Send it again with --id {id} to find out; it is not made twice"
     ))]
-    NotKnown {
+    OutcomeUnknown {
         /// The id to resend with.
         id: ChangeId,
     },
@@ -95,7 +95,9 @@
     pub fn exit_code(&self) -> ExitCode {
         match self {
             Self::NotDone { .. } => ExitCode::NotDone,
-            Self::NotKnown { .. } | Self::Sidecar { .. } | Self::Unexpected => ExitCode::NotKnown,
+            Self::OutcomeUnknown { .. } | Self::Sidecar { .. } | Self::Unexpected => {
+                ExitCode::OutcomeUnknown
+            }
             Self::Denied { .. } | Self::NoInstance { .. } => ExitCode::Denied,
             Self::Settings { .. } | Self::Path { .. } | Self::File { .. } => ExitCode::Wrong,
         }
--- a/crates/anvilreel/src/operator/read.rs
+++ b/crates/anvilreel/src/operator/read.rs
@@ -6,7 +6,7 @@
 use anvil_world::prelude::*;
 use similar::TextDiff;
 
-use super::change::in_force;
+use super::change::query_rollout;
 use super::report::{AuditReport, BudgetReport, DiffReport, StatusReport, TreeReport};
 use super::{Client, OperatorError};
 
@@ -102,7 +102,7 @@
     let QueryAnswer::Status(ledger) = client.query(Query::Status).await? else {
         return Err(OperatorError::Unexpected);
     };
-    let spread = in_force(client, ledger.version).await?;
+    let spread = query_rollout(client, ledger.version).await?;
     let members = members(client).await?;
     Ok(StatusReport {
         ledger,
--- a/crates/anvilreel/src/operator/report.rs
+++ b/crates/anvilreel/src/operator/report.rs
@@ -47,7 +47,7 @@
 
 /// Where a version is in force.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
-pub struct Spread {
+pub struct RolloutReport {
     /// The version.
     pub revision: Revision,
     /// Number of instances at which it is in force.
@@ -56,7 +56,7 @@
     pub missing: BTreeMap<InstanceId, u64>,
 }
 
-impl Spread {
+impl RolloutReport {
     /// Converts the ledger's answer about one version.
     pub fn new(revision: Revision, rollout: VersionRollout) -> Self {
         let missing = rollout.missing.into_iter();
@@ -73,7 +73,7 @@
     }
 }
 
-impl fmt::Display for Spread {
+impl fmt::Display for RolloutReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -193,7 +193,7 @@
     /// State of the ledger.
     pub ledger: LedgerStatus,
     /// Where the newest version is in force.
-    pub spread: Spread,
+    pub spread: RolloutReport,
     /// Members with their presence.
     pub members: BTreeMap<InstanceId, Member>,
 }
--- a/crates/anvilreel/src/relay.rs
+++ b/crates/anvilreel/src/relay.rs
@@ -140,7 +140,7 @@
         version: LogIndex,
         mut tx: ReplySender<LedgerReply>,
     ) {
-        let replica = self.watcher.followed();
+        let replica = self.watcher.followed_replica();
         let ledger = &self.watcher.ledger;
         let opening = ledger.follow(replica, instance, interest, version);
         let Ok(Ok(mut replies)) = timeout(SILENCE, opening).await else {
--- a/crates/anvilreel/src/watcher.rs
+++ b/crates/anvilreel/src/watcher.rs
@@ -29,7 +29,7 @@
     pub ledger: LedgerClient,
     id: InstanceId,
     seeds: ArcSwap<Vec<SocketAddr>>,
-    followed: AtomicUsize,
+    followed_replica: AtomicUsize,
 }
 
 impl Watcher {
@@ -40,7 +40,7 @@
             ledger,
             id,
             seeds: ArcSwap::from_pointee(seeds.to_vec()),
-            followed: AtomicUsize::new(rand::random_range(0..64)),
+            followed_replica: AtomicUsize::new(rand::random_range(0..64)),
         }
     }
 
@@ -56,17 +56,17 @@
 
     /// Index of the replica that is being followed, and so probably up to date, for other
     /// streams to follow as well.
-    pub fn followed(&self) -> usize {
-        self.followed.load(Ordering::Relaxed)
+    pub fn followed_replica(&self) -> usize {
+        self.followed_replica.load(Ordering::Relaxed)
     }
 
     /// Follows one replica after the other, for as long as the process runs.
     pub async fn run(&self) {
         let mut view = Held::default();
         loop {
-            let replica = self.followed();
+            let replica = self.followed_replica();
             self.follow_replica(replica, &mut view).await;
-            self.followed
+            self.followed_replica
                 .store(replica.wrapping_add(1), Ordering::Relaxed);
             sleep(RETRY_PAUSE).await;
         }
--- a/crates/anvilreel/tests/compare/play.rs
+++ b/crates/anvilreel/tests/compare/play.rs
@@ -68,7 +68,7 @@
 pub struct Outcome {
     pub requests: u64,
     pub refused: u64,
-    pub falsely: u64,
+    pub falsely_refused: u64,
     pub overspend: Tokens,
     /// Maximum bytes of grant traffic of one router in one second, both directions.
     pub peak_bytes: usize,
@@ -79,7 +79,7 @@
 impl Outcome {
     /// Share of requests that were falsely refused, in thousandths of a percent.
     pub fn false_milli_percent(&self) -> u64 {
-        self.falsely * 100_000 / self.requests.max(1)
+        self.falsely_refused * 100_000 / self.requests.max(1)
     }
 }
 
@@ -311,7 +311,7 @@
     fn refuse(&mut self, request: usize) {
         self.outcome.refused += 1;
         if self.has_room(&self.requests[request]) {
-            self.outcome.falsely += 1;
+            self.outcome.falsely_refused += 1;
         }
     }
 
--- a/crates/anvilreel/tests/path_fleet/fleet.rs
+++ b/crates/anvilreel/tests/path_fleet/fleet.rs
@@ -13,7 +13,7 @@
 };
 use anvilreel::ledger_client::LedgerClient;
 use anvilreel::ledger_service::{LedgerHandle, Tuning, start as start_ledger};
-use anvilreel::local::{BUDGET, KEY, MODEL, SERVICE, seed};
+use anvilreel::local::{BUDGET, KEY, MODEL, SERVICE, seed_demo};
 use anvilreel::logs::silent;
 use anvilreel::metrics::Metrics;
 use anvilreel::router::Router;
@@ -68,7 +68,7 @@
         let data = tempfile::tempdir().expect("a folder");
         let (ledger_addr, handle) = ledger(&data).await;
         let ledger = LedgerClient::new(&[ledger_addr]);
-        seed(&ledger).await.expect("the demo's settings");
+        seed_demo(&ledger).await.expect("the demo's settings");
         let plain = plain::start(plain::Config::default()).await.expect("plain");
         let service = sidecar_settings(0, ledger_addr, plain.addr(), EndpointKind::Plain);
         let mut fleet = Self {
--- a/crates/anvilreel/tests/path_fleet/money.rs
+++ b/crates/anvilreel/tests/path_fleet/money.rs
@@ -1,6 +1,6 @@
 //! Exhausted budgets.
 
-use anvilreel::local::PREPAID;
+use anvilreel::local::INITIAL_CREDIT;
 
 use super::fleet::{Fleet, json};
 
@@ -29,7 +29,10 @@
     assert_eq!(fleet.budget().await.billed, 0);
 
     fleet.top_up("more", TOP_UP_AMOUNT).await;
-    assert_eq!(fleet.budget().await.credited, PREPAID + TOP_UP_AMOUNT);
+    assert_eq!(
+        fleet.budget().await.credited,
+        INITIAL_CREDIT + TOP_UP_AMOUNT
+    );
     let mut served = fleet.chat(0, None, "tokens=2 hello").await;
     // The router may use the ledger's cached refusal for a moment after the top-up.
     while served.status == 402 {
