--- a/crates/anvilreel/src/members.rs
+++ b/crates/anvilreel/src/members.rs
@@ -10,8 +10,8 @@
 const MAX_RELAYS: usize = 4;
 
 /// Addresses of the ledger's replicas: those that are live members, then those from the settings.
-pub fn replicas(held: &Held, configured: &[SocketAddr]) -> Vec<SocketAddr> {
-    let mut addrs: Vec<SocketAddr> = alive(held, Role::Ledger).map(|i| i.addr).collect();
+pub fn replicas(view: &Held, configured: &[SocketAddr]) -> Vec<SocketAddr> {
+    let mut addrs: Vec<SocketAddr> = alive(view, Role::Ledger).map(|i| i.addr).collect();
     for addr in configured {
         if !addrs.contains(addr) {
             addrs.push(*addr);
@@ -22,8 +22,8 @@
 
 /// Addresses of the relays that the process of this name uses. Each name gets a different choice
 /// among the live relays, which spreads the load over them.
-pub fn relays(held: &Held, name: &str) -> Vec<SocketAddr> {
-    let mut live_relays: Vec<&Instance> = alive(held, Role::Relay).collect();
+pub fn relays(view: &Held, name: &str) -> Vec<SocketAddr> {
+    let mut live_relays: Vec<&Instance> = alive(view, Role::Relay).collect();
     live_relays.sort_by_key(|relay| {
         xxhash_rust::xxh3::xxh3_64_with_seed(relay.id.as_bytes(), name_hash(name))
     });
@@ -35,8 +35,8 @@
 }
 
 /// Live instances of a role: the ledger has recently received heartbeats from them.
-pub fn alive(held: &Held, role: Role) -> impl Iterator<Item = &Instance> {
-    let members = held.members.values();
+pub fn alive(view: &Held, role: Role) -> impl Iterator<Item = &Instance> {
+    let members = view.members.values();
     let live = members
         .filter(move |member| member.instance.role == role && member.presence == Presence::Live);
     live.map(|member| &member.instance)
--- a/crates/anvilreel/src/metrics.rs
+++ b/crates/anvilreel/src/metrics.rs
@@ -123,13 +123,13 @@
 
     /// Keeps all metrics in memory; [`exposition::serve`] serves them.
     pub fn kept(role: &str) -> (Self, exposition::Board) {
-        let board = exposition::Board::default();
-        let sink = exposition::RegistrySink(board.clone());
+        let registry = exposition::Board::default();
+        let sink = exposition::RegistrySink(registry.clone());
         let client = StatsdClient::from_sink(&prefix(role), sink);
         let metrics = Self {
             client: Arc::new(client),
         };
-        (metrics, board)
+        (metrics, registry)
     }
 
     /// Discards all metrics.
--- a/crates/anvilreel/src/metrics/exposition.rs
+++ b/crates/anvilreel/src/metrics/exposition.rs
@@ -144,7 +144,7 @@
 /// ahead of each response.
 pub async fn serve(
     listener: TcpListener,
-    board: Board,
+    registry: Board,
     update_gauges: impl Fn() + Send + Sync + 'static,
 ) {
     let update_gauges = Arc::new(update_gauges);
@@ -153,11 +153,11 @@
             sleep(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
-        let board = board.clone();
+        let registry = registry.clone();
         let update_gauges = update_gauges.clone();
         let service = service_fn(move |_: Request<Incoming>| {
             update_gauges();
-            let mut response = Response::new(Full::new(Bytes::from(board.text())));
+            let mut response = Response::new(Full::new(Bytes::from(registry.text())));
             *response.status_mut() = StatusCode::OK;
             async move { Ok::<_, Infallible>(response) }
         });
