--- a/crates/anvilreel/src/announce.rs
+++ b/crates/anvilreel/src/announce.rs
@@ -14,7 +14,7 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Sends a heartbeat every second, for as long as the process runs. The heartbeats report version
-/// 0, so they are only for roles that apply no settings; routers and sidecars send their own.
+/// 0, so they are only for roles that apply no settings; the others send their own heartbeats.
 pub async fn run(ledger: &LedgerClient, lifecycle: &Life, instance: &Instance) {
     loop {
         let heartbeat = Heartbeat {
--- a/crates/anvilreel/tests/compare/play.rs
+++ b/crates/anvilreel/tests/compare/play.rs
@@ -59,7 +59,7 @@
     router: usize,
     budget: usize,
     cost: Tokens,
-    bound: Tokens,
+    max_cost: Tokens,
     run_time: Duration,
 }
 
@@ -130,17 +130,17 @@
     let mut requests: Vec<_> = (0..REQUESTS)
         .map(|_| {
             let cost = rng.random_range(50..450);
-            let to_skewed_router = play.skewed && rng.random_range(0..5) != 0;
+            let to_hot_router = play.skewed && rng.random_range(0..5) != 0;
             Request {
                 at: SIMULATED_TIME.mul_f64(rng.random_range(0.01..0.97)),
-                router: if to_skewed_router {
+                router: if to_hot_router {
                     0
                 } else {
                     rng.random_range(0..play.routers)
                 },
                 budget: rng.random_range(0..play.budgets),
                 cost,
-                bound: cost * rng.random_range(12..40) / 10,
+                max_cost: cost * rng.random_range(12..40) / 10,
                 run_time: Duration::from_millis(rng.random_range(200..4_000)),
             }
         })
@@ -254,8 +254,8 @@
             Way::Grants => self.arrive_by_grants(now, request, until),
             Way::EvenSplit => {
                 let share = &mut self.shares[arriving.router][arriving.budget];
-                let fits = *share >= arriving.bound;
-                *share -= if fits { arriving.bound } else { 0 };
+                let fits = *share >= arriving.max_cost;
+                *share -= if fits { arriving.max_cost } else { 0 };
                 self.start_or_refuse(now, request, fits);
             }
             Way::AskLedger => {
@@ -271,7 +271,7 @@
     fn arrive_by_grants(&mut self, now: Now, request: usize, until: Option<Now>) {
         let arriving = &self.requests[request];
         let split = Split::single_payer(budget(arriving.budget));
-        match self.accounts[arriving.router].reserve(now, &split, arriving.bound) {
+        match self.accounts[arriving.router].reserve(now, &split, arriving.max_cost) {
             Ok(reservation) => self.start_run(now, request, Some(reservation)),
             Err(Shortage::Refused(_)) => self.refuse(request),
             Err(Shortage::WaitFor { until: first, .. }) => {
@@ -295,7 +295,7 @@
 
     fn start_run(&mut self, now: Now, request: usize, reservation: Option<Reservation>) {
         let arriving = &self.requests[request];
-        self.budget_truths[arriving.budget].running += arriving.bound;
+        self.budget_truths[arriving.budget].running += arriving.max_cost;
         self.running.push(Running {
             ends: now + arriving.run_time,
             request,
@@ -305,7 +305,7 @@
 
     fn has_room(&self, arriving: &Request) -> bool {
         let b = self.budget_truths[arriving.budget];
-        b.spent + b.running + arriving.bound <= b.credited
+        b.spent + b.running + arriving.max_cost <= b.credited
     }
 
     fn refuse(&mut self, request: usize) {
@@ -323,10 +323,10 @@
         for run in ended {
             let finished = &self.requests[run.request];
             let b = &mut self.budget_truths[finished.budget];
-            b.running -= finished.bound;
+            b.running -= finished.max_cost;
             b.spent += finished.cost;
             if self.play.way == Way::EvenSplit {
-                self.shares[finished.router][finished.budget] += finished.bound - finished.cost;
+                self.shares[finished.router][finished.budget] += finished.max_cost - finished.cost;
             }
             if let Some(reservation) = run.reservation {
                 let settled = self.accounts[finished.router].settle(reservation, finished.cost);
