--- a/crates/anvilreel/src/operator/error.rs
+++ b/crates/anvilreel/src/operator/error.rs
@@ -52,7 +52,7 @@
         source: Denial,
     },
     /// The reply is not of the expected kind.
-    #[snafu(display("outcome unknown: the reply is of a kind that this client doesn't expect"))]
+    #[snafu(display("the reply is of a kind that this client doesn't expect"))]
     Unexpected,
     /// Invalid settings text; nothing was sent.
     #[snafu(display("{source}"))]
