--- a/crates/anvil_ledger/src/storage/store.rs
+++ b/crates/anvil_ledger/src/storage/store.rs
@@ -99,7 +99,7 @@
         if let Some(view) = found.segments.last() {
             let file = segment::name(view.number);
             if view.torn > 0 {
-                self.run("truncate", &file, Op::Truncate(&file, view.end))?;
+                self.run("cut", &file, Op::Truncate(&file, view.end))?;
             }
             // A killed process leaves bytes that were written and never synced. Recovery reads
             // them, the next incarnation would acknowledge them, and a power cut would lose them.
