--- a/crates/anvil_daemons/examples/bench_path.rs
+++ b/crates/anvil_daemons/examples/bench_path.rs
@@ -118,7 +118,7 @@
         let start = Instant::now();
         let response = self
             .client
-            .whole(&self.url, self.request(number, &body)?)
+            .fetch(&self.url, self.request(number, &body)?)
             .await?;
         if response.status != 200 {
             return Err(String::from_utf8_lossy(&response.body).into());
--- a/crates/anvil_daemons/examples/slopes/live/bench.rs
+++ b/crates/anvil_daemons/examples/slopes/live/bench.rs
@@ -140,7 +140,7 @@
     let after = processes.iter().map(now);
     after
         .map(|(name, after)| {
-            let spent = after.processor.saturating_sub(before[&name].processor);
+            let spent = after.cpu_time.saturating_sub(before[&name].cpu_time);
             let cost = ProcessCost {
                 processor: u64::try_from(spent.as_micros()).unwrap_or(u64::MAX) / WINDOW.as_secs(),
                 memory: after.memory,
--- a/crates/anvil_daemons/examples/slopes/live/path.rs
+++ b/crates/anvil_daemons/examples/slopes/live/path.rs
@@ -121,7 +121,7 @@
     let named = usage
         .iter()
         .filter(|(process, _)| process.starts_with(name));
-    let all: Duration = named.map(|(_, usage)| usage.processor).sum();
+    let all: Duration = named.map(|(_, usage)| usage.cpu_time).sum();
     u64::try_from(all.as_micros()).unwrap_or(u64::MAX)
 }
 
--- a/crates/anvil_daemons/examples/slopes/main.rs
+++ b/crates/anvil_daemons/examples/slopes/main.rs
@@ -56,7 +56,7 @@
         if name.starts_with(&arguments.only) {
             let mut lines = vec![fit::column_headers()];
             lines.extend(slopes().iter().map(Slope::table_row));
-            println!("{}", anvil_standins::load::table::aligned(&lines));
+            println!("{}", anvil_standins::load::table::align_columns(&lines));
         }
     }
     ExitCode::SUCCESS
--- a/crates/anvil_daemons/src/local_command.rs
+++ b/crates/anvil_daemons/src/local_command.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use anvil_standins::{engine, plain};
-use anvilreel::local::{BUDGET, KEY, Local, LocalError, LocalSettings, MODEL, SERVICE};
+use anvilreel::local::{BEARER_KEY, BUDGET, LocalError, LocalFleet, LocalSettings, MODEL, SERVICE};
 use anvilreel::logs;
 use argh::FromArgs;
 use snafu::{ResultExt, Snafu};
@@ -81,7 +81,7 @@
         engine: engine.addr(),
         plain: plain.addr(),
     };
-    let local = Local::start(&settings, &logs::logger(false))
+    let local = LocalFleet::start(&settings, &logs::logger(false))
         .await
         .context(RoleSnafu)?;
     print_help(&settings, &local);
@@ -90,19 +90,19 @@
     Ok(())
 }
 
-fn print_help(settings: &LocalSettings, local: &Local) {
+fn print_help(settings: &LocalSettings, local: &LocalFleet) {
     let (callers, ledger) = (local.addr(), local.ledger);
     let data = settings.data.display();
     println!(
         "anvilreel is ready on http://{callers}; state in {data}
 
 Ask a question:
-  curl -N http://{callers}/v1/chat/completions -H 'Authorization: Bearer {KEY}' \\
+  curl -N http://{callers}/v1/chat/completions -H 'Authorization: Bearer {BEARER_KEY}' \\
     -H 'Content-Type: application/json' \\
     -d '{{\"model\":\"{MODEL}\",\"stream\":true,\"messages\":[{{\"role\":\"user\",\"content\":\"Which card for a swatch book?\"}}]}}'
 
 Place an order, which runs at most once (send it twice: it is still one):
-  curl http://{callers}/services/{SERVICE}/orders -H 'Authorization: Bearer {KEY}' \\
+  curl http://{callers}/services/{SERVICE}/orders -H 'Authorization: Bearer {BEARER_KEY}' \\
     -H 'Idempotency-Key: order-1' -H 'order-id: order-1' -d '{{\"books\":2}}'
 
 See the bill (another terminal):
--- a/crates/anvil_daemons/src/operate/arguments.rs
+++ b/crates/anvil_daemons/src/operate/arguments.rs
@@ -39,7 +39,7 @@
         let operator = self.operator.clone().unwrap_or_else(user);
         Client::new(&ledgers)
             .with_operator(operator.into())
-            .with_time(Duration::from_secs(self.within))
+            .with_timeout(Duration::from_secs(self.within))
     }
 }
 
--- a/crates/anvil_daemons/src/operate/run.rs
+++ b/crates/anvil_daemons/src/operate/run.rs
@@ -116,11 +116,11 @@
     folder: &std::path::Path,
 ) -> Result<ExitCode, OperatorError> {
     let mut worst = ExitCode::Done;
-    for (path, text) in operator::change_paths(folder)? {
+    for (path, text) in operator::read_documents(folder)? {
         let edit = Edit::Put(text.into());
         let applied = operator::apply(client, path, edit, None, None).await?;
-        if print_rollout(json, &applied)? == ExitCode::NotEverywhere {
-            worst = ExitCode::NotEverywhere;
+        if print_rollout(json, &applied)? == ExitCode::RolloutIncomplete {
+            worst = ExitCode::RolloutIncomplete;
         }
     }
     Ok(worst)
@@ -172,7 +172,7 @@
     Ok(ExitCode::Done)
 }
 
-/// Checks a data folder. If it is damaged, the result is [`ExitCode::Wrong`].
+/// Checks a data folder. If it is damaged, the result is [`ExitCode::InvalidInput`].
 fn inspect(json: bool, command: &LedgerCommand) -> ExitCode {
     let LedgerCommand::Inspect(args) = command;
     match anvil_ledger::inspect::inspect(&args.folder) {
@@ -181,8 +181,8 @@
             ExitCode::Done
         }
         Err(e) => {
-            print_error(json, &e, ExitCode::Wrong);
-            ExitCode::Wrong
+            print_error(json, &e, ExitCode::InvalidInput);
+            ExitCode::InvalidInput
         }
     }
 }
@@ -207,12 +207,15 @@
     })
 }
 
-fn print_rollout(json: bool, applied: &operator::Applied) -> Result<ExitCode, OperatorError> {
+fn print_rollout(
+    json: bool,
+    applied: &operator::CommittedChange,
+) -> Result<ExitCode, OperatorError> {
     print_report(json, applied)?;
-    if applied.spread.everywhere() {
+    if applied.spread.is_rolled_out() {
         return Ok(ExitCode::Done);
     }
-    Ok(ExitCode::NotEverywhere)
+    Ok(ExitCode::RolloutIncomplete)
 }
 
 fn print_report<T: Display + Serialize>(json: bool, report: &T) -> Result<ExitCode, OperatorError> {
--- a/crates/anvil_gateway/src/gateway.rs
+++ b/crates/anvil_gateway/src/gateway.rs
@@ -13,8 +13,8 @@
 use anvil_world::prelude::*;
 use anvilreel::event;
 use anvilreel::ledger_client::LedgerClient;
-use anvilreel::life::Life;
-use anvilreel::logs::Dropped;
+use anvilreel::lifecycle::Lifecycle;
+use anvilreel::logs::DroppedLines;
 use anvilreel::metrics::Metrics;
 use anvilreel::money::{GrantAccount, GrantPolicy};
 use arc_swap::{ArcSwap, ArcSwapOption};
@@ -78,7 +78,7 @@
     /// Wakes the task that requests grants from the ledger.
     pub grants_wanted: Notify,
     /// The process's clock and incarnation, and whether it is stopping.
-    pub lifecycle: Life,
+    pub lifecycle: Lifecycle,
     /// Client of the ledger.
     pub ledger: LedgerClient,
     /// Ledger replicas that the settings name.
@@ -86,7 +86,7 @@
     /// The log.
     pub log: Logger,
     /// Counts dropped log lines.
-    pub dropped_log_lines: Dropped,
+    pub dropped_log_lines: DroppedLines,
     /// Metrics.
     pub metrics: Metrics,
     /// Constants for estimates of engines.
@@ -172,7 +172,7 @@
 impl Gateway {
     /// Creates a gateway without a routing table, endpoints or grants.
     pub fn new(cfg: GatewaySettings, log: Logger, metrics: Metrics) -> Self {
-        let lifecycle = Life::begin();
+        let lifecycle = Lifecycle::begin();
         // If the clock was set back, a later incarnation would look older and the ledger would
         // refuse its batches. A random part of the name keeps incarnations apart.
         let name = format!("{}#{:x}", cfg.id, rand::random::<u64>());
@@ -183,12 +183,12 @@
             grant_account: Arc::new(grant_account),
             grants_wanted: Notify::new(),
             ledger: LedgerClient::new(&cfg.ledger)
-                .with_patience(REPLICA_TIMEOUT)
+                .with_replica_timeout(REPLICA_TIMEOUT)
                 .with_hedge(HEDGE_DELAY),
             seeds: ArcSwap::from_pointee(cfg.ledger.clone()),
             lifecycle,
             log,
-            dropped_log_lines: Dropped::default(),
+            dropped_log_lines: DroppedLines::default(),
             metrics,
             engine_rule: EngineRule::default(),
             gateway_count: AtomicU32::new(ASSUMED_GATEWAYS),
@@ -212,7 +212,7 @@
     /// Whether the load balancer may send new connections.
     pub fn is_ready(&self) -> bool {
         let is_initialised = self.table.load().is_some() && !self.directory.is_empty();
-        is_initialised && !self.lifecycle.is_leaving() && !self.is_starved()
+        is_initialised && !self.lifecycle.is_draining() && !self.is_starved()
     }
 
     /// Whether requests were refused recently because the ledger is unreachable and the grants are
@@ -240,7 +240,7 @@
     }
 
     /// Sets the counter of dropped log lines.
-    pub fn with_dropped_counter(mut self, dropped: Dropped) -> Self {
+    pub fn with_dropped_counter(mut self, dropped: DroppedLines) -> Self {
         self.dropped_log_lines = dropped;
         self
     }
@@ -260,7 +260,7 @@
     /// Replaces the seeds after the settings have changed.
     pub fn set_ledger_seeds(&self, seeds: &[SocketAddr]) {
         self.seeds.store(Arc::new(seeds.to_vec()));
-        self.ledger.add_ways(seeds);
+        self.ledger.add_addresses(seeds);
     }
 
     /// This process as a member in the ledger.
--- a/crates/anvil_gateway/src/ledger_updates.rs
+++ b/crates/anvil_gateway/src/ledger_updates.rs
@@ -8,9 +8,9 @@
 use anvil_wire::msg::{FollowScope, LedgerReply};
 use anvil_world::prelude::*;
 use anvilreel::event;
-use anvilreel::held::Held;
+use anvilreel::ledger_view::LedgerView;
 use anvilreel::members;
-use anvilreel::watcher::SILENCE;
+use anvilreel::watcher::FOLLOW_TIMEOUT;
 use tokio::time::{sleep, timeout};
 
 use crate::gateway::Gateway;
@@ -27,7 +27,7 @@
 
 /// Follows the replicas in turn for as long as the process runs.
 pub async fn run(gw: &Gateway) {
-    let mut cached = Held::default();
+    let mut cached = LedgerView::default();
     let mut revision = 0;
     let mut connected = false;
     // Start at a random replica, so that no single replica sends updates to all gateways.
@@ -47,7 +47,7 @@
 async fn follow_one(
     gw: &Gateway,
     replica: usize,
-    cached: &mut Held,
+    cached: &mut LedgerView,
     revision: &mut Revision,
     connected: &mut bool,
 ) -> bool {
@@ -66,7 +66,7 @@
         timeout(update_timeout, replies.next()).await
     {
         updated = true;
-        update_timeout = SILENCE;
+        update_timeout = FOLLOW_TIMEOUT;
         if !*connected {
             event!(gw.log, events::GATEWAY_IN_TOUCH, "replica" => replica);
             *connected = true;
@@ -79,16 +79,16 @@
     updated
 }
 
-fn apply_update(gw: &Gateway, cached: &Held, revision: &mut Revision) {
+fn apply_update(gw: &Gateway, cached: &LedgerView, revision: &mut Revision) {
     update_gateway_count(gw, cached);
-    let routers = members::alive(cached, Role::Router);
+    let routers = members::live_instances(cached, Role::Router);
     gw.siblings
         .update_members(routers.filter(|router| router.zone.id == gw.cfg.zone.id));
     gw.apply_ledger_suspects(&cached.suspects);
     gw.apply_ledger_limits(&cached.limits);
     let replicas = members::replicas(cached, &gw.seeds.load());
     let relays = members::relays(cached, &gw.cfg.id);
-    if gw.ledger.set_ways(&replicas, &relays) {
+    if gw.ledger.set_addresses(&replicas, &relays) {
         event!(
             gw.log, events::GATEWAY_LEDGER_WAYS,
             "replicas" => replicas.len(), "relays" => relays.len()
@@ -117,8 +117,8 @@
     }
 }
 
-fn update_gateway_count(gw: &Gateway, cached: &Held) {
-    let live = members::alive(cached, Role::Router);
+fn update_gateway_count(gw: &Gateway, cached: &LedgerView) {
+    let live = members::live_instances(cached, Role::Router);
     let mut ids: BTreeSet<_> = live.map(|router| &router.id).collect();
     // This gateway may not be in the ledger's membership yet.
     ids.insert(&gw.cfg.id);
--- a/crates/anvil_gateway/src/run.rs
+++ b/crates/anvil_gateway/src/run.rs
@@ -66,7 +66,7 @@
     let stopping = async {
         stop.await;
         event!(gw.log, events::GATEWAY_LEAVING);
-        gw.lifecycle.leave();
+        gw.lifecycle.begin_drain();
     };
     tokio::join!(serving, stopping);
     grant_loop::return_grants(&gw, RETURN_GRANTS_TIME).await;
--- a/crates/anvil_gateway/src/serve.rs
+++ b/crates/anvil_gateway/src/serve.rs
@@ -36,7 +36,7 @@
     let (stop_tx, stop_rx) = watch::channel(false);
     let mut connections = JoinSet::new();
     let stopping = async {
-        gw.lifecycle.left().await;
+        gw.lifecycle.drain_begun().await;
         let stopped_at = Instant::now();
         sleep_until(stopped_at + ACCEPT_AFTER_STOP).await;
         stopped_at
@@ -77,7 +77,7 @@
         let gw = gw.clone();
         async move {
             let mut reply = handle_request(&gw, req).await;
-            if gw.lifecycle.is_leaving() || gw.is_starved() {
+            if gw.lifecycle.is_draining() || gw.is_starved() {
                 set_connection_close(&mut reply);
             }
             Ok::<Reply, Infallible>(reply)
--- a/crates/anvil_gateway/src/siblings.rs
+++ b/crates/anvil_gateway/src/siblings.rs
@@ -10,7 +10,7 @@
 use anvil_wire::msg::{ListCall, ListReply, ListRequest};
 use anvil_wire::{Channel, Handlers, Server, WireError};
 use anvil_world::prelude::*;
-use anvilreel::peers::Peers;
+use anvilreel::channel_cache::ChannelCache;
 use arc_swap::ArcSwap;
 
 use crate::gateway::Gateway;
@@ -24,7 +24,7 @@
     own_id: InstanceId,
     /// Addresses at which they serve siblings, including this gateway's own.
     addrs: ArcSwap<BTreeMap<InstanceId, SocketAddr>>,
-    peers: Peers,
+    channels: ChannelCache,
     skipped: Mutex<BTreeMap<InstanceId, Now>>,
 }
 
@@ -35,7 +35,7 @@
         Self {
             own_id,
             addrs: ArcSwap::from_pointee(addrs),
-            peers: Peers::default(),
+            channels: ChannelCache::default(),
             skipped: Mutex::default(),
         }
     }
@@ -52,8 +52,8 @@
         if addrs == **self.addrs.load() {
             return;
         }
-        self.peers
-            .keep(|addr| addrs.values().any(|known| known == addr));
+        self.channels
+            .retain(|addr| addrs.values().any(|known| known == addr));
         self.addrs.store(Arc::new(addrs));
     }
 
@@ -68,7 +68,7 @@
     /// The channel to a sibling.
     pub fn channel(&self, id: &InstanceId) -> Option<Channel> {
         let addrs = self.addrs.load();
-        addrs.get(id).map(|addr| self.peers.to(*addr))
+        addrs.get(id).map(|addr| self.channels.channel(*addr))
     }
 
     /// Skips a sibling that has not answered in time.
--- a/crates/anvil_gateway/tests/direct/explanations.rs
+++ b/crates/anvil_gateway/tests/direct/explanations.rs
@@ -47,10 +47,10 @@
 ) -> (TestGateway, WrittenLog, impl Fn() -> String + use<>) {
     let log_output = WrittenLog::default();
     let (log, dropped) = to_writer(log_output.clone(), LogLimits::default());
-    let (metrics, board) = Metrics::kept("gateway");
+    let (metrics, registry) = Metrics::in_memory("gateway");
     let gateway = TestGateway::start_with(endpoints, log, metrics).await;
     assert_eq!(dropped.count(), 0);
-    (gateway, log_output, move || board.text())
+    (gateway, log_output, move || registry.render())
 }
 
 /// Guards against an unexplained refusal while engines are idle: the request's line shows that the
@@ -250,13 +250,13 @@
     }
     let working = TestEndpoint::start(|_, req| vec![Step::Send(response(req, "ran"))]).await;
     let limits = LogLimits {
-        bytes_per_second: 1_000_000,
-        lines_per_second: 10_000,
-        waiting_bytes: 20_000,
+        max_bytes_per_second: 1_000_000,
+        max_lines_per_second: 10_000,
+        max_buffered_bytes: 20_000,
     };
     let (log, dropped) = to_writer(StuckWriter, limits);
     let gateway =
-        TestGateway::start_with(&[("a", &working)], log, Metrics::silent("gateway")).await;
+        TestGateway::start_with(&[("a", &working)], log, Metrics::disabled("gateway")).await;
     let mut client = Client::connect(gateway.addr).await;
     let started_at = std::time::Instant::now();
     for number in 0..200 {
@@ -273,9 +273,9 @@
 async fn failures_are_logged_when_the_byte_limit_is_exceeded() {
     let log_output = WrittenLog::default();
     let limits = LogLimits {
-        bytes_per_second: 20_000,
-        lines_per_second: 10_000,
-        waiting_bytes: 40_000,
+        max_bytes_per_second: 20_000,
+        max_lines_per_second: 10_000,
+        max_buffered_bytes: 40_000,
     };
     let (log, dropped) = to_writer(log_output.clone(), limits);
     for number in 0..500 {
@@ -303,9 +303,9 @@
 async fn log_line_rate_is_limited() {
     let log_output = WrittenLog::default();
     let limits = LogLimits {
-        bytes_per_second: 1_000_000,
-        lines_per_second: 40,
-        waiting_bytes: 1_000_000,
+        max_bytes_per_second: 1_000_000,
+        max_lines_per_second: 40,
+        max_buffered_bytes: 1_000_000,
     };
     let (log, dropped) = to_writer(log_output.clone(), limits);
     for number in 0..200 {
--- a/crates/anvil_gateway/tests/direct/gateway.rs
+++ b/crates/anvil_gateway/tests/direct/gateway.rs
@@ -131,7 +131,7 @@
     /// it works.
     pub async fn start(endpoints: &[(&str, &TestEndpoint)]) -> Self {
         let log = Logger::root(Discard, o!());
-        Self::start_with(endpoints, log, Metrics::silent("gateway")).await
+        Self::start_with(endpoints, log, Metrics::disabled("gateway")).await
     }
 
     /// The same with a log and metrics.
@@ -154,7 +154,7 @@
     /// A gateway without routing table and endpoints.
     pub async fn start_empty() -> Self {
         let log = Logger::root(Discard, o!());
-        Self::start_without_state(settings(), log, Metrics::silent("gateway")).await
+        Self::start_without_state(settings(), log, Metrics::disabled("gateway")).await
     }
 
     /// A gateway with the default routes that reads a list of endpoints regularly.
@@ -165,7 +165,7 @@
             ..settings()
         };
         let log = Logger::root(Discard, o!());
-        let gateway = Self::start_without_state(cfg, log, Metrics::silent("gateway")).await;
+        let gateway = Self::start_without_state(cfg, log, Metrics::disabled("gateway")).await;
         gateway.gw.table.store(Some(Arc::new(table(1, routes()))));
         let gw = gateway.gw.clone();
         tokio::spawn(async move { discovery::run(&gw).await });
--- a/crates/anvil_gateway/tests/direct/leaving.rs
+++ b/crates/anvil_gateway/tests/direct/leaving.rs
@@ -54,7 +54,7 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     assert!(gateway.gw.is_ready());
-    gateway.gw.lifecycle.leave();
+    gateway.gw.lifecycle.begin_drain();
     assert!(!gateway.gw.is_ready());
     let response = client.read_response().await;
     assert_eq!((response.status, &*response.body), (200, "ran"));
@@ -83,7 +83,7 @@
         .send("/stream/x", "id", "content-length: 0\r\nx-wait: 20000\r\n")
         .await;
     while !client.read_some().await.contains("piece 1") {}
-    gateway.gw.lifecycle.leave();
+    gateway.gw.lifecycle.begin_drain();
     let response = client.read_response().await;
     assert!(!response.complete, "{response:?}");
 }
--- a/crates/anvil_gateway/tests/direct/processes.rs
+++ b/crates/anvil_gateway/tests/direct/processes.rs
@@ -12,7 +12,7 @@
 use anvil_world::settings::{LedgerSettings, Peer};
 use anvilreel::ledger_client::LedgerClient;
 use anvilreel::ledger_service::{self, LedgerHandle, Tuning};
-use anvilreel::logs::silent;
+use anvilreel::logs::discard;
 use anvilreel::metrics::Metrics;
 use bytes::Bytes;
 use tempfile::TempDir;
@@ -150,7 +150,7 @@
         };
         let (stop, stopped) = oneshot::channel();
         let stopped = async { drop(stopped.await) };
-        let ledger = ledger_service::start(cfg, Tuning::default(), silent(), stopped).await;
+        let ledger = ledger_service::start(cfg, Tuning::default(), discard(), stopped).await;
         self.ledger = Some((stop, ledger.expect("a ledger")));
         for number in 0..GATEWAYS {
             let gateway = self.start_gateway(number);
@@ -172,7 +172,7 @@
             },
             ..settings()
         };
-        GatewayProcess::start(Gateway::new(cfg, silent(), Metrics::silent("gateway")))
+        GatewayProcess::start(Gateway::new(cfg, discard(), Metrics::disabled("gateway")))
     }
 
     async fn store_routes(&self) {
--- a/crates/anvil_gateway/tests/direct/siblings.rs
+++ b/crates/anvil_gateway/tests/direct/siblings.rs
@@ -122,7 +122,7 @@
             ..settings()
         };
         let log = Logger::root(Discard, o!());
-        let gw = Arc::new(Gateway::new(cfg, log, Metrics::silent("gateway")));
+        let gw = Arc::new(Gateway::new(cfg, log, Metrics::disabled("gateway")));
         let server = siblings::listen(&gw).await.expect("an address");
         let answering = tokio::spawn(siblings::serve_siblings(gw.clone(), server));
         let tasks = vec![answering];
--- a/crates/anvil_standins/src/bin/anvil-load.rs
+++ b/crates/anvil_standins/src/bin/anvil-load.rs
@@ -162,11 +162,11 @@
             .to_vec(),
     ];
     for (name, usage) in fleet.usage() {
-        let processor = format!("{:.2}", usage.processor.as_secs_f64());
+        let processor = format!("{:.2}", usage.cpu_time.as_secs_f64());
         let memory = format!("{}", usage.memory >> 20);
         lines.push(vec![name, processor, memory]);
     }
-    print!("{}", table::aligned(&lines));
+    print!("{}", table::align_columns(&lines));
     Ok(report)
 }
 
--- a/crates/anvil_standins/src/client.rs
+++ b/crates/anvil_standins/src/client.rs
@@ -20,7 +20,7 @@
 
 /// A complete response.
 #[derive(Debug, Clone)]
-pub struct Answer {
+pub struct FullResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -42,18 +42,18 @@
 
 impl Client {
     /// Sends a GET request and reads the complete response.
-    pub async fn get(&self, url: &str) -> Result<Answer, Error> {
+    pub async fn get(&self, url: &str) -> Result<FullResponse, Error> {
         let req = Request::builder().method(Method::GET).uri(url);
         let req = req.body(Full::default()).context(UrlSnafu { url })?;
-        self.whole(url, req).await
+        self.fetch(url, req).await
     }
 
     /// Sends a request and reads the complete response.
-    pub async fn whole(&self, url: &str, req: Request<Full<Bytes>>) -> Result<Answer, Error> {
+    pub async fn fetch(&self, url: &str, req: Request<Full<Bytes>>) -> Result<FullResponse, Error> {
         let response = self.send(url, req).await?;
         let (parts, body) = response.into_parts();
         let body = body.collect().await.context(BrokenSnafu { url })?;
-        Ok(Answer {
+        Ok(FullResponse {
             status: parts.status,
             headers: parts.headers,
             body: body.to_bytes(),
--- a/crates/anvil_standins/src/engine.rs
+++ b/crates/anvil_standins/src/engine.rs
@@ -147,12 +147,12 @@
     }
 
     /// Number of runs started, with or without a run id.
-    pub fn started(&self) -> u64 {
+    pub fn runs_started(&self) -> u64 {
         self.engine.runs_started.load(Ordering::Relaxed)
     }
 
     /// Total number of output tokens generated.
-    pub fn tokens(&self) -> u64 {
+    pub fn tokens_generated(&self) -> u64 {
         self.engine.tokens.load(Ordering::Relaxed)
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// Sets the number of tokens after which new runs crash; 0 means never.
-    pub fn set_dying_after(&self, tokens: u64) {
+    pub fn set_crash_after(&self, tokens: u64) {
         self.engine.crash_after.store(tokens, Ordering::Relaxed);
     }
 
--- a/crates/anvil_standins/src/load/fleet/endpoints.rs
+++ b/crates/anvil_standins/src/load/fleet/endpoints.rs
@@ -84,7 +84,7 @@
     /// Number of second and later runs of its orders.
     pub fn duplicate_runs(&self) -> u64 {
         let now = match &self.running {
-            Some(Running::Plain(plain)) => plain.runs().values().map(|runs| runs - 1).sum(),
+            Some(Running::Plain(plain)) => plain.run_counts().values().map(|runs| runs - 1).sum(),
             _ => 0,
         };
         self.duplicate_runs + now
--- a/crates/anvil_standins/src/load/table.rs
+++ b/crates/anvil_standins/src/load/table.rs
@@ -33,7 +33,7 @@
     for report in reports {
         lines.push(COLUMNS.iter().map(|(_, cell)| cell(report)).collect());
     }
-    aligned(&lines)
+    align_columns(&lines)
 }
 
 /// One line for each type of refusal, defect and loss, and for wrongly charged tokens.
@@ -54,11 +54,11 @@
         let label = "tokens billed beyond answers";
         lines.extend(excess_charges.map(|tokens| line(label.into(), tokens)));
     }
-    aligned(&lines)
+    align_columns(&lines)
 }
 
 /// Formats lines of cells as text, each column as wide as its widest cell.
-pub fn aligned(lines: &[Vec<String>]) -> String {
+pub fn align_columns(lines: &[Vec<String>]) -> String {
     let columns = lines.iter().map(Vec::len).max().unwrap_or_default();
     let width = |column: usize| {
         let cells = lines.iter().filter_map(|line| line.get(column));
--- a/crates/anvil_standins/src/load/usage.rs
+++ b/crates/anvil_standins/src/load/usage.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ProcessUsage {
     /// Processor time since the start of the process.
-    pub processor: Duration,
+    pub cpu_time: Duration,
     /// Resident memory, in bytes.
     pub memory: u64,
 }
@@ -27,7 +27,7 @@
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
         let kibibytes: u64 = line.trim().trim_end_matches(" kB").parse().ok()?;
         Some(Self {
-            processor: Duration::from_millis((user + system) * 1_000 / TICKS_PER_SECOND),
+            cpu_time: Duration::from_millis((user + system) * 1_000 / TICKS_PER_SECOND),
             memory: kibibytes * 1_024,
         })
     }
--- a/crates/anvil_standins/src/plain.rs
+++ b/crates/anvil_standins/src/plain.rs
@@ -83,7 +83,7 @@
     }
 
     /// How often each order ran.
-    pub fn runs(&self) -> BTreeMap<String, u64> {
+    pub fn run_counts(&self) -> BTreeMap<String, u64> {
         lock(&self.service.orders).clone()
     }
 
--- a/crates/anvil_standins/src/platform.rs
+++ b/crates/anvil_standins/src/platform.rs
@@ -21,7 +21,7 @@
 
 /// One instance in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedInstance {
     /// The instance's id.
     pub id: InstanceId,
     /// Its availability zone.
@@ -50,7 +50,7 @@
     }
 }
 
-type List = BTreeMap<InstanceId, Listed>;
+type List = BTreeMap<InstanceId, ListedInstance>;
 
 #[derive(Debug, Default)]
 struct Platform {
@@ -117,7 +117,7 @@
     }
 
     /// Adds an instance to the list, or replaces its entry.
-    pub fn set(&self, listed: Listed) {
+    pub fn set(&self, listed: ListedInstance) {
         let id = listed.id.clone();
         lock(&self.platform).change(|list| {
             list.insert(id, listed);
--- a/crates/anvil_standins/tests/engine.rs
+++ b/crates/anvil_standins/tests/engine.rs
@@ -1,24 +1,24 @@
 //! Tests of the engine's chat and order endpoints over HTTP.
 
-use anvil_standins::client::{Answer, Client};
+use anvil_standins::client::{Client, FullResponse};
 use anvil_standins::engine::{self, Message, expected_answer};
 use bytes::Bytes;
 use http::{Method, Request, StatusCode};
 use http_body_util::Full;
 use serde_json::{Value, json};
 
-async fn send(method: Method, url: String, body: Value) -> Answer {
+async fn send(method: Method, url: String, body: Value) -> FullResponse {
     let req = Request::builder().method(method).uri(&url);
     let req = req.body(Full::new(Bytes::from(body.to_string())));
-    Client::default().whole(&url, req.unwrap()).await.unwrap()
+    Client::default().fetch(&url, req.unwrap()).await.unwrap()
 }
 
-async fn chat(engine: &engine::Handle, body: Value) -> Answer {
+async fn chat(engine: &engine::Handle, body: Value) -> FullResponse {
     let url = format!("http://{}/v1/chat/completions", engine.addr());
     send(Method::POST, url, body).await
 }
 
-fn events(response: &Answer) -> Vec<Value> {
+fn events(response: &FullResponse) -> Vec<Value> {
     let text = std::str::from_utf8(&response.body).unwrap();
     let data = text.split("\n\n").filter_map(|e| e.strip_prefix("data: "));
     let (mut chunks, mut done) = (Vec::new(), 0);
@@ -54,7 +54,7 @@
     let usage = &chunks.last().unwrap()["usage"];
     assert_eq!(*usage, complete["usage"]);
     assert_eq!(usage["prompt_tokens"], 7);
-    assert_eq!(engine.started(), 2);
+    assert_eq!(engine.runs_started(), 2);
 }
 
 #[tokio::test]
@@ -107,11 +107,11 @@
 #[tokio::test]
 async fn a_crash_breaks_the_stream() {
     let engine = engine::start(engine::Config::default()).await.unwrap();
-    engine.set_dying_after(5);
+    engine.set_crash_after(5);
     let messages = [Message::user("tokens=30")];
     let body = json!({"model": "demo-chat", "messages": messages, "stream": true});
     let url = format!("http://{}/v1/chat/completions", engine.addr());
     let req = Request::post(&url).body(Full::new(Bytes::from(body.to_string())));
-    let response = Client::default().whole(&url, req.unwrap()).await;
+    let response = Client::default().fetch(&url, req.unwrap()).await;
     assert!(response.is_err());
 }
--- a/crates/anvil_standins/tests/engine_load.rs
+++ b/crates/anvil_standins/tests/engine_load.rs
@@ -15,7 +15,7 @@
         "priority": priority});
     let url = format!("http://{}/v1/chat/completions", engine.addr());
     let req = Request::post(&url).body(Full::new(Bytes::from(body.to_string())));
-    let response = Client::default().whole(&url, req.unwrap()).await.unwrap();
+    let response = Client::default().fetch(&url, req.unwrap()).await.unwrap();
     assert!(response.status.is_success());
     Instant::now()
 }
--- a/crates/anvil_standins/tests/plain.rs
+++ b/crates/anvil_standins/tests/plain.rs
@@ -13,11 +13,11 @@
     let client = Client::default();
     let by_header = Request::post(&url).header(plain::ORDER_ID, "o1");
     let by_header = by_header.body(Full::default()).unwrap();
-    client.whole(&url, by_header).await.unwrap();
+    client.fetch(&url, by_header).await.unwrap();
     let by_field = Full::new(Bytes::from_static(br#"{"order_id":"o1"}"#));
     let by_field = Request::post(&url).body(by_field).unwrap();
-    client.whole(&url, by_field).await.unwrap();
-    assert_eq!(service.runs()["o1"], 2);
+    client.fetch(&url, by_field).await.unwrap();
+    assert_eq!(service.run_counts()["o1"], 2);
     assert_eq!(service.calls(), 2);
 }
 
@@ -28,8 +28,8 @@
     let url = format!("http://{}/deposits", service.addr());
     let req = Request::post(&url).header(plain::ORDER_ID, "d1");
     let response = Client::default()
-        .whole(&url, req.body(Full::default()).unwrap())
+        .fetch(&url, req.body(Full::default()).unwrap())
         .await;
     assert!(response.is_err());
-    assert_eq!(service.runs()["d1"], 1);
+    assert_eq!(service.run_counts()["d1"], 1);
 }
--- a/crates/anvil_standins/tests/platform.rs
+++ b/crates/anvil_standins/tests/platform.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use anvil_standins::client::Client;
-use anvil_standins::platform::{self, Listed};
+use anvil_standins::platform::{self, ListedInstance};
 use anvil_standins::weights;
 use anvil_world::prelude::*;
 use serde_json::Value;
@@ -16,7 +16,7 @@
         ..platform::Config::default()
     };
     let platform = platform::start(cfg).await.unwrap();
-    platform.set(Listed {
+    platform.set(ListedInstance {
         id: "runner-1".into(),
         zone: Zone::new("ke-central", "ke-central-a"),
         addr: platform.addr(),
--- a/crates/anvilreel/examples/ledger_bench/main.rs
+++ b/crates/anvilreel/examples/ledger_bench/main.rs
@@ -140,7 +140,7 @@
 async fn recover_entries(data: &Path) -> Result<(), Failure> {
     // Without a snapshot, so that the whole state is recovered from the log.
     let tuning = Tuning {
-        snapshot_every: u64::MAX / 2,
+        snapshot_entries: u64::MAX / 2,
         ..Tuning::default()
     };
     let mut ledger = Ledger::start(&data.join("entries"), 1, tuning).await?;
--- a/crates/anvilreel/examples/money.rs
+++ b/crates/anvilreel/examples/money.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use anvilreel::money::GrantPolicy;
-use compare::{Outcome, Play, Way, play};
+use compare::{Outcome, SharingScheme, Simulation, simulate};
 
 fn main() {
     let mut args = std::env::args().skip(1).filter_map(|a| a.parse().ok());
@@ -30,8 +30,8 @@
             }
         }
     }
-    let many_budgets = Play {
-        way: Way::Grants,
+    let many_budgets = Simulation {
+        scheme: SharingScheme::Grants,
         seed,
         routers: 8,
         budgets: 2_000,
@@ -40,15 +40,15 @@
         partition: false,
         policy,
     };
-    let many_budgets = play(many_budgets);
+    let many_budgets = simulate(many_budgets);
     let (peak, mean) = (many_budgets.peak_bytes, many_budgets.mean_bytes);
     println!("2,000 budgets, even, 90 %: peak {peak} B/s, mean {mean} B/s a router");
 }
 
 fn line(seed: u64, policy: &GrantPolicy, skewed: bool, used: u64, partition: bool) {
-    let run_with = |way| {
-        play(Play {
-            way,
+    let run_with = |scheme| {
+        simulate(Simulation {
+            scheme,
             seed,
             routers: 8,
             budgets: 20,
@@ -59,9 +59,9 @@
         })
     };
     let (grants, even, ask) = (
-        run_with(Way::Grants),
-        run_with(Way::EvenSplit),
-        run_with(Way::AskLedger),
+        run_with(SharingScheme::Grants),
+        run_with(SharingScheme::EvenSplit),
+        run_with(SharingScheme::LedgerPerRequest),
     );
     let demand = if skewed { "skewed" } else { "even" };
     let outage = if partition { "60 s" } else { "-" };
--- a/crates/anvilreel/src/announce.rs
+++ b/crates/anvilreel/src/announce.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep;
 
 use crate::ledger_client::LedgerClient;
-use crate::life::Life;
+use crate::lifecycle::Lifecycle;
 
 /// Time between two heartbeats. The ledger marks an instance as unresponsive after five missed
 /// ones.
@@ -15,13 +15,13 @@
 
 /// Sends a heartbeat every second, for as long as the process runs. The heartbeats report version
 /// 0, so they are only for roles that apply no settings; the others send their own heartbeats.
-pub async fn run(ledger: &LedgerClient, lifecycle: &Life, instance: &Instance) {
+pub async fn run(ledger: &LedgerClient, lifecycle: &Lifecycle, instance: &Instance) {
     loop {
         let heartbeat = Heartbeat {
             instance: instance.clone(),
             version: 0,
             evidence: Vec::new(),
-            leaving: lifecycle.is_leaving(),
+            leaving: lifecycle.is_draining(),
         };
         // No retry: the next heartbeat makes up for a lost one.
         let _ = ledger.heartbeat(heartbeat, HEARTBEAT_INTERVAL).await;
--- a/crates/anvilreel/src/peers.rs
+++ b/crates/anvilreel/src/channel_cache.rs
@@ -9,13 +9,13 @@
 
 /// Channels by address. A lookup takes no lock.
 #[derive(Default)]
-pub struct Peers {
+pub struct ChannelCache {
     channels: ArcSwap<BTreeMap<SocketAddr, Channel>>,
 }
 
-impl Peers {
+impl ChannelCache {
     /// Returns the channel to an address; creates it on first use.
-    pub fn to(&self, addr: SocketAddr) -> Channel {
+    pub fn channel(&self, addr: SocketAddr) -> Channel {
         if let Some(channel) = self.channels.load().get(&addr) {
             return channel.clone();
         }
@@ -31,7 +31,7 @@
     }
 
     /// Drops the channels to all addresses except the wanted ones.
-    pub fn keep(&self, wanted: impl Fn(&SocketAddr) -> bool) {
+    pub fn retain(&self, wanted: impl Fn(&SocketAddr) -> bool) {
         self.channels.rcu(|channels| {
             let mut channels = BTreeMap::clone(channels);
             channels.retain(|addr, _| wanted(addr));
--- a/crates/anvilreel/src/ledger_client.rs
+++ b/crates/anvilreel/src/ledger_client.rs
@@ -38,7 +38,7 @@
     InDoubt,
     /// The answer is not of the kind that the request expects.
     #[snafu(display("unexpected kind of answer from the ledger"))]
-    WrongKind,
+    UnexpectedAnswer,
 }
 
 /// Client of the ledger. It starts with the address that answered last.
@@ -73,13 +73,13 @@
     /// Without this, a long-running process whose configured replicas are replaced one by one would
     /// in the end know none of the current ones, and would stay disconnected from a healthy ledger
     /// until it is restarted.
-    pub fn with_learning(mut self) -> Self {
+    pub fn with_reported_replicas(mut self) -> Self {
         self.configured = Some(self.addresses.load().addrs());
         self
     }
 
     /// Sets the timeout of a request to one replica.
-    pub fn with_patience(mut self, replica_timeout: Duration) -> Self {
+    pub fn with_replica_timeout(mut self, replica_timeout: Duration) -> Self {
         self.replica_timeout = replica_timeout;
         self
     }
@@ -92,7 +92,7 @@
 
     /// Replaces the addresses. Those that are known already keep their connections. Returns whether
     /// anything has changed.
-    pub fn set_ways(&self, replicas: &[SocketAddr], relays: &[SocketAddr]) -> bool {
+    pub fn set_addresses(&self, replicas: &[SocketAddr], relays: &[SocketAddr]) -> bool {
         let wanted = interleaved(replicas, relays);
         let addresses = self.addresses.load();
         if addresses.matches(&wanted) {
@@ -108,7 +108,7 @@
     }
 
     /// Adds addresses.
-    pub fn add_ways(&self, more: &[SocketAddr]) {
+    pub fn add_addresses(&self, more: &[SocketAddr]) {
         let addresses = self.addresses.load();
         let mut wanted = addresses.addrs();
         for addr in more {
@@ -135,17 +135,20 @@
     /// Every command that routers and sidecars send may be resent: the ledger applies it once.
     pub async fn propose(&self, command: Command, within: Duration) -> Result<Answer, LedgerError> {
         let req = LedgerRequest::Propose(command);
-        match self.ask(&req, within).await? {
+        match self.send_request(&req, within).await? {
             LedgerReply::Applied { answer, .. } => Ok(answer),
-            _ => Err(LedgerError::WrongKind),
+            _ => Err(LedgerError::UnexpectedAnswer),
         }
     }
 
     /// A read that a majority confirms.
     pub async fn query(&self, query: Query, within: Duration) -> Result<QueryAnswer, LedgerError> {
-        match self.ask(&LedgerRequest::Query(query), within).await? {
+        match self
+            .send_request(&LedgerRequest::Query(query), within)
+            .await?
+        {
             LedgerReply::Read(answer) => Ok(answer),
-            _ => Err(LedgerError::WrongKind),
+            _ => Err(LedgerError::UnexpectedAnswer),
         }
     }
 
@@ -156,14 +159,14 @@
         within: Duration,
     ) -> Result<HeartbeatReply, LedgerError> {
         match self
-            .ask(&LedgerRequest::Heartbeat(heartbeat), within)
+            .send_request(&LedgerRequest::Heartbeat(heartbeat), within)
             .await?
         {
             LedgerReply::Alive(reply) => {
                 self.add_learned(&reply.replicas);
                 Ok(reply)
             }
-            _ => Err(LedgerError::WrongKind),
+            _ => Err(LedgerError::UnexpectedAnswer),
         }
     }
 
@@ -173,7 +176,7 @@
         };
         let mut wanted = replicas.to_vec();
         wanted.extend(configured.iter().filter(|addr| !replicas.contains(addr)));
-        self.set_ways(&wanted, &[]);
+        self.set_addresses(&wanted, &[]);
     }
 
     /// Follows the replica at this position, which wraps around.
@@ -195,7 +198,7 @@
     }
 
     /// Sends a request to one address after the other until a replica gives a final answer.
-    pub async fn ask(
+    pub async fn send_request(
         &self,
         req: &LedgerRequest,
         within: Duration,
--- a/crates/anvilreel/src/ledger_service.rs
+++ b/crates/anvilreel/src/ledger_service.rs
@@ -47,7 +47,7 @@
 
 pub use error::ServiceError;
 use error::{DiskSnafu, ListenSnafu, MachineSnafu, MetricsSnafu, StorageSnafu, ThreadSnafu};
-pub use peer_addresses::Contacts;
+pub use peer_addresses::PeerAddresses;
 pub use removal::{NoLeader, remove};
 use replica_task::{Inbox, ReplicaTask};
 
@@ -68,7 +68,7 @@
     /// a router may serve without the ledger.
     pub gone_after: Duration,
     /// Entries between two snapshots.
-    pub snapshot_every: u64,
+    pub snapshot_entries: u64,
     /// Bytes of entries after which a snapshot is taken, also with fewer entries than that.
     pub snapshot_bytes: u64,
     /// Size in bytes at which a segment file of the log is closed. A file is removed when a
@@ -76,9 +76,9 @@
     pub segment_bytes: u64,
     /// Rule by which permanently lost replicas are removed from the ledger; `None` leaves that to
     /// an operator.
-    pub take_out: Option<TakeOut>,
+    pub auto_removal: Option<AutoRemoval>,
     /// Whether a replica that has failed ends, instead of answering every request with `Stopped`.
-    pub end_when_failed: bool,
+    pub stop_on_failure: bool,
     /// Destination of metrics, in place of the one in the settings.
     pub metrics: Option<Metrics>,
     /// Whether several entries share one sync; switched off only to measure its effect.
@@ -87,12 +87,12 @@
 
 /// Rule by which a replica is removed from the ledger without an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TakeOut {
+pub struct AutoRemoval {
     /// Time without a response after which a replica counts as lost.
-    pub after: Duration,
+    pub unresponsive_for: Duration,
     /// No replica is removed below this number of voters: twice the number of disks that may be
     /// lost at the same time, plus one.
-    pub least: usize,
+    pub min_voters: usize,
 }
 
 impl Default for Tuning {
@@ -101,11 +101,11 @@
             core: CoreSettings::default(),
             silent_after: Duration::from_secs(5),
             gone_after: Duration::from_secs(10),
-            snapshot_every: 10_000,
+            snapshot_entries: 10_000,
             snapshot_bytes: 64 << 20,
             segment_bytes: 16 << 20,
-            take_out: None,
-            end_when_failed: false,
+            auto_removal: None,
+            stop_on_failure: false,
             metrics: None,
             group_commit: true,
         }
@@ -138,7 +138,7 @@
         open_disk(&cfg)?,
         cfg,
         tuning,
-        Contacts::default(),
+        PeerAddresses::default(),
         log,
         stop,
     )
@@ -157,7 +157,7 @@
     disk: Disk,
     cfg: LedgerSettings,
     tuning: Tuning,
-    peer_addresses: Contacts,
+    peer_addresses: PeerAddresses,
     log: Logger,
     stop: impl Future<Output = ()> + Send + 'static,
 ) -> Result<LedgerHandle, ServiceError> {
--- a/crates/anvilreel/src/ledger_service/handlers.rs
+++ b/crates/anvilreel/src/ledger_service/handlers.rs
@@ -11,7 +11,7 @@
 
 use super::follow::{Follower, version_of};
 use super::peer::{PeerCall, PeerReply, PeerRequest};
-use super::peer_addresses::Contacts;
+use super::peer_addresses::PeerAddresses;
 use super::pending::ReplyTx;
 use super::replica_task::{Inbox, Input, ReplicaStatus};
 
@@ -41,7 +41,7 @@
     /// Whether the process is ending.
     pub stopping: watch::Receiver<bool>,
     /// Addresses of other replicas, beyond those in the log's membership.
-    pub peer_addresses: Contacts,
+    pub peer_addresses: PeerAddresses,
     /// The data folder.
     pub disk: anvil_ledger::storage::Disk,
 }
--- a/crates/anvilreel/src/ledger_service/peer_addresses.rs
+++ b/crates/anvilreel/src/ledger_service/peer_addresses.rs
@@ -12,7 +12,7 @@
 /// way it would not vote, and the next loss would leave the ledger without a majority. So it also
 /// connects to the leader that it was referred to, and asks the seeds that its settings name later.
 #[derive(Clone, Default)]
-pub struct Contacts {
+pub struct PeerAddresses {
     learned: watch::Sender<LearnedAddresses>,
 }
 
@@ -25,7 +25,7 @@
     pub leader: Option<SocketAddr>,
 }
 
-impl Contacts {
+impl PeerAddresses {
     /// Replaces the seeds by those that the settings name now.
     pub fn set_seeds(&self, seeds: &[SocketAddr]) {
         self.change(|learned| seeds.clone_into(&mut learned.seeds));
--- a/crates/anvilreel/src/ledger_service/replica_task.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task.rs
@@ -193,7 +193,7 @@
                 }
             }
             self.publish();
-            if self.stopped && self.setup.tuning.end_when_failed {
+            if self.stopped && self.setup.tuning.stop_on_failure {
                 break;
             }
         }
--- a/crates/anvilreel/src/ledger_service/replica_task/disk.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task/disk.rs
@@ -72,7 +72,7 @@
     fn snapshot_if_due(&mut self) {
         let applied = self.machine.state.applied();
         let tuning = &self.setup.tuning;
-        let due = applied >= self.snapshot_index + tuning.snapshot_every
+        let due = applied >= self.snapshot_index + tuning.snapshot_entries
             || self.bytes_since_snapshot >= tuning.snapshot_bytes;
         if !due || self.snapshot_task.is_some() {
             return;
--- a/crates/anvilreel/src/ledger_service/replica_task/leader_checks.rs
+++ b/crates/anvilreel/src/ledger_service/replica_task/leader_checks.rs
@@ -124,12 +124,12 @@
     }
 
     fn remove_lost_replica(&mut self) {
-        let Some(rule) = self.setup.tuning.take_out else {
+        let Some(rule) = self.setup.tuning.auto_removal else {
             return;
         };
         let lost = self
             .replica
-            .unresponsive_voter(rule.after, rule.least)
+            .unresponsive_voter(rule.unresponsive_for, rule.min_voters)
             .cloned();
         if let Some(instance) = lost {
             event!(
--- a/crates/anvilreel/src/held.rs
+++ b/crates/anvilreel/src/ledger_view.rs
@@ -11,7 +11,7 @@
 
 /// Settings tree, members, fences, suspected requests and endpoints' limits at one version.
 #[derive(Debug, Clone, Default)]
-pub struct Held {
+pub struct LedgerView {
     /// Log position that this state corresponds to; 0 before the first event.
     pub version: LogIndex,
     /// Documents of the settings tree.
@@ -26,7 +26,7 @@
     pub limits: BTreeMap<InstanceId, EndpointLimit>,
 }
 
-impl Held {
+impl LedgerView {
     /// Applies an event; returns whether the state changed.
     ///
     /// A lagging replica or a delayed event may carry settings that have been replaced already.
--- a/crates/anvilreel/src/lib.rs
+++ b/crates/anvilreel/src/lib.rs
@@ -7,27 +7,27 @@
 //!
 //! Shared by the processes:
 //! - [`ledger_client`] sends requests to the ledger and [`announce`] sends it heartbeats.
-//! - [`held`] is a process's copy of the ledger's state; [`members`] looks up addresses in it,
+//! - [`ledger_view`] is a process's copy of the ledger's state; [`members`] looks up addresses in it,
 //!   and [`watcher`] keeps a client's list of ledger replicas up to date.
-//! - [`peers`] holds the channels to other processes, and [`life`] a process's incarnation, clock
+//! - [`channel_cache`] holds the channels to other processes, and [`lifecycle`] a process's incarnation, clock
 //!   and planned stop.
 //! - [`events`] lists the log events, [`logs`] writes them, and [`metrics`] lists and sends the
 //!   metrics.
 
 pub mod announce;
+pub mod channel_cache;
 pub mod claims;
 pub mod events;
-pub mod held;
 pub mod ledger_client;
 pub mod ledger_service;
-pub mod life;
+pub mod ledger_view;
+pub mod lifecycle;
 pub mod local;
 pub mod logs;
 pub mod members;
 pub mod metrics;
 pub mod money;
 pub mod operator;
-pub mod peers;
 pub mod relay;
 pub mod request;
 pub mod router;
--- a/crates/anvilreel/src/life.rs
+++ b/crates/anvilreel/src/lifecycle.rs
@@ -9,7 +9,7 @@
 
 /// Incarnation, clock and stop state of a process. Clones share the stop state and are cheap.
 #[derive(Clone)]
-pub struct Life {
+pub struct Lifecycle {
     /// Incarnation of the instance that this process is.
     pub incarnation: Incarnation,
     started: Instant,
@@ -17,7 +17,7 @@
     incarnation_ended: Arc<watch::Sender<bool>>,
 }
 
-impl Life {
+impl Lifecycle {
     /// Begins a new incarnation. Its number is the wall clock in microseconds, so that a later
     /// incarnation is larger without storing the earlier one on disk.
     pub fn begin() -> Self {
@@ -37,29 +37,29 @@
     }
 
     /// Begins the planned stop. Returns whether this call was the one that began it.
-    pub fn leave(&self) -> bool {
+    pub fn begin_drain(&self) -> bool {
         !self.draining.send_replace(true)
     }
 
     /// Whether the planned stop has begun.
-    pub fn is_leaving(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         *self.draining.borrow()
     }
 
     /// Returns when the planned stop begins.
-    pub async fn left(&self) {
+    pub async fn drain_begun(&self) {
         let mut rx = self.draining.subscribe();
         // Can't fail: `self` keeps the sender alive.
         let _ = rx.wait_for(|draining| *draining).await;
     }
 
     /// Records that the ledger has ended this incarnation. Returns whether this is the first call.
-    pub fn end(&self) -> bool {
+    pub fn end_incarnation(&self) -> bool {
         !self.incarnation_ended.send_replace(true)
     }
 
     /// Returns when the ledger has ended this incarnation: the process must begin a new one.
-    pub async fn ended(&self) {
+    pub async fn incarnation_over(&self) {
         let mut rx = self.incarnation_ended.subscribe();
         // Can't fail: `self` keeps the sender alive.
         let _ = rx.wait_for(|ended| *ended).await;
@@ -69,7 +69,7 @@
     pub async fn sleep_unless_draining(&self, time: Duration) {
         tokio::select! {
             () = tokio::time::sleep(time) => {}
-            () = self.left() => {}
+            () = self.drain_begun() => {}
         }
     }
 }
--- a/crates/anvilreel/src/local.rs
+++ b/crates/anvilreel/src/local.rs
@@ -27,7 +27,7 @@
 use crate::router::{Router, RouterError};
 use crate::sidecar::Sidecar;
 
-pub use demo::{BUDGET, INITIAL_CREDIT, KEY, MODEL, SERVICE, seed_demo};
+pub use demo::{BEARER_KEY, BUDGET, INITIAL_CREDIT, MODEL, SERVICE, seed_demo};
 
 /// Maximum time until all roles are ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -85,7 +85,7 @@
 }
 
 /// All roles, running.
-pub struct Local {
+pub struct LocalFleet {
     router: Router,
     sidecars: Vec<Sidecar>,
     ledger_handle: LedgerHandle,
@@ -94,7 +94,7 @@
     pub ledger: SocketAddr,
 }
 
-impl Local {
+impl LocalFleet {
     /// Starts every role and returns when the router is ready for callers.
     pub async fn start(settings: &LocalSettings, log: &Logger) -> Result<Self, LocalError> {
         let (stop_ledger, stop_rx) = oneshot::channel();
@@ -106,11 +106,11 @@
         let mut sidecars = Vec::new();
         for endpoint in endpoints(settings) {
             let settings = sidecar_settings(ledger, endpoint);
-            let started = Sidecar::start(&settings, log.clone(), Metrics::silent("sidecar"));
+            let started = Sidecar::start(&settings, log.clone(), Metrics::disabled("sidecar"));
             sidecars.push(started.await.context(SidecarSnafu)?);
         }
         let router = router_settings(settings.listen, ledger);
-        let router = Router::start(&router, log.clone(), Metrics::silent("router"));
+        let router = Router::start(&router, log.clone(), Metrics::disabled("router"));
         let local = Self {
             router: router.await.context(RouterSnafu)?,
             sidecars,
--- a/crates/anvilreel/src/local/demo.rs
+++ b/crates/anvilreel/src/local/demo.rs
@@ -11,7 +11,7 @@
 use crate::ledger_client::{LedgerClient, LedgerError};
 
 /// The bearer key of the demo team.
-pub const KEY: &str = "demo-key";
+pub const BEARER_KEY: &str = "demo-key";
 /// The model that the demo team may use.
 pub const MODEL: &str = "demo-chat";
 /// The plain service that the demo team may use.
@@ -64,7 +64,7 @@
 fn documents() -> Vec<(TreePath, Arc<str>)> {
     let team = format!(
         "organisation = \"demo\"\nkeys = [\"{}\"]\nsplit = {{ {BUDGET} = 1 }}\n",
-        key_hash(KEY.as_bytes())
+        key_hash(BEARER_KEY.as_bytes())
     );
     vec![
         (TreePath::Fleet, "".into()),
--- a/crates/anvilreel/src/logs.rs
+++ b/crates/anvilreel/src/logs.rs
@@ -6,7 +6,7 @@
 use slog::{Drain, Logger, o};
 use slog_async::{Async, OverflowStrategy};
 
-pub use bounded::{Dropped, LogLimits};
+pub use bounded::{DroppedLines, LogLimits};
 
 /// Maximum number of queued lines; further ones are dropped and counted.
 const MAX_QUEUED_LINES: usize = 4_096;
@@ -26,7 +26,7 @@
 ///
 /// A stalled reader of standard output delays no caller: a separate thread writes the lines, and
 /// those that exceed its buffer are dropped and counted.
-pub fn to_stdout(limits: LogLimits) -> (Logger, Dropped) {
+pub fn to_stdout(limits: LogLimits) -> (Logger, DroppedLines) {
     bounded::logger(std::io::stdout(), limits)
 }
 
@@ -34,12 +34,12 @@
 pub fn to_writer(
     writer: impl std::io::Write + Send + 'static,
     limits: LogLimits,
-) -> (Logger, Dropped) {
+) -> (Logger, DroppedLines) {
     bounded::logger(writer, limits)
 }
 
 /// A logger that discards all lines, for tests.
-pub fn silent() -> Logger {
+pub fn discard() -> Logger {
     Logger::root(slog::Discard, o!())
 }
 
--- a/crates/anvilreel/src/logs/bounded.rs
+++ b/crates/anvilreel/src/logs/bounded.rs
@@ -18,11 +18,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogLimits {
     /// Maximum bytes per second, averaged over a second.
-    pub bytes_per_second: u64,
+    pub max_bytes_per_second: u64,
     /// Maximum lines per second, averaged over a second.
-    pub lines_per_second: u64,
+    pub max_lines_per_second: u64,
     /// Maximum bytes that are buffered for a slow reader.
-    pub waiting_bytes: usize,
+    pub max_buffered_bytes: usize,
 }
 
 impl Default for LogLimits {
@@ -31,9 +31,9 @@
     /// lines first. The buffer holds two seconds of output.
     fn default() -> Self {
         Self {
-            bytes_per_second: 200_000,
-            lines_per_second: 1_000,
-            waiting_bytes: 400_000,
+            max_bytes_per_second: 200_000,
+            max_lines_per_second: 1_000,
+            max_buffered_bytes: 400_000,
         }
     }
 }
@@ -46,9 +46,9 @@
 
 /// Count of the lines dropped since the process started. Cheap to clone.
 #[derive(Debug, Clone, Default)]
-pub struct Dropped(Arc<AtomicU64>);
+pub struct DroppedLines(Arc<AtomicU64>);
 
-impl Dropped {
+impl DroppedLines {
     /// Number of dropped lines.
     pub fn count(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
@@ -98,23 +98,26 @@
     buffer: Mutex<Buffer>,
     /// Notified when the buffer has become non-empty.
     not_empty: Condvar,
-    dropped: Dropped,
+    dropped: DroppedLines,
 }
 
 struct BoundedDrain(Arc<Shared>);
 
-pub(super) fn logger(writer: impl Write + Send + 'static, limits: LogLimits) -> (Logger, Dropped) {
+pub(super) fn logger(
+    writer: impl Write + Send + 'static,
+    limits: LogLimits,
+) -> (Logger, DroppedLines) {
     let shared = Arc::new(Shared {
         limits,
         buffer: Mutex::new(Buffer {
             buf: Vec::new(),
-            bytes: TokenBucket::new(limits.bytes_per_second),
-            lines: TokenBucket::new(limits.lines_per_second),
+            bytes: TokenBucket::new(limits.max_bytes_per_second),
+            lines: TokenBucket::new(limits.max_lines_per_second),
             refilled_at: Instant::now(),
             dropped: 0,
         }),
         not_empty: Condvar::new(),
-        dropped: Dropped::default(),
+        dropped: DroppedLines::default(),
     });
     let dropped = shared.dropped.clone();
     let writer_shared = shared.clone();
@@ -184,7 +187,7 @@
         let (bytes, buffered, max_buffered) = (
             line.len() as f64,
             buffer.buf.len() as f64,
-            self.limits.waiting_bytes as f64,
+            self.limits.max_buffered_bytes as f64,
         );
         let fits = buffered + bytes <= max_buffered * (1.0 - reserved);
         if !fits || !buffer.bytes.has(bytes, reserved) {
--- a/crates/anvilreel/src/metrics.rs
+++ b/crates/anvilreel/src/metrics.rs
@@ -109,7 +109,7 @@
     /// Sends metrics to this address with the prefix `anvilreel.ROLE.`; discards them without one.
     pub fn new(role: &str, statsd: Option<SocketAddr>) -> Result<Self, MetricsError> {
         let Some(addr) = statsd else {
-            return Ok(Self::silent(role));
+            return Ok(Self::disabled(role));
         };
         let prefix = prefix(role);
         let socket = UdpSocket::bind(("0.0.0.0", 0)).context(SocketSnafu)?;
@@ -122,8 +122,8 @@
     }
 
     /// Keeps all metrics in memory; [`exposition::serve`] serves them.
-    pub fn kept(role: &str) -> (Self, exposition::Board) {
-        let registry = exposition::Board::default();
+    pub fn in_memory(role: &str) -> (Self, exposition::Registry) {
+        let registry = exposition::Registry::default();
         let sink = exposition::RegistrySink(registry.clone());
         let client = StatsdClient::from_sink(&prefix(role), sink);
         let metrics = Self {
@@ -133,7 +133,7 @@
     }
 
     /// Discards all metrics.
-    pub fn silent(role: &str) -> Self {
+    pub fn disabled(role: &str) -> Self {
         let client = StatsdClient::from_sink(&prefix(role), NopMetricSink);
         Self {
             client: Arc::new(client),
--- a/crates/anvilreel/src/metrics/exposition.rs
+++ b/crates/anvilreel/src/metrics/exposition.rs
@@ -1,6 +1,6 @@
 //! Serves metrics as text to collectors that scrape them.
 //!
-//! A [`Board`] receives what [`super::Metrics`] sends in the statsd format and aggregates it:
+//! A [`Registry`] receives what [`super::Metrics`] sends in the statsd format and aggregates it:
 //! counts into sums, gauges into their last values, durations into histograms. [`serve`] serves
 //! them over HTTP in the Prometheus text format.
 
@@ -58,11 +58,11 @@
 
 /// Metrics aggregated so far. Cheap to clone; clones share the same values.
 #[derive(Debug, Clone, Default)]
-pub struct Board {
+pub struct Registry {
     values: Arc<Mutex<BTreeMap<String, Value>>>,
 }
 
-impl Board {
+impl Registry {
     fn lock(&self) -> MutexGuard<'_, BTreeMap<String, Value>> {
         // Safe after a panic elsewhere: the map holds only plain numbers.
         self.values.lock().unwrap_or_else(PoisonError::into_inner)
@@ -95,7 +95,7 @@
     }
 
     /// Renders all metrics as text.
-    pub fn text(&self) -> String {
+    pub fn render(&self) -> String {
         let mut text = String::new();
         for (name, value) in self.lock().iter() {
             let name: String = name
@@ -125,8 +125,8 @@
     writeln!(text, "{name}_ms_count {}", histogram.count)
 }
 
-/// Records metrics in a [`Board`].
-pub(super) struct RegistrySink(pub(super) Board);
+/// Records metrics in a [`Registry`].
+pub(super) struct RegistrySink(pub(super) Registry);
 
 impl MetricSink for RegistrySink {
     fn emit(&self, metric: &str) -> io::Result<usize> {
@@ -144,7 +144,7 @@
 /// ahead of each response.
 pub async fn serve(
     listener: TcpListener,
-    registry: Board,
+    registry: Registry,
     update_gauges: impl Fn() + Send + Sync + 'static,
 ) {
     let update_gauges = Arc::new(update_gauges);
@@ -157,7 +157,7 @@
         let update_gauges = update_gauges.clone();
         let service = service_fn(move |_: Request<Incoming>| {
             update_gauges();
-            let mut response = Response::new(Full::new(Bytes::from(registry.text())));
+            let mut response = Response::new(Full::new(Bytes::from(registry.render())));
             *response.status_mut() = StatusCode::OK;
             async move { Ok::<_, Infallible>(response) }
         });
--- a/crates/anvilreel/src/operator.rs
+++ b/crates/anvilreel/src/operator.rs
@@ -29,7 +29,7 @@
 mod read;
 mod report;
 
-pub use change::{Applied, apply, change_paths, query_rollout, top_up, write_off};
+pub use change::{CommittedChange, apply, query_rollout, read_documents, top_up, write_off};
 pub use client::Client;
 pub use drain::drain;
 pub use error::{ExitCode, OperatorError};
--- a/crates/anvilreel/src/operator/change.rs
+++ b/crates/anvilreel/src/operator/change.rs
@@ -20,14 +20,14 @@
 
 /// A committed change and its rollout.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Applied {
+pub struct CommittedChange {
     /// Receipt of the committed change.
     pub receipt: Receipt,
     /// Where the change is in force.
     pub spread: RolloutReport,
 }
 
-impl std::fmt::Display for Applied {
+impl std::fmt::Display for CommittedChange {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}\n{}", self.receipt, self.spread)
     }
@@ -49,7 +49,7 @@
     edit: Edit,
     expected: Option<Revision>,
     id: Option<ChangeId>,
-) -> Result<Applied, OperatorError> {
+) -> Result<CommittedChange, OperatorError> {
     if let Edit::Put(text) = &edit {
         Document::check(&path, text).context(SettingsSnafu)?;
     }
@@ -70,13 +70,13 @@
     };
     let receipt = propose_change(client, &id, Command::Change(change)).await?;
     let spread = wait_in_force(client, receipt.revision).await?;
-    Ok(Applied { receipt, spread })
+    Ok(CommittedChange { receipt, spread })
 }
 
 /// Reads the documents below a folder, ordered so that each comes after those it refers to.
 ///
 /// A file `teams/counter.toml` is the document `teams/counter`.
-pub fn change_paths(folder: &Path) -> Result<Vec<(TreePath, String)>, OperatorError> {
+pub fn read_documents(folder: &Path) -> Result<Vec<(TreePath, String)>, OperatorError> {
     let kinds = ["organisations", "services", "budgets", "models", "teams"];
     let mut documents = Vec::new();
     let fleet = folder.join("fleet.toml");
@@ -194,7 +194,7 @@
     let deadline = Instant::now() + client.timeout();
     loop {
         let spread = query_rollout(client, revision).await?;
-        if spread.everywhere() || Instant::now() >= deadline {
+        if spread.is_rolled_out() || Instant::now() >= deadline {
             return Ok(spread);
         }
         sleep(POLL_INTERVAL).await;
--- a/crates/anvilreel/src/operator/client.rs
+++ b/crates/anvilreel/src/operator/client.rs
@@ -38,7 +38,7 @@
     }
 
     /// Sets the timeout of an action.
-    pub fn with_time(mut self, timeout: Duration) -> Self {
+    pub fn with_timeout(mut self, timeout: Duration) -> Self {
         self.timeout = timeout;
         self
     }
@@ -64,7 +64,7 @@
             Ok(answer) => Ok(answer),
             Err(LedgerError::Unreachable) => Err(self.not_done()),
             Err(LedgerError::InDoubt) => Err(OperatorError::OutcomeUnknown { id: id.clone() }),
-            Err(LedgerError::WrongKind) => Err(OperatorError::Unexpected),
+            Err(LedgerError::UnexpectedAnswer) => Err(OperatorError::Unexpected),
         }
     }
 
@@ -72,7 +72,7 @@
     pub async fn query(&self, query: Query) -> Result<QueryAnswer, OperatorError> {
         match self.ledger.query(query, self.timeout).await {
             Ok(answer) => Ok(answer),
-            Err(LedgerError::WrongKind) => Err(OperatorError::Unexpected),
+            Err(LedgerError::UnexpectedAnswer) => Err(OperatorError::Unexpected),
             // A read changes nothing, so a lost reply is never in doubt.
             Err(_) => Err(self.not_done()),
         }
--- a/crates/anvilreel/src/operator/drain.rs
+++ b/crates/anvilreel/src/operator/drain.rs
@@ -2,7 +2,7 @@
 
 use anvil_world::prelude::*;
 
-use super::change::{Applied, propose_drain, wait_in_force};
+use super::change::{CommittedChange, propose_drain, wait_in_force};
 use super::{Client, OperatorError};
 
 /// Marks an instance as leaving and waits until the change is in force everywhere or the client's
@@ -13,8 +13,8 @@
     client: &Client,
     instance: InstanceId,
     id: Option<ChangeId>,
-) -> Result<Applied, OperatorError> {
+) -> Result<CommittedChange, OperatorError> {
     let receipt = propose_drain(client, instance, id).await?;
     let spread = wait_in_force(client, receipt.revision).await?;
-    Ok(Applied { receipt, spread })
+    Ok(CommittedChange { receipt, spread })
 }
--- a/crates/anvilreel/src/operator/error.rs
+++ b/crates/anvilreel/src/operator/error.rs
@@ -15,7 +15,7 @@
     /// Done.
     Done = 0,
     /// The command line, a file or its contents are invalid; nothing was sent.
-    Wrong = 2,
+    InvalidInput = 2,
     /// The ledger refused; nothing was changed.
     Denied = 3,
     /// The ledger could not be reached; nothing was changed.
@@ -23,7 +23,7 @@
     /// The outcome is unknown; resend under the same id.
     OutcomeUnknown = 5,
     /// Committed, but not in force everywhere within the timeout.
-    NotEverywhere = 6,
+    RolloutIncomplete = 6,
 }
 
 /// A failed action.
@@ -99,7 +99,7 @@
                 ExitCode::OutcomeUnknown
             }
             Self::Denied { .. } | Self::NoInstance { .. } => ExitCode::Denied,
-            Self::Settings { .. } | Self::Path { .. } | Self::File { .. } => ExitCode::Wrong,
+            Self::Settings { .. } | Self::Path { .. } | Self::File { .. } => ExitCode::InvalidInput,
         }
     }
 }
--- a/crates/anvilreel/src/operator/report.rs
+++ b/crates/anvilreel/src/operator/report.rs
@@ -68,7 +68,7 @@
     }
 
     /// Whether no live instance has an older version in force.
-    pub fn everywhere(&self) -> bool {
+    pub fn is_rolled_out(&self) -> bool {
         self.missing.is_empty()
     }
 }
--- a/crates/anvilreel/src/relay.rs
+++ b/crates/anvilreel/src/relay.rs
@@ -22,9 +22,9 @@
 use crate::event;
 use crate::events;
 use crate::ledger_client::{LedgerClient, LedgerError};
-use crate::life::Life;
+use crate::lifecycle::Lifecycle;
 use crate::metrics::{self, Metrics};
-use crate::watcher::{SILENCE, Watcher};
+use crate::watcher::{FOLLOW_TIMEOUT, ReplicaWatcher};
 
 /// Timeout of a forwarded call. Callers wait no longer than this for one route to the ledger.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(900);
@@ -48,22 +48,22 @@
 
 struct Relay {
     cfg: RelaySettings,
-    watcher: Arc<Watcher>,
+    watcher: Arc<ReplicaWatcher>,
     log: Logger,
     metrics: Metrics,
-    lifecycle: Life,
+    lifecycle: Lifecycle,
 }
 
 /// Creates the relay's own ledger client, with the watcher that updates its replicas.
-pub fn watcher(cfg: &RelaySettings) -> Arc<Watcher> {
-    let ledger = LedgerClient::new(&cfg.ledger).with_patience(REPLICA_TIMEOUT);
-    Arc::new(Watcher::new(ledger, cfg.id.clone(), &cfg.ledger))
+pub fn new_watcher(cfg: &RelaySettings) -> Arc<ReplicaWatcher> {
+    let ledger = LedgerClient::new(&cfg.ledger).with_replica_timeout(REPLICA_TIMEOUT);
+    Arc::new(ReplicaWatcher::new(ledger, cfg.id.clone(), &cfg.ledger))
 }
 
 /// Runs a relay until `stop` is ready.
 pub async fn run(
     cfg: RelaySettings,
-    watcher: Arc<Watcher>,
+    watcher: Arc<ReplicaWatcher>,
     log: Logger,
     metrics: Metrics,
     stop: impl Future<Output = ()>,
@@ -75,7 +75,7 @@
         cfg,
         log,
         metrics,
-        lifecycle: Life::begin(),
+        lifecycle: Lifecycle::begin(),
     });
     let handler = relay.clone();
     let handlers = Handlers::default().with::<LedgerCall, _, _>(move |req, tx| {
@@ -118,7 +118,12 @@
         self.metrics.count(metrics::RELAY_PASSED);
         // The command may have been applied although its reply was lost, so the caller must also
         // learn that the outcome is in doubt.
-        let reply = match self.watcher.ledger.ask(&req, FORWARD_TIMEOUT).await {
+        let reply = match self
+            .watcher
+            .ledger
+            .send_request(&req, FORWARD_TIMEOUT)
+            .await
+        {
             Ok(reply) => reply,
             Err(LedgerError::InDoubt) => {
                 self.metrics.count(metrics::RELAY_IN_DOUBT);
@@ -143,11 +148,11 @@
         let replica = self.watcher.followed_replica();
         let ledger = &self.watcher.ledger;
         let opening = ledger.follow(replica, instance, interest, version);
-        let Ok(Ok(mut replies)) = timeout(SILENCE, opening).await else {
+        let Ok(Ok(mut replies)) = timeout(FOLLOW_TIMEOUT, opening).await else {
             return;
         };
         self.metrics.count(metrics::RELAY_STREAMS);
-        while let Ok(Ok(Some(reply))) = timeout(SILENCE, replies.next()).await {
+        while let Ok(Ok(Some(reply))) = timeout(FOLLOW_TIMEOUT, replies.next()).await {
             if tx.send(&reply).await.is_err() {
                 return;
             }
--- a/crates/anvilreel/src/router.rs
+++ b/crates/anvilreel/src/router.rs
@@ -41,14 +41,14 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
+use crate::channel_cache::ChannelCache;
 use crate::claims::{ClaimStore, HolderHistory};
 use crate::event;
 use crate::events;
 use crate::ledger_client::LedgerClient;
-use crate::life::Life;
+use crate::lifecycle::Lifecycle;
 use crate::metrics::{Metrics, REQUESTS_OPEN};
 use crate::money::{GrantAccount, GrantPolicy};
-use crate::peers::Peers;
 use endpoint_pools::EndpointPools;
 use follow::{Follower, ViewState};
 
@@ -86,11 +86,11 @@
 /// State shared by all parts of a router.
 pub(crate) struct Core {
     instance: Instance,
-    life: Life,
+    lifecycle: Lifecycle,
     log: Logger,
     metrics: Metrics,
     ledger: Arc<LedgerClient>,
-    peers: Arc<Peers>,
+    channels: Arc<ChannelCache>,
     view_state: Arc<ViewState>,
     pools: EndpointPools,
     grant_account: GrantAccount,
@@ -155,7 +155,7 @@
 
     /// Whether `/readyz` answers 200.
     pub fn is_ready(&self) -> bool {
-        self.core.view_state.accepts_work() && !self.core.life.is_leaving()
+        self.core.view_state.accepts_work() && !self.core.lifecycle.is_draining()
     }
 
     /// Whether the router currently sends work to the sidecar at this address, in the incarnation
@@ -187,7 +187,7 @@
     pub async fn stop(self) {
         let core = &self.core;
         event!(core.log, events::ROUTER_LEAVING);
-        core.life.leave();
+        core.lifecycle.begin_drain();
         sleep(UNREADY_DELAY).await;
         self.close.notify_one();
         // An error means that the serving task panicked; there is nothing left to wait for.
@@ -209,7 +209,7 @@
     /// After a long partition the incarnation is fenced and every sidecar refuses it. Unless the
     /// process starts a new incarnation, this router would refuse callers for ever.
     pub async fn incarnation_over(&self) {
-        self.core.life.ended().await;
+        self.core.lifecycle.incarnation_over().await;
     }
 
     /// Frees the addresses for a new incarnation. Open requests run to their end.
@@ -220,7 +220,7 @@
             mut tasks,
             ..
         } = self;
-        core.life.leave();
+        core.lifecycle.begin_drain();
         // The first task is the wire server; the new incarnation needs its address.
         tasks.remove(0).abort();
         tokio::spawn(async move {
@@ -261,14 +261,14 @@
         instance: core.instance.clone(),
         log: core.log.clone(),
         metrics: core.metrics.clone(),
-        on_change: Box::new(move |held, view| view_core.apply_view(held, view)),
+        on_change: Box::new(move |ledger_view, view| view_core.apply_view(ledger_view, view)),
     });
     let (heartbeat_sender, tick_core, money_core) = (follower.clone(), core.clone(), core.clone());
-    let life = core.life.clone();
+    let lifecycle = core.lifecycle.clone();
     vec![
         tokio::spawn(server.serve(handlers, std::future::pending())),
         tokio::spawn(async move { follower.follow().await }),
-        tokio::spawn(async move { heartbeat_sender.send_heartbeats(&life).await }),
+        tokio::spawn(async move { heartbeat_sender.send_heartbeats(&lifecycle).await }),
         tokio::spawn(async move { tick_core.tick().await }),
         tokio::spawn(async move { batch_loop::run(&money_core).await }),
     ]
@@ -290,30 +290,31 @@
         log: Logger,
         metrics: Metrics,
     ) -> Self {
-        let life = Life::begin();
+        let lifecycle = Lifecycle::begin();
         let instance = Instance {
             id: settings.id.clone(),
-            incarnation: life.incarnation,
+            incarnation: lifecycle.incarnation,
             role: Role::Router,
             zone: settings.zone.clone(),
             addr: wire_addr,
             endpoint: None,
         };
-        let peers = Arc::new(Peers::default());
+        let channels = Arc::new(ChannelCache::default());
         let fleet = FleetDocument::default();
         let window = fleet.keep_answers + fleet.request_timeout;
-        let holder_history = HolderHistory::new(instance.zone.region.clone(), window, life.now());
+        let holder_history =
+            HolderHistory::new(instance.zone.region.clone(), window, lifecycle.now());
         let policy = GrantPolicy::default();
         Self {
-            pools: EndpointPools::new(instance.clone(), life.clone(), peers.clone()),
-            grant_account: GrantAccount::new(instance.id.clone(), life.incarnation, policy),
-            view_state: Arc::new(ViewState::new(life.clone())),
-            ledger: Arc::new(LedgerClient::new(&settings.ledgers).with_learning()),
+            pools: EndpointPools::new(instance.clone(), lifecycle.clone(), channels.clone()),
+            grant_account: GrantAccount::new(instance.id.clone(), lifecycle.incarnation, policy),
+            view_state: Arc::new(ViewState::new(lifecycle.clone())),
+            ledger: Arc::new(LedgerClient::new(&settings.ledgers).with_reported_replicas()),
             instance,
-            life,
+            lifecycle,
             log,
             metrics,
-            peers,
+            channels,
             batch_wanted: Notify::new(),
             claims: Mutex::default(),
             holder_history: Mutex::new(holder_history),
@@ -328,7 +329,7 @@
         let number = self.generated_ids.fetch_add(1, Ordering::Relaxed);
         format!(
             "{}-{:x}-{number:x}",
-            self.instance.id, self.life.incarnation
+            self.instance.id, self.lifecycle.incarnation
         )
         .into()
     }
@@ -350,16 +351,16 @@
         OpenRequest(self.clone())
     }
 
-    fn apply_view(&self, held: &crate::held::Held, view: &view::View) {
-        if held.is_fenced(&self.instance.id, self.instance.incarnation) {
+    fn apply_view(&self, ledger_view: &crate::ledger_view::LedgerView, view: &view::View) {
+        if ledger_view.is_fenced(&self.instance.id, self.instance.incarnation) {
             self.grant_account.fence();
-            if self.life.end() {
+            if self.lifecycle.end_incarnation() {
                 event!(self.log, events::ROUTER_FENCED);
             }
         }
         let mut holder_history = self.lock_holder_history();
         holder_history.set_window(view.fleet.keep_answers + view.fleet.request_timeout);
-        holder_history.record_members(self.life.now(), view.routers.values());
+        holder_history.record_members(self.lifecycle.now(), view.routers.values());
         drop(holder_history);
         self.grant_account.set_horizon(view.fleet.grant_horizon);
         self.pools.update(view);
--- a/crates/anvilreel/src/router/batch_loop.rs
+++ b/crates/anvilreel/src/router/batch_loop.rs
@@ -41,18 +41,24 @@
 }
 
 async fn exchange_batch(core: &Core) {
-    let Some(batch) = core.grant_account.next_batch(core.life.now()) else {
+    let Some(batch) = core.grant_account.next_batch(core.lifecycle.now()) else {
         return;
     };
     let command = Command::GrantBatch(batch);
     match core.ledger.propose(command, BATCH_TIMEOUT).await {
         Ok(Answer::Grants(answer)) => {
-            if let Err(e) = core.grant_account.apply_answer(core.life.now(), &answer) {
+            if let Err(e) = core
+                .grant_account
+                .apply_answer(core.lifecycle.now(), &answer)
+            {
                 event!(core.log, events::ROUTER_SETTLEMENT_REFUSED, "error" => e.to_string());
             }
         }
         Ok(Answer::Denied(denial)) => {
-            if core.grant_account.apply_denial(core.life.now(), &denial) {
+            if core
+                .grant_account
+                .apply_denial(core.lifecycle.now(), &denial)
+            {
                 event!(core.log, events::ROUTER_FENCED);
             }
         }
--- a/crates/anvilreel/src/router/claim_holders.rs
+++ b/crates/anvilreel/src/router/claim_holders.rs
@@ -30,7 +30,7 @@
 
 /// Answers a claim request of a router, this one included.
 pub fn answer(core: &Core, req: RouterRequest) -> RouterReply {
-    let now = core.life.now();
+    let now = core.lifecycle.now();
     let disconnected_for = core.view_state.disconnected_for();
     core.lock_claims().handle(now, req, |key, asked| {
         core.lock_holder_history().may_confirm_claim(
@@ -69,7 +69,7 @@
         answer(core, request)
     } else {
         let addr = core.view_state.view.load().router(holder)?.instance.addr;
-        let channel = core.peers.to(addr);
+        let channel = core.channels.channel(addr);
         let called = channel.call::<RouterCall>(&request, ROUTER_TIMEOUT).await;
         called.ok()?
     };
@@ -129,7 +129,7 @@
 
 /// Hands all stored claims over to the routers that hold them from now on.
 pub async fn hand_over(core: &Core) {
-    let claims = core.lock_claims().drain(core.life.now());
+    let claims = core.lock_claims().drain(core.lifecycle.now());
     let view = core.view_state.view.load_full();
     let others = view.routers.values();
     let others: Vec<_> = others
@@ -146,7 +146,7 @@
         }
     }
     let sending = by_router.into_iter().filter_map(|(router, claims)| {
-        let channel = core.peers.to(view.router(&router)?.instance.addr);
+        let channel = core.channels.channel(view.router(&router)?.instance.addr);
         Some(async move {
             let request = RouterRequest::HandOver(claims);
             // If a router does not accept them, the claims' other holder still has them.
--- a/crates/anvilreel/src/router/endpoint_pools.rs
+++ b/crates/anvilreel/src/router/endpoint_pools.rs
@@ -18,8 +18,8 @@
 
 use super::pool_queue::PoolQueue;
 use super::view::View;
-use crate::life::Life;
-use crate::peers::Peers;
+use crate::channel_cache::ChannelCache;
+use crate::lifecycle::Lifecycle;
 
 /// Pause before a lost load stream is reopened.
 const WATCH_RETRY_DELAY: Duration = Duration::from_millis(500);
@@ -50,19 +50,19 @@
     queues: Arc<ArcSwap<PoolQueues>>,
     watched: Mutex<BTreeMap<InstanceId, WatchedEndpoint>>,
     router: Instance,
-    life: Life,
-    peers: Arc<Peers>,
+    lifecycle: Lifecycle,
+    channels: Arc<ChannelCache>,
 }
 
 impl EndpointPools {
     /// No endpoints yet.
-    pub fn new(router: Instance, life: Life, peers: Arc<Peers>) -> Self {
+    pub fn new(router: Instance, lifecycle: Lifecycle, channels: Arc<ChannelCache>) -> Self {
         Self {
             queues: Arc::default(),
             watched: Mutex::default(),
             router,
-            life,
-            peers,
+            lifecycle,
+            channels,
         }
     }
 
@@ -80,7 +80,7 @@
         queues.retain(|key, queue| {
             let known = to_watch.contains_key(key);
             if !known {
-                queue.set_pool(self.life.now(), Pool::default());
+                queue.set_pool(self.lifecycle.now(), Pool::default());
             }
             known
         });
@@ -91,7 +91,7 @@
                 .entry(key.clone())
                 .or_insert_with(|| self.new_queue(key));
             queue.set_routers(routers);
-            queue.set_pool(self.life.now(), pool);
+            queue.set_pool(self.lifecycle.now(), pool);
         }
         self.queues.store(Arc::new(queues));
     }
@@ -99,7 +99,7 @@
     /// Admits waiting requests or refuses those whose waiting time is over. Must be called
     /// regularly.
     pub fn tick(&self) {
-        let now = self.life.now();
+        let now = self.lifecycle.now();
         for queue in self.queues.load().values() {
             queue.tick(now);
         }
@@ -172,9 +172,9 @@
             .map_or(1, |endpoint| endpoint.slots);
         let state = EndpointState::new(instance.id.clone(), instance.zone.clone(), slots);
         let state = Arc::new(state);
-        let channel = self.peers.to(instance.addr);
+        let channel = self.channels.channel(instance.addr);
         let watched = state.clone();
-        let (queues, life) = (self.queues.clone(), self.life.clone());
+        let (queues, lifecycle) = (self.queues.clone(), self.lifecycle.clone());
         let watch = tokio::spawn(async move {
             let mut last = EndpointLoad {
                 slots,
@@ -185,7 +185,7 @@
                     while let Ok(Some(SidecarReply::Load(load))) = replies.next().await {
                         apply_load_report(
                             &queues.load(),
-                            life.now(),
+                            lifecycle.now(),
                             &watched,
                             &load_report(&load),
                         );
@@ -196,7 +196,12 @@
                 // leaving. Otherwise work would be sent to a dead sidecar until the ledger declares
                 // it lost, and requests with a key would wait some seconds for it.
                 last.leaving = true;
-                apply_load_report(&queues.load(), life.now(), &watched, &load_report(&last));
+                apply_load_report(
+                    &queues.load(),
+                    lifecycle.now(),
+                    &watched,
+                    &load_report(&last),
+                );
                 sleep(WATCH_RETRY_DELAY).await;
             }
         });
--- a/crates/anvilreel/src/router/follow.rs
+++ b/crates/anvilreel/src/router/follow.rs
@@ -14,9 +14,9 @@
 use super::view::{View, ViewBuilder};
 use crate::event;
 use crate::events;
-use crate::held::Held;
 use crate::ledger_client::LedgerClient;
-use crate::life::Life;
+use crate::ledger_view::LedgerView;
+use crate::lifecycle::Lifecycle;
 use crate::metrics::{Metrics, SETTINGS_VERSION};
 
 /// Interval between heartbeats.
@@ -32,20 +32,20 @@
     pub view: ArcSwap<View>,
     /// Notified after each change of the view, with its version.
     pub changes: watch::Sender<LogIndex>,
-    /// When a replica last confirmed that it is connected, in milliseconds of [`Life::now`] plus 1;
+    /// When a replica last confirmed that it is connected, in milliseconds of [`Lifecycle::now`] plus 1;
     /// 0 for never.
     last_contact: AtomicU64,
-    life: Life,
+    lifecycle: Lifecycle,
 }
 
 impl ViewState {
     /// Starts with an empty view and no contact.
-    pub fn new(life: Life) -> Self {
+    pub fn new(lifecycle: Lifecycle) -> Self {
         Self {
             view: ArcSwap::default(),
             changes: watch::Sender::new(0),
             last_contact: AtomicU64::new(0),
-            life,
+            lifecycle,
         }
     }
 
@@ -53,7 +53,7 @@
     pub fn disconnected_for(&self) -> Duration {
         let last_contact = self.last_contact.load(Ordering::Relaxed);
         let last_contact = Duration::from_millis(last_contact.saturating_sub(1));
-        self.life.now().saturating_sub(last_contact)
+        self.lifecycle.now().saturating_sub(last_contact)
     }
 
     /// Whether new work may be accepted: the settings tree is loaded and not too old.
@@ -66,13 +66,13 @@
     }
 
     fn record_contact(&self) {
-        let millis = u64::try_from(self.life.now().as_millis()).unwrap_or(u64::MAX - 1);
+        let millis = u64::try_from(self.lifecycle.now().as_millis()).unwrap_or(u64::MAX - 1);
         self.last_contact.store(millis + 1, Ordering::Relaxed);
     }
 }
 
 /// Callback with the replicated settings and the view built from them.
-pub type OnViewChange = Box<dyn Fn(&Held, &View) + Send + Sync>;
+pub type OnViewChange = Box<dyn Fn(&LedgerView, &View) + Send + Sync>;
 
 /// Dependencies of the loops that follow the ledger and send heartbeats.
 pub struct Follower {
@@ -93,14 +93,14 @@
 impl Follower {
     /// Follows one replica after another for as long as the process runs.
     pub async fn follow(&self) {
-        let mut held = Held::default();
+        let mut ledger_view = LedgerView::default();
         let mut view_builder = ViewBuilder::default();
         let mut connected = true;
         // Routers start at different replicas, so that no single replica has to serve all of them.
         let mut replica = usize::try_from(self.instance.incarnation % 7).unwrap_or(0);
         loop {
             let received_any = self
-                .follow_one(replica, &mut held, &mut view_builder, &mut connected)
+                .follow_one(replica, &mut ledger_view, &mut view_builder, &mut connected)
                 .await;
             if !received_any && connected {
                 event!(self.log, events::ROUTER_OUT_OF_TOUCH);
@@ -115,14 +115,14 @@
     async fn follow_one(
         &self,
         replica: usize,
-        held: &mut Held,
+        ledger_view: &mut LedgerView,
         view_builder: &mut ViewBuilder,
         connected: &mut bool,
     ) -> bool {
         let id = self.instance.id.clone();
         let opening = self
             .ledger
-            .follow(replica, id, FollowScope::Router, held.version);
+            .follow(replica, id, FollowScope::Router, ledger_view.version);
         let Ok(Ok(mut replies)) = timeout(FOLLOW_TIMEOUT, opening).await else {
             return false;
         };
@@ -136,21 +136,21 @@
                 *connected = true;
             }
             self.view_state.record_contact();
-            if held.apply(event) {
-                self.put_in_force(held, view_builder);
+            if ledger_view.apply(event) {
+                self.put_in_force(ledger_view, view_builder);
             }
         }
         received_any
     }
 
-    fn put_in_force(&self, held: &Held, view_builder: &mut ViewBuilder) {
-        let (view, skipped) = view_builder.build(held);
+    fn put_in_force(&self, ledger_view: &LedgerView, view_builder: &mut ViewBuilder) {
+        let (view, skipped) = view_builder.build(ledger_view);
         for skipped in skipped {
             let path = skipped.path.to_string();
             let error = skipped.error.to_string();
             event!(self.log, events::ROUTER_DOCUMENT_SKIPPED, "path" => path, "error" => error);
         }
-        (self.on_change)(held, &view);
+        (self.on_change)(ledger_view, &view);
         let first = self.view_state.view.load().is_empty();
         let version = view.version;
         self.metrics.gauge(SETTINGS_VERSION, view.version);
@@ -164,24 +164,24 @@
 
     /// Sends a heartbeat every second until the task is aborted; while the router is leaving, the
     /// heartbeats say so.
-    pub async fn send_heartbeats(&self, life: &Life) {
+    pub async fn send_heartbeats(&self, lifecycle: &Lifecycle) {
         loop {
-            self.send_heartbeat(life).await;
+            self.send_heartbeat(lifecycle).await;
             sleep(HEARTBEAT_INTERVAL).await;
         }
     }
 
-    async fn send_heartbeat(&self, life: &Life) {
+    async fn send_heartbeat(&self, lifecycle: &Lifecycle) {
         let heartbeat = Heartbeat {
             instance: self.instance.clone(),
             version: self.view_state.view.load().version,
             evidence: Vec::new(),
-            leaving: life.is_leaving(),
+            leaving: lifecycle.is_draining(),
         };
         // A lost heartbeat is made up for by the next one.
         if let Ok(reply) = self.ledger.heartbeat(heartbeat, HEARTBEAT_INTERVAL).await
             && reply.presence == Presence::Gone
-            && life.end()
+            && lifecycle.end_incarnation()
         {
             event!(self.log, events::ROUTER_FENCED);
         }
--- a/crates/anvilreel/src/router/job.rs
+++ b/crates/anvilreel/src/router/job.rs
@@ -169,7 +169,7 @@
             bound: self.bound,
             work: self.work.clone(),
             class: self.class,
-            deadline: core.life.now() + self.time_left(),
+            deadline: core.lifecycle.now() + self.time_left(),
             retention: if self.has_caller_key {
                 self.retention
             } else {
@@ -194,7 +194,7 @@
         if holders.is_empty()
             || core
                 .lock_holder_history()
-                .has_stable_holders(core.life.now(), &self.key)
+                .has_stable_holders(core.lifecycle.now(), &self.key)
         {
             return Vec::new();
         }
--- a/crates/anvilreel/src/router/pool_queue.rs
+++ b/crates/anvilreel/src/router/pool_queue.rs
@@ -13,7 +13,7 @@
 use tokio::sync::oneshot;
 
 use super::job::{AVG_TOKEN_BYTES, Job};
-use crate::life::Life;
+use crate::lifecycle::Lifecycle;
 
 /// Interval between two health evaluations of all endpoints.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_secs(1);
@@ -45,7 +45,7 @@
     pool_queue: Arc<PoolQueue>,
     /// The chosen endpoint.
     pub endpoint: Arc<EndpointState>,
-    life: Life,
+    lifecycle: Lifecycle,
 }
 
 impl Drop for EndpointPermit {
@@ -53,7 +53,8 @@
         self.endpoint.finish();
         let mut queue = self.pool_queue.queue();
         queue.gate.finished();
-        self.pool_queue.admit_waiting(&mut queue, self.life.now());
+        self.pool_queue
+            .admit_waiting(&mut queue, self.lifecycle.now());
     }
 }
 
@@ -65,12 +66,12 @@
         let ended = AttemptResult::Answered(measured_latency(finished, &queue.estimate));
         queue
             .health
-            .observe(self.life.now(), &self.endpoint, &ended);
+            .observe(self.lifecycle.now(), &self.endpoint, &ended);
     }
 
     /// Records that the endpoint failed or could not be reached.
     pub fn record_failure(&self) {
-        let now = self.life.now();
+        let now = self.lifecycle.now();
         let mut queue = self.pool_queue.queue();
         queue
             .health
@@ -140,38 +141,38 @@
     /// Waits for admission and chooses the endpoint, avoiding those where the request has failed.
     pub async fn acquire(
         self: &Arc<Self>,
-        life: &Life,
+        lifecycle: &Lifecycle,
         job: &Job,
         weight: u32,
         avoid: &[InstanceId],
     ) -> Result<EndpointPermit, Refusal> {
-        let ticket = self.ticket(life.now(), job, weight);
+        let ticket = self.ticket(lifecycle.now(), job, weight);
         if !self.pool.load().accepts_work() {
             return Err(no_endpoint(job));
         }
-        let mut decision = self.queue().gate.offer(life.now(), ticket.clone());
+        let mut decision = self.queue().gate.offer(lifecycle.now(), ticket.clone());
         loop {
             match decision {
                 AdmissionDecision::Run => {}
                 AdmissionDecision::Refuse(refusal) => return Err(refusal),
                 AdmissionDecision::Wait(id) => self.wait(id).await?,
             }
-            let choice = self.choose(life.now(), job, avoid);
+            let choice = self.choose(lifecycle.now(), job, avoid);
             match choice {
                 Choice::Endpoint(endpoint) => {
                     endpoint.start();
-                    let (pool_queue, life) = (self.clone(), life.clone());
+                    let (pool_queue, lifecycle) = (self.clone(), lifecycle.clone());
                     return Ok(EndpointPermit {
                         pool_queue,
                         endpoint,
-                        life,
+                        lifecycle,
                     });
                 }
                 Choice::Unserved => {
                     self.queue().gate.finished();
                     return Err(no_endpoint(job));
                 }
-                Choice::Full => decision = self.requeue(life.now(), &ticket, job),
+                Choice::Full => decision = self.requeue(lifecycle.now(), &ticket, job),
             }
         }
     }
--- a/crates/anvilreel/src/router/request_task.rs
+++ b/crates/anvilreel/src/router/request_task.rs
@@ -91,7 +91,7 @@
         loop {
             while let Some(event) = events.pop_front() {
                 self.record_endpoint_failure(&event);
-                let now = self.core.life.now();
+                let now = self.core.lifecycle.now();
                 for action in exchange.handle(now, &self.core.grant_account, event) {
                     self.perform(action, &mut events).await;
                 }
@@ -271,7 +271,7 @@
         changed.as_mut().enable();
         match core
             .grant_account
-            .reserve(core.life.now(), &self.job.split, self.job.bound)
+            .reserve(core.lifecycle.now(), &self.job.split, self.job.bound)
         {
             Ok(reservation) => {
                 self.grants_changed = None;
@@ -299,7 +299,7 @@
                 _ => Event::TargetGone(target),
             });
         };
-        let channel = self.core.peers.to(known.addr);
+        let channel = self.core.channels.channel(known.addr);
         if !matches!(*req, SidecarRequest::Probe { .. }) {
             self.target = Some(target);
         }
@@ -390,7 +390,9 @@
     let weight = view.organisations.get(&job.organisation);
     let weight = weight.map_or(1, |organisation| organisation.weight);
     drop(view);
-    let permit = pool_queue.acquire(&core.life, job, weight, avoid).await?;
+    let permit = pool_queue
+        .acquire(&core.lifecycle, job, weight, avoid)
+        .await?;
     let view = core.view_state.view.load();
     let sidecar = view
         .sidecars
@@ -410,7 +412,7 @@
 async fn next_timer(core: &Core, timers: &BTreeSet<Now>) {
     match timers.first() {
         Some(at) => {
-            let time_left = at.saturating_sub(core.life.now());
+            let time_left = at.saturating_sub(core.lifecycle.now());
             sleep_until(Instant::now() + time_left).await;
         }
         None => std::future::pending().await,
--- a/crates/anvilreel/src/router/routes.rs
+++ b/crates/anvilreel/src/router/routes.rs
@@ -65,7 +65,7 @@
 }
 
 async fn ready(core: Arc<Core>, _: Request) -> Result<Response, Refusal> {
-    let why = if core.life.is_leaving() {
+    let why = if core.lifecycle.is_draining() {
         "leaving"
     } else if core.view_state.view.load().is_empty() {
         "no settings yet"
@@ -105,7 +105,7 @@
 
 /// Checks that this router accepts new work at all.
 pub fn check_accepting(core: &Core) -> Result<(), Refusal> {
-    if core.life.is_leaving() {
+    if core.lifecycle.is_draining() {
         return Err(Refusal::new(Reason::Leaving).with_retry_after(super::UNAVAILABLE_RETRY_AFTER));
     }
     if !core.view_state.accepts_work() {
--- a/crates/anvilreel/src/router/view.rs
+++ b/crates/anvilreel/src/router/view.rs
@@ -9,7 +9,7 @@
 };
 use anvil_world::prelude::*;
 
-use crate::held::Held;
+use crate::ledger_view::LedgerView;
 
 /// A team with its id.
 #[derive(Debug, Clone, PartialEq)]
@@ -79,25 +79,26 @@
 
 impl ViewBuilder {
     /// Builds the view of the replicated state, and lists the documents that could not be parsed.
-    pub fn build(&mut self, held: &Held) -> (View, Vec<SkippedDocument>) {
-        let skipped = self.parse_changed(held);
+    pub fn build(&mut self, ledger_view: &LedgerView) -> (View, Vec<SkippedDocument>) {
+        let skipped = self.parse_changed(ledger_view);
         let mut view = View {
-            version: held.version,
+            version: ledger_view.version,
             ..View::default()
         };
         for (path, (_, document)) in &self.parsed {
             view.add_document(path, document);
         }
-        for member in held.members.values() {
+        for member in ledger_view.members.values() {
             view.add_member(member);
         }
         (view, skipped)
     }
 
-    fn parse_changed(&mut self, held: &Held) -> Vec<SkippedDocument> {
+    fn parse_changed(&mut self, ledger_view: &LedgerView) -> Vec<SkippedDocument> {
         let mut skipped = Vec::new();
-        self.parsed.retain(|path, _| held.tree.contains_key(path));
-        for (path, entry) in &held.tree {
+        self.parsed
+            .retain(|path, _| ledger_view.tree.contains_key(path));
+        for (path, entry) in &ledger_view.tree {
             let known = self.parsed.get(path);
             if known.is_some_and(|(revision, _)| *revision == entry.revision) {
                 continue;
--- a/crates/anvilreel/src/runs.rs
+++ b/crates/anvilreel/src/runs.rs
@@ -21,5 +21,5 @@
 
 pub use charges::Charges;
 pub use error::RunsError;
-pub use event::{Action, EngineCommand, EngineEvent, Event, ReaderId, RunId};
+pub use event::{Action, EndpointCommand, EndpointEvent, Event, ReaderId, RunId};
 pub use table::{Runs, RunsConfig};
--- a/crates/anvilreel/src/runs/admission.rs
+++ b/crates/anvilreel/src/runs/admission.rs
@@ -8,7 +8,7 @@
 
 use super::run::Run;
 use super::table::{FORBIDDEN_RETENTION, ForbiddenStart, Runs};
-use super::{Action, EngineCommand, ReaderId, RunsError};
+use super::{Action, EndpointCommand, ReaderId, RunsError};
 
 /// Retry hint of refusals: the endpoint is full, leaving or does not accept the request.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -31,7 +31,7 @@
     /// Whether a new run may begin. After a refusal nothing has run and nothing is charged.
     fn admit(&mut self, start: &StartRequest) -> Result<(), Refusal> {
         let not_accepted = Refusal::new(Reason::EndpointRefused).with_retry_after(RETRY_AFTER);
-        if start.life != self.cfg.life || self.is_forbidden(start) {
+        if start.life != self.cfg.incarnation || self.is_forbidden(start) {
             return Err(not_accepted);
         }
         // Failure: a router freezes, is declared lost and fenced, then resumes and spends tokens
@@ -67,8 +67,8 @@
         let new_run = Run::new(now, run, start.clone());
         self.kept_bytes += new_run.output.kept_bytes();
         self.table.insert(run, new_run);
-        let command = EngineCommand::Begin(start.clone());
-        self.actions.push(Action::Engine { run, command });
+        let command = EndpointCommand::Begin(start.clone());
+        self.actions.push(Action::Endpoint { run, command });
         self.add_reader(reader, run, start.offset, false);
     }
 
@@ -88,7 +88,7 @@
     ) {
         // Failure: a restarted sidecar does not know what its earlier incarnation ran, so its
         // report that a key never started would be false. It only answers for its own incarnation.
-        if incarnation != self.cfg.life {
+        if incarnation != self.cfg.incarnation {
             return self.reply_probed(reader, ProbeAnswer::OtherLife);
         }
         let answer = self.forbid_start(now, forbidden_start);
@@ -121,7 +121,7 @@
         key: RequestKey,
         incarnation: Incarnation,
     ) {
-        if incarnation != self.cfg.life {
+        if incarnation != self.cfg.incarnation {
             return self.reply_probed(reader, ProbeAnswer::OtherLife);
         }
         if let Some(run) = self.by_key.get(&key).copied() {
--- a/crates/anvilreel/src/runs/engine.rs
+++ b/crates/anvilreel/src/runs/engine.rs
@@ -9,7 +9,7 @@
 
 use super::run::{EndedRun, Run};
 use super::table::Runs;
-use super::{Action, EngineCommand, EngineEvent, RunId, RunsError};
+use super::{Action, EndpointCommand, EndpointEvent, RunId, RunsError};
 
 /// Finish reason: the engine completed the answer.
 const FINISH_STOP: &str = "stop";
@@ -19,7 +19,7 @@
 const FINISH_INCOMPLETE: &str = "cut";
 
 impl Runs {
-    pub(super) fn engine_event(&mut self, now: Now, id: RunId, event: EngineEvent) {
+    pub(super) fn endpoint_event(&mut self, now: Now, id: RunId, event: EndpointEvent) {
         let Some(run) = self.table.get_mut(&id) else {
             return;
         };
@@ -28,14 +28,14 @@
             return;
         }
         match event {
-            EngineEvent::Head(head) => {
+            EndpointEvent::Head(head) => {
                 run.head = Some(head);
                 self.send_to_readers(id);
             }
-            EngineEvent::Output { bytes, usage } => self.append_output(now, id, bytes, usage),
-            EngineEvent::Ended { usage, finish } => self.ended(now, id, usage, finish),
-            EngineEvent::Refused => self.not_run(id),
-            EngineEvent::Lost { usage, resumable } => self.run_lost(now, id, usage, resumable),
+            EndpointEvent::Output { bytes, usage } => self.append_output(now, id, bytes, usage),
+            EndpointEvent::Ended { usage, finish } => self.ended(now, id, usage, finish),
+            EndpointEvent::Refused => self.not_run(id),
+            EndpointEvent::Lost { usage, resumable } => self.run_lost(now, id, usage, resumable),
         }
     }
 
@@ -90,8 +90,8 @@
         };
         if resumable {
             let from = run.output.length() - run.start.prefix.len() as u64;
-            let command = EngineCommand::Resume { from };
-            return self.actions.push(Action::Engine { run: id, command });
+            let command = EndpointCommand::Resume { from };
+            return self.actions.push(Action::Endpoint { run: id, command });
         }
         let outcome = Outcome::Unknown(UnknownCause::EndpointLost);
         if run.start.once {
@@ -117,8 +117,8 @@
     }
 
     fn send_stop(&mut self, run: RunId) {
-        let command = EngineCommand::Stop;
-        self.actions.push(Action::Engine { run, command });
+        let command = EndpointCommand::Stop;
+        self.actions.push(Action::Endpoint { run, command });
     }
 
     fn end(&mut self, now: Now, id: RunId, outcome: Outcome, finish: &str) {
@@ -137,7 +137,7 @@
         self.charges
             .record(&start.payment, &start.key, start.attempt, &end.charged);
         let retention = if start.once {
-            start.keep.max(self.cfg.keep_once)
+            start.keep.max(self.cfg.once_retention)
         } else {
             start.keep
         };
--- a/crates/anvilreel/src/runs/event.rs
+++ b/crates/anvilreel/src/runs/event.rs
@@ -41,7 +41,7 @@
         /// The request.
         key: RequestKey,
         /// The sidecar's incarnation that the request was dispatched to.
-        life: Incarnation,
+        incarnation: Incarnation,
     },
     /// A router asks for the state of a key.
     Probe {
@@ -57,31 +57,31 @@
         /// The request.
         key: RequestKey,
         /// The sidecar's incarnation that the request was dispatched to.
-        life: Incarnation,
+        incarnation: Incarnation,
         /// Forbids only starts under this claim; `None` forbids every start of the key.
         claim: Option<ClaimId>,
     },
     /// The reader's stream has taken the last `Head` or `Frame` and has room for the next one.
-    Ready {
+    ReaderReady {
         /// The reader.
         reader: ReaderId,
     },
     /// The reader's stream was closed.
-    Gone {
+    ReaderGone {
         /// The reader.
         reader: ReaderId,
     },
     /// The endpoint reported something about a run.
-    Engine {
+    Endpoint {
         /// The run.
         run: RunId,
         /// The event.
-        event: EngineEvent,
+        event: EndpointEvent,
     },
     /// The endpoint is leaving: new runs are refused.
     Leaving,
     /// The endpoint is no longer leaving: new runs are accepted again.
-    Returned,
+    NoLongerLeaving,
     /// A router's incarnations up to this one are fenced.
     Fenced {
         /// The router.
@@ -97,7 +97,7 @@
 
 impl Event {
     /// The event for a request of a router; `None` for an order or a watch.
-    pub fn of(reader: ReaderId, req: SidecarRequest) -> Option<Self> {
+    pub fn from_request(reader: ReaderId, req: SidecarRequest) -> Option<Self> {
         Some(match req {
             SidecarRequest::Start(start) => Self::Start { reader, start },
             SidecarRequest::Attach { key, offset } => Self::Attach {
@@ -105,12 +105,16 @@
                 key,
                 offset,
             },
-            SidecarRequest::Cancel { key, life } => Self::Cancel { reader, key, life },
+            SidecarRequest::Cancel { key, life } => Self::Cancel {
+                reader,
+                key,
+                incarnation: life,
+            },
             SidecarRequest::Probe { key } => Self::Probe { reader, key },
             SidecarRequest::Forbid { key, life, claim } => Self::Forbid {
                 reader,
                 key,
-                life,
+                incarnation: life,
                 claim,
             },
             SidecarRequest::Order { .. } | SidecarRequest::Watch => return None,
@@ -121,7 +125,7 @@
 /// What an endpoint reports about a run. Usage is cumulative, as far as it is known, and covers the
 /// whole answer: if the answer is continued, its prefix counts as output and not as prompt.
 #[derive(Debug, Clone, PartialEq)]
-pub enum EngineEvent {
+pub enum EndpointEvent {
     /// Status and headers of a plain service's response.
     Head(ResponseHead),
     /// The next bytes of output.
@@ -153,7 +157,7 @@
 /// An output of [`Runs::handle`](super::Runs::handle), to be performed by its caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Sends a reply to a reader. After a `Head` or `Frame` was sent, [`Event::Ready`] is to be
+    /// Sends a reply to a reader. After a `Head` or `Frame` was sent, [`Event::ReaderReady`] is to be
     /// fed.
     Reply {
         /// The reader.
@@ -167,11 +171,11 @@
         reader: ReaderId,
     },
     /// Sends a command to the endpoint.
-    Engine {
+    Endpoint {
         /// The run.
         run: RunId,
         /// The command.
-        command: EngineCommand,
+        command: EndpointCommand,
     },
     /// An invariant is violated; to be logged.
     Violation(RunsError),
@@ -179,7 +183,7 @@
 
 /// A command to the endpoint about a run.
 #[derive(Debug, Clone, PartialEq)]
-pub enum EngineCommand {
+pub enum EndpointCommand {
     /// Starts the run. A chat with a prefix is continued after it; its events then hold only what
     /// follows.
     Begin(Arc<StartRequest>),
--- a/crates/anvilreel/src/runs/readers.rs
+++ b/crates/anvilreel/src/runs/readers.rs
@@ -30,7 +30,7 @@
         let Some(found) = self.table.get_mut(&run) else {
             return;
         };
-        let incarnation = self.cfg.life;
+        let incarnation = self.cfg.incarnation;
         let accepted = SidecarReply::Accepted {
             incarnation,
             attached,
--- a/crates/anvilreel/src/runs/retention.rs
+++ b/crates/anvilreel/src/runs/retention.rs
@@ -10,7 +10,7 @@
 
 use super::run::Run;
 use super::table::Runs;
-use super::{Action, EngineCommand, RunId};
+use super::{Action, EndpointCommand, RunId};
 
 impl Runs {
     pub(super) fn enforce_buffer_limit(&mut self) {
@@ -35,11 +35,11 @@
         }
         for run in changed {
             let command = if over_limit {
-                EngineCommand::Pause
+                EndpointCommand::Pause
             } else {
-                EngineCommand::Continue
+                EndpointCommand::Continue
             };
-            self.actions.push(Action::Engine { run, command });
+            self.actions.push(Action::Endpoint { run, command });
         }
     }
 
--- a/crates/anvilreel/src/runs/table.rs
+++ b/crates/anvilreel/src/runs/table.rs
@@ -21,11 +21,11 @@
 #[derive(Debug, Clone)]
 pub struct RunsConfig {
     /// Incarnation of the sidecar.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Maximum bytes of output kept for all runs together.
     pub buffer_bytes: u64,
     /// How long a non-idempotent key is remembered; longer than the ledger keeps claims.
-    pub keep_once: Duration,
+    pub once_retention: Duration,
 }
 
 /// All runs of one sidecar.
@@ -78,24 +78,28 @@
                 key,
                 offset,
             } => self.attach(reader, &key, offset),
-            Event::Cancel { reader, key, life } => self.cancel(now, reader, key, life),
+            Event::Cancel {
+                reader,
+                key,
+                incarnation,
+            } => self.cancel(now, reader, key, incarnation),
             Event::Probe { reader, key } => self.reply_probed(reader, self.probe(&key)),
             Event::Forbid {
                 reader,
                 key,
-                life,
+                incarnation,
                 claim,
-            } => self.forbid(now, reader, (key, claim), life),
-            Event::Ready { reader } => self.reader_ready(reader),
-            Event::Gone { reader } => self.remove_reader(reader),
-            Event::Engine { run, event } => self.engine_event(now, run, event),
+            } => self.forbid(now, reader, (key, claim), incarnation),
+            Event::ReaderReady { reader } => self.reader_ready(reader),
+            Event::ReaderGone { reader } => self.remove_reader(reader),
+            Event::Endpoint { run, event } => self.endpoint_event(now, run, event),
             Event::Leaving => self.leaving = true,
-            Event::Returned => self.leaving = false,
+            Event::NoLongerLeaving => self.leaving = false,
             Event::Fenced {
                 router,
                 incarnation,
             } => self.fence(router, incarnation),
-            Event::OnceRetention(keep) => self.cfg.keep_once = keep,
+            Event::OnceRetention(keep) => self.cfg.once_retention = keep,
             Event::Tick => self.tick(now),
         }
         self.enforce_buffer_limit();
@@ -137,7 +141,7 @@
     }
 
     /// The ledger has accepted the evidence of a fenced router.
-    pub fn evidence_taken(&mut self, router: &InstanceId, incarnation: Incarnation) {
+    pub fn acknowledge_evidence(&mut self, router: &InstanceId, incarnation: Incarnation) {
         if self.fenced.get(router) == Some(&incarnation) {
             self.pending_evidence.remove(router);
             self.charges.forget_incarnations(router, incarnation);
--- a/crates/anvilreel/src/sidecar.rs
+++ b/crates/anvilreel/src/sidecar.rs
@@ -34,7 +34,7 @@
 use crate::event;
 use crate::events;
 use crate::ledger_client::LedgerClient;
-use crate::life::Life;
+use crate::lifecycle::Lifecycle;
 use crate::metrics::{Metrics, RUNS_OPEN};
 use crate::runs::{Event, RunsConfig};
 use admission::Admission;
@@ -51,7 +51,7 @@
 /// State shared by all parts of a sidecar.
 pub(crate) struct Core {
     instance: Instance,
-    life: Life,
+    lifecycle: Lifecycle,
     log: Logger,
     metrics: Metrics,
     ledger: LedgerClient,
@@ -109,14 +109,14 @@
     }
 
     /// Incarnation of this sidecar.
-    pub fn life(&self) -> Incarnation {
-        self.core.life.incarnation
+    pub fn incarnation(&self) -> Incarnation {
+        self.core.lifecycle.incarnation
     }
 
     /// The planned stop: refuses new work, waits until all runs have ended, and lingers so that
     /// routers read their ends.
     pub async fn stop(self) {
-        self.core.life.leave();
+        self.core.lifecycle.begin_drain();
         self.core.publish_leaving();
         event!(self.core.log, events::SIDECAR_LEAVING);
         while self.core.hub.live_runs() > 0 {
@@ -134,7 +134,7 @@
     /// so work accepted by it would be charged to nobody. The sidecar has to end as after a crash,
     /// and a new incarnation start.
     pub async fn incarnation_over(&self) {
-        self.core.life.ended().await;
+        self.core.lifecycle.incarnation_over().await;
     }
 
     /// Stops immediately, like a crash.
@@ -147,7 +147,7 @@
 
 impl Core {
     fn new(settings: &SidecarSettings, addr: SocketAddr, log: Logger, metrics: Metrics) -> Self {
-        let life = Life::begin();
+        let lifecycle = Lifecycle::begin();
         let endpoint = Endpoint {
             service: settings.endpoint.service.clone(),
             models: settings.endpoint.models.clone(),
@@ -156,7 +156,7 @@
         };
         let instance = Instance {
             id: settings.id.clone(),
-            incarnation: life.incarnation,
+            incarnation: lifecycle.incarnation,
             role: Role::Sidecar,
             zone: settings.zone.clone(),
             addr,
@@ -164,19 +164,19 @@
         };
         let client = EndpointClient::new(settings.endpoint.addr);
         let cfg = RunsConfig {
-            life: life.incarnation,
+            incarnation: lifecycle.incarnation,
             buffer_bytes: settings.buffer_bytes,
-            keep_once: DEFAULT_ONCE_RETENTION,
+            once_retention: DEFAULT_ONCE_RETENTION,
         };
-        let hub = Hub::new(cfg, life.clone(), log.clone(), client.clone());
+        let hub = Hub::new(cfg, lifecycle.clone(), log.clone(), client.clone());
         let hub = Arc::new(hub);
         Self {
-            admission: Admission::new(instance.id.clone(), life.clone()),
+            admission: Admission::new(instance.id.clone(), lifecycle.clone()),
             instance,
-            life,
+            lifecycle,
             log,
             metrics,
-            ledger: LedgerClient::new(&settings.ledgers).with_learning(),
+            ledger: LedgerClient::new(&settings.ledgers).with_reported_replicas(),
             client,
             hub,
             loads: Arc::new(Loads::new(first_load(&settings.endpoint))),
@@ -205,7 +205,7 @@
         self.hub.feed(if leaving {
             Event::Leaving
         } else {
-            Event::Returned
+            Event::NoLongerLeaving
         });
         self.loads
             .send_if_modified(|load| std::mem::replace(&mut load.leaving, leaving) != leaving);
--- a/crates/anvilreel/src/sidecar/admission.rs
+++ b/crates/anvilreel/src/sidecar/admission.rs
@@ -10,26 +10,26 @@
 use anvil_world::prelude::*;
 use arc_swap::ArcSwap;
 
-use crate::held::Held;
-use crate::life::Life;
+use crate::ledger_view::LedgerView;
+use crate::lifecycle::Lifecycle;
 
 /// What the sidecar knows about the presence of its instance.
 pub struct Admission {
     /// The newest state received from the ledger.
-    pub held: ArcSwap<Held>,
+    pub ledger_view: ArcSwap<LedgerView>,
     /// Whether the platform lists this instance as leaving.
     pub platform_leaving: AtomicBool,
-    life: Life,
+    lifecycle: Lifecycle,
     id: InstanceId,
 }
 
 impl Admission {
     /// Nothing is known yet: new work is accepted.
-    pub fn new(id: InstanceId, life: Life) -> Self {
+    pub fn new(id: InstanceId, lifecycle: Lifecycle) -> Self {
         Self {
-            held: ArcSwap::default(),
+            ledger_view: ArcSwap::default(),
             platform_leaving: AtomicBool::new(false),
-            life,
+            lifecycle,
             id,
         }
     }
@@ -37,13 +37,13 @@
     /// Whether the endpoint accepts no new work, because of its own stop, the ledger or the
     /// platform.
     pub fn is_leaving(&self) -> bool {
-        if self.life.is_leaving() || self.platform_leaving.load(Ordering::Relaxed) {
+        if self.lifecycle.is_draining() || self.platform_leaving.load(Ordering::Relaxed) {
             return true;
         }
-        let held = self.held.load();
-        let member = held.members.get(&self.id);
+        let ledger_view = self.ledger_view.load();
+        let member = ledger_view.members.get(&self.id);
         member.is_some_and(|member| {
-            member.instance.incarnation == self.life.incarnation
+            member.instance.incarnation == self.lifecycle.incarnation
                 && matches!(member.presence, Presence::Leaving | Presence::Gone)
         })
     }
--- a/crates/anvilreel/src/sidecar/drive.rs
+++ b/crates/anvilreel/src/sidecar/drive.rs
@@ -16,7 +16,7 @@
 use super::engine::{self, ChatRequest, EngineStream, StreamItem};
 use super::http::{EndpointClient, EndpointError};
 use super::hub::Hub;
-use crate::runs::{EngineCommand, EngineEvent, Event, RunId};
+use crate::runs::{EndpointCommand, EndpointEvent, Event, RunId};
 
 /// Maximum number of times the stream of one run is resumed.
 const MAX_RESUMES: u32 = 3;
@@ -41,7 +41,7 @@
     /// The request.
     pub start: Arc<StartRequest>,
     /// The state machine's commands.
-    pub commands: UnboundedReceiver<EngineCommand>,
+    pub commands: UnboundedReceiver<EndpointCommand>,
 }
 
 /// Performs a run until it ends.
@@ -66,11 +66,11 @@
 }
 
 impl Driver {
-    fn report(&self, event: EngineEvent) {
-        if let EngineEvent::Lost { resumable, .. } = event {
+    fn report(&self, event: EndpointEvent) {
+        if let EndpointEvent::Lost { resumable, .. } = event {
             self.hub.log_broken_stream(self.run, resumable);
         }
-        self.hub.feed(Event::Engine {
+        self.hub.feed(Event::Endpoint {
             run: self.run,
             event,
         });
@@ -80,7 +80,7 @@
     async fn wait_for_stop(&mut self) {
         // A closed channel counts as a stop: nobody is left who could continue the run.
         while let Some(command) = self.commands.recv().await {
-            if command == EngineCommand::Stop {
+            if command == EndpointCommand::Stop {
                 return;
             }
         }
@@ -98,15 +98,15 @@
             ..Usage::default()
         };
         let (hub, run) = (self.hub.clone(), self.run);
-        let report = move |event| hub.feed(Event::Engine { run, event });
+        let report = move |event| hub.feed(Event::Endpoint { run, event });
         let client = self.client.clone();
         let tail = format!("/{tail}");
         let call = plain_call(&client, (method, &tail), headers, body, usage, &report);
         tokio::select! {
             result = call => match result {
-                Ok(()) => self.report(EngineEvent::Ended { usage, finish: "stop".into() }),
-                Err(e) if e.never_ran() => self.report(EngineEvent::Refused),
-                Err(_) => self.report(EngineEvent::Lost { usage, resumable: false }),
+                Ok(()) => self.report(EndpointEvent::Ended { usage, finish: "stop".into() }),
+                Err(e) if e.never_ran() => self.report(EndpointEvent::Refused),
+                Err(_) => self.report(EndpointEvent::Lost { usage, resumable: false }),
             },
             () = self.wait_for_stop() => {}
         }
@@ -119,7 +119,7 @@
     headers: &[(Arc<str>, Bytes)],
     body: Bytes,
     usage: Usage,
-    report: &impl Fn(EngineEvent),
+    report: &impl Fn(EndpointEvent),
 ) -> Result<(), EndpointError> {
     let response = client.send(method, tail, headers, body).await?;
     let (parts, mut body) = response.into_parts();
@@ -127,14 +127,14 @@
         let value = Bytes::copy_from_slice(value.as_bytes());
         (name.as_str().into(), value)
     });
-    report(EngineEvent::Head(ResponseHead {
+    report(EndpointEvent::Head(ResponseHead {
         status: parts.status.as_u16(),
         headers: headers.collect(),
     }));
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|source| EndpointError::Broken { source })?;
         if let Ok(bytes) = frame.into_data() {
-            report(EngineEvent::Output { bytes, usage });
+            report(EndpointEvent::Output { bytes, usage });
         }
     }
     Ok(())
@@ -205,7 +205,7 @@
             match self.read(driver, &mut stream).await {
                 StreamEnd::Done => {
                     let (usage, finish) = (self.usage, self.finish);
-                    return driver.report(EngineEvent::Ended { usage, finish });
+                    return driver.report(EndpointEvent::Ended { usage, finish });
                 }
                 StreamEnd::Stopped => return self.stop(driver).await,
                 StreamEnd::Lost => return,
@@ -232,18 +232,18 @@
                         let resumable = self.resumes < MAX_RESUMES;
                         self.resumes += 1;
                         let usage = self.usage;
-                        driver.report(EngineEvent::Lost { usage, resumable });
+                        driver.report(EndpointEvent::Lost { usage, resumable });
                         if !resumable {
                             return StreamEnd::Lost;
                         }
                     }
                 },
                 command = driver.commands.recv() => match command {
-                    Some(EngineCommand::Stop) | None => return StreamEnd::Stopped,
-                    Some(EngineCommand::Pause) => paused = true,
-                    Some(EngineCommand::Continue) => paused = false,
-                    Some(EngineCommand::Resume { .. }) => return StreamEnd::Resume,
-                    Some(EngineCommand::Begin(_)) => {}
+                    Some(EndpointCommand::Stop) | None => return StreamEnd::Stopped,
+                    Some(EndpointCommand::Pause) => paused = true,
+                    Some(EndpointCommand::Continue) => paused = false,
+                    Some(EndpointCommand::Resume { .. }) => return StreamEnd::Resume,
+                    Some(EndpointCommand::Begin(_)) => {}
                 },
             }
         }
@@ -255,7 +255,7 @@
                 self.length += text.len() as u64;
                 self.usage.output += 1;
                 let (bytes, usage) = (text.into(), self.usage);
-                driver.report(EngineEvent::Output { bytes, usage });
+                driver.report(EndpointEvent::Output { bytes, usage });
             }
             StreamItem::Finish(reason) => self.finish = reason,
             // Covers the whole answer, also when the engine continues one.
@@ -269,7 +269,7 @@
         let resumed = engine::resume(&driver.client, &self.run_id, self.length).await;
         if resumed.is_err() {
             let (usage, resumable) = (self.usage, false);
-            driver.report(EngineEvent::Lost { usage, resumable });
+            driver.report(EndpointEvent::Lost { usage, resumable });
         }
         resumed.ok()
     }
@@ -283,10 +283,10 @@
 fn report_failed_start(driver: &Driver, e: &EndpointError) {
     // A status other than 200 means that the engine runs nothing.
     if e.never_ran() || matches!(e, EndpointError::Status { .. }) {
-        return driver.report(EngineEvent::Refused);
+        return driver.report(EndpointEvent::Refused);
     }
     let usage = Usage::default();
-    driver.report(EngineEvent::Lost {
+    driver.report(EndpointEvent::Lost {
         usage,
         resumable: false,
     });
--- a/crates/anvilreel/src/sidecar/follow.rs
+++ b/crates/anvilreel/src/sidecar/follow.rs
@@ -10,7 +10,7 @@
 use super::Core;
 use crate::event;
 use crate::events;
-use crate::held::Held;
+use crate::ledger_view::LedgerView;
 use crate::runs::Event;
 
 /// Interval of heartbeats; also the timeout of one.
@@ -24,12 +24,12 @@
 
 /// Follows one replica after the other, for as long as the process runs.
 pub async fn follow(core: &Core) {
-    let mut held = Held::default();
+    let mut ledger_view = LedgerView::default();
     let mut connected = true;
     // Sidecars start at different replicas, so that no single replica has to serve all of them.
     let mut replica = usize::try_from(core.instance.incarnation % 7).unwrap_or(0);
     loop {
-        let received = follow_replica(core, replica, &mut held).await;
+        let received = follow_replica(core, replica, &mut ledger_view).await;
         if !received && connected {
             event!(core.log, events::SIDECAR_OUT_OF_TOUCH);
         }
@@ -39,11 +39,11 @@
     }
 }
 
-async fn follow_replica(core: &Core, replica: usize, held: &mut Held) -> bool {
+async fn follow_replica(core: &Core, replica: usize, ledger_view: &mut LedgerView) -> bool {
     let id = core.instance.id.clone();
     let opening = core
         .ledger
-        .follow(replica, id, FollowScope::Sidecar, held.version);
+        .follow(replica, id, FollowScope::Sidecar, ledger_view.version);
     let Ok(Ok(mut replies)) = timeout(REPLICA_TIMEOUT, opening).await else {
         return false;
     };
@@ -52,8 +52,8 @@
         timeout(REPLICA_TIMEOUT, replies.next()).await
     {
         received = true;
-        if held.apply(event) {
-            apply_state(core, held);
+        if ledger_view.apply(event) {
+            apply_state(core, ledger_view);
         }
     }
     received
@@ -64,14 +64,14 @@
     loop {
         let heartbeat = Heartbeat {
             instance: core.current_instance(),
-            version: core.admission.held.load().version,
+            version: core.admission.ledger_view.load().version,
             evidence: core.hub.evidence(),
             leaving: core.admission.is_leaving(),
         };
         // A lost heartbeat is not retried; the next one follows.
         if let Ok(reply) = core.ledger.heartbeat(heartbeat, HEARTBEAT_INTERVAL).await {
-            core.hub.evidence_taken(&reply.taken);
-            if reply.presence == Presence::Gone && core.life.end() {
+            core.hub.acknowledge_evidence(&reply.taken);
+            if reply.presence == Presence::Gone && core.lifecycle.end_incarnation() {
                 event!(core.log, events::SIDECAR_GONE);
             }
         }
@@ -82,9 +82,12 @@
 
 /// Applies a new state of the ledger: fences, the retention of keys, and whether the endpoint is
 /// leaving.
-fn apply_state(core: &Core, held: &Held) {
-    let before = core.admission.held.swap(Arc::new(held.clone()));
-    for (router, incarnation) in &held.fenced {
+fn apply_state(core: &Core, ledger_view: &LedgerView) {
+    let before = core
+        .admission
+        .ledger_view
+        .swap(Arc::new(ledger_view.clone()));
+    for (router, incarnation) in &ledger_view.fenced {
         if before.fenced.get(router) != Some(incarnation) {
             let router = router.to_string();
             event!(core.log, events::SIDECAR_FENCED_ROUTER, "router" => router);
@@ -94,7 +97,7 @@
             incarnation: *incarnation,
         });
     }
-    let fleet = held.tree.get(&TreePath::Fleet);
+    let fleet = ledger_view.tree.get(&TreePath::Fleet);
     let fleet = fleet.map(|entry| Document::check(&TreePath::Fleet, &entry.text));
     if let Some(Ok(Document::Fleet(fleet))) = fleet {
         core.hub.feed(Event::OnceRetention(
--- a/crates/anvilreel/src/sidecar/hub.rs
+++ b/crates/anvilreel/src/sidecar/hub.rs
@@ -13,8 +13,8 @@
 use super::http::EndpointClient;
 use crate::event;
 use crate::events;
-use crate::life::Life;
-use crate::runs::{Action, EngineCommand, Event, ReaderId, RunId, Runs, RunsConfig};
+use crate::lifecycle::Lifecycle;
+use crate::runs::{Action, EndpointCommand, Event, ReaderId, RunId, Runs, RunsConfig};
 
 /// Replies to one reader. The channel is unbounded, but holds little: the state machine has at most
 /// one frame in flight for each reader.
@@ -23,21 +23,21 @@
 struct HubState {
     runs: Runs,
     readers: BTreeMap<ReaderId, UnboundedSender<SidecarReply>>,
-    drivers: BTreeMap<RunId, UnboundedSender<EngineCommand>>,
+    drivers: BTreeMap<RunId, UnboundedSender<EndpointCommand>>,
     next_reader: ReaderId,
 }
 
 /// All runs of a sidecar.
 pub struct Hub {
     state: Mutex<HubState>,
-    life: Life,
+    lifecycle: Lifecycle,
     log: Logger,
     client: EndpointClient,
 }
 
 impl Hub {
     /// A hub without runs.
-    pub fn new(cfg: RunsConfig, life: Life, log: Logger, client: EndpointClient) -> Self {
+    pub fn new(cfg: RunsConfig, lifecycle: Lifecycle, log: Logger, client: EndpointClient) -> Self {
         let state = HubState {
             runs: Runs::new(cfg),
             readers: BTreeMap::new(),
@@ -46,7 +46,7 @@
         };
         Self {
             state: Mutex::new(state),
-            life,
+            lifecycle,
             log,
             client,
         }
@@ -77,7 +77,7 @@
     pub fn close_reader(self: &Arc<Self>, reader: ReaderId) {
         let mut state = self.lock();
         state.readers.remove(&reader);
-        self.feed_locked(&mut state, Event::Gone { reader });
+        self.feed_locked(&mut state, Event::ReaderGone { reader });
     }
 
     /// Removes the driver of a run that has ended at the endpoint.
@@ -108,15 +108,15 @@
     }
 
     /// The ledger has accepted this evidence.
-    pub fn evidence_taken(&self, taken: &[(InstanceId, Incarnation)]) {
+    pub fn acknowledge_evidence(&self, taken: &[(InstanceId, Incarnation)]) {
         let mut state = self.lock();
         for (router, incarnation) in taken {
-            state.runs.evidence_taken(router, *incarnation);
+            state.runs.acknowledge_evidence(router, *incarnation);
         }
     }
 
     fn feed_locked(self: &Arc<Self>, state: &mut HubState, event: Event) {
-        for action in state.runs.handle(self.life.now(), event) {
+        for action in state.runs.handle(self.lifecycle.now(), event) {
             self.perform(state, action);
         }
     }
@@ -131,15 +131,15 @@
                 }
             }
             Action::Close { reader } => drop(state.readers.remove(&reader)),
-            Action::Engine { run, command } => self.send_command(state, run, command),
+            Action::Endpoint { run, command } => self.send_command(state, run, command),
             Action::Violation(e) => {
                 event!(self.log, events::SIDECAR_INVARIANT_BROKEN, "error" => e.to_string());
             }
         }
     }
 
-    fn send_command(self: &Arc<Self>, state: &mut HubState, run: RunId, command: EngineCommand) {
-        let EngineCommand::Begin(start) = command else {
+    fn send_command(self: &Arc<Self>, state: &mut HubState, run: RunId, command: EndpointCommand) {
+        let EndpointCommand::Begin(start) = command else {
             if let Some(tx) = state.drivers.get(&run) {
                 // Fails only if the driver has just reported the end of the run.
                 let _ = tx.send(command);
--- a/crates/anvilreel/src/sidecar/requests.rs
+++ b/crates/anvilreel/src/sidecar/requests.rs
@@ -32,7 +32,7 @@
             let (reader, replies) = core.hub.open_reader(|reader| {
                 // Unreachable default: orders and watches are handled above, all other requests are
                 // about runs.
-                Event::of(reader, run_request).unwrap_or(Event::Tick)
+                Event::from_request(reader, run_request).unwrap_or(Event::Tick)
             });
             core.publish_run_count();
             let forwarded = forward_replies(&core, reader, replies, &mut tx).await;
@@ -61,7 +61,7 @@
         tx.send(&reply).await?;
         match reply {
             SidecarReply::Head(_) | SidecarReply::Frame(_) => {
-                core.hub.feed(Event::Ready { reader });
+                core.hub.feed(Event::ReaderReady { reader });
             }
             SidecarReply::Refused(_) => core.metrics.count(RUNS_REFUSED),
             _ => {}
--- a/crates/anvilreel/src/watcher.rs
+++ b/crates/anvilreel/src/watcher.rs
@@ -1,6 +1,6 @@
 //! Keeps a ledger client's list of replicas up to date.
 //!
-//! A [`Watcher`] follows the ledger's membership at one replica at a time and moves on to the
+//! A [`ReplicaWatcher`] follows the ledger's membership at one replica at a time and moves on to the
 //! next one when the stream ends or the replica becomes unresponsive.
 
 use std::net::SocketAddr;
@@ -13,18 +13,18 @@
 use arc_swap::ArcSwap;
 use tokio::time::{sleep, timeout};
 
-use crate::held::Held;
 use crate::ledger_client::LedgerClient;
+use crate::ledger_view::LedgerView;
 use crate::members;
 
 /// Maximum time without a message from a followed replica; after it another replica is followed.
 /// An up-to-date replica sends an event at least every 0.3 s.
-pub const SILENCE: Duration = Duration::from_millis(900);
+pub const FOLLOW_TIMEOUT: Duration = Duration::from_millis(900);
 /// Pause before the next replica is followed.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Follows only the ledger's membership, and sets the replicas of a ledger client from it.
-pub struct Watcher {
+pub struct ReplicaWatcher {
     /// The client whose replicas are kept up to date.
     pub ledger: LedgerClient,
     id: InstanceId,
@@ -32,7 +32,7 @@
     followed_replica: AtomicUsize,
 }
 
-impl Watcher {
+impl ReplicaWatcher {
     /// A watcher for the process of this name. The seeds are used in addition to all replicas
     /// learned from the membership.
     pub fn new(ledger: LedgerClient, id: InstanceId, seeds: &[SocketAddr]) -> Self {
@@ -51,7 +51,7 @@
     /// Replicas that have been removed leave the list with the next change of the membership.
     pub fn set_seeds(&self, seeds: &[SocketAddr]) {
         self.seeds.store(Arc::new(seeds.to_vec()));
-        self.ledger.add_ways(seeds);
+        self.ledger.add_addresses(seeds);
     }
 
     /// Index of the replica that is being followed, and so probably up to date, for other
@@ -62,7 +62,7 @@
 
     /// Follows one replica after the other, for as long as the process runs.
     pub async fn run(&self) {
-        let mut view = Held::default();
+        let mut view = LedgerView::default();
         loop {
             let replica = self.followed_replica();
             self.follow_replica(replica, &mut view).await;
@@ -72,18 +72,19 @@
         }
     }
 
-    async fn follow_replica(&self, replica: usize, view: &mut Held) {
+    async fn follow_replica(&self, replica: usize, view: &mut LedgerView) {
         let opening =
             self.ledger
                 .follow(replica, self.id.clone(), FollowScope::Members, view.version);
-        let Ok(Ok(mut replies)) = timeout(SILENCE, opening).await else {
+        let Ok(Ok(mut replies)) = timeout(FOLLOW_TIMEOUT, opening).await else {
             return;
         };
-        while let Ok(Ok(Some(LedgerReply::Follow(event)))) = timeout(SILENCE, replies.next()).await
+        while let Ok(Ok(Some(LedgerReply::Follow(event)))) =
+            timeout(FOLLOW_TIMEOUT, replies.next()).await
         {
             if view.apply(event) {
                 let replicas = members::replicas(view, &self.seeds.load());
-                self.ledger.set_ways(&replicas, &[]);
+                self.ledger.set_addresses(&replicas, &[]);
             }
         }
     }
--- a/crates/anvilreel/tests/compare/play.rs
+++ b/crates/anvilreel/tests/compare/play.rs
@@ -21,19 +21,19 @@
 
 /// How budgets are shared between routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum SharingScheme {
     /// Routers hold grants from the ledger.
     Grants,
     /// Each router gets an equal part of every budget at the start.
     EvenSplit,
     /// Routers ask the ledger for every request.
-    AskLedger,
+    LedgerPerRequest,
 }
 
 /// Parameters of a simulation.
 #[derive(Debug, Clone)]
-pub struct Play {
-    pub way: Way,
+pub struct Simulation {
+    pub scheme: SharingScheme,
     pub seed: u64,
     pub routers: usize,
     pub budgets: usize,
@@ -99,10 +99,10 @@
 }
 
 struct Simulator {
-    play: Play,
+    simulation: Simulation,
     requests: Vec<Request>,
     budget_truths: Vec<BudgetTruth>,
-    /// Tokens left by router and budget, for [`Way::EvenSplit`].
+    /// Tokens left by router and budget, for [`SharingScheme::EvenSplit`].
     shares: Vec<Vec<Tokens>>,
     accounts: Vec<GrantAccount>,
     state: State,
@@ -117,28 +117,28 @@
     outcome: Outcome,
 }
 
-pub fn play(play: Play) -> Outcome {
-    Simulator::new(play).run()
+pub fn simulate(simulation: Simulation) -> Outcome {
+    Simulator::new(simulation).run()
 }
 
 fn budget(i: usize) -> BudgetId {
     format!("b{i:05}").into()
 }
 
-fn generate_requests(play: &Play) -> Vec<Request> {
-    let mut rng = ChaCha8Rng::seed_from_u64(play.seed);
+fn generate_requests(simulation: &Simulation) -> Vec<Request> {
+    let mut rng = ChaCha8Rng::seed_from_u64(simulation.seed);
     let mut requests: Vec<_> = (0..REQUESTS)
         .map(|_| {
             let cost = rng.random_range(50..450);
-            let to_hot_router = play.skewed && rng.random_range(0..5) != 0;
+            let to_hot_router = simulation.skewed && rng.random_range(0..5) != 0;
             Request {
                 at: SIMULATED_TIME.mul_f64(rng.random_range(0.01..0.97)),
                 router: if to_hot_router {
                     0
                 } else {
-                    rng.random_range(0..play.routers)
+                    rng.random_range(0..simulation.routers)
                 },
-                budget: rng.random_range(0..play.budgets),
+                budget: rng.random_range(0..simulation.budgets),
                 cost,
                 max_cost: cost * rng.random_range(12..40) / 10,
                 run_time: Duration::from_millis(rng.random_range(200..4_000)),
@@ -150,20 +150,21 @@
 }
 
 impl Simulator {
-    fn new(play: Play) -> Self {
-        let requests = generate_requests(&play);
-        let mut budget_truths = vec![BudgetTruth::default(); play.budgets];
+    fn new(simulation: Simulation) -> Self {
+        let requests = generate_requests(&simulation);
+        let mut budget_truths = vec![BudgetTruth::default(); simulation.budgets];
         for request in &requests {
-            budget_truths[request.budget].credited += request.cost * 100 / play.used;
+            budget_truths[request.budget].credited += request.cost * 100 / simulation.used;
         }
         let shares = budget_truths
             .iter()
-            .map(|b| b.credited / play.routers as u64);
+            .map(|b| b.credited / simulation.routers as u64);
         let shares: Vec<_> = shares.collect();
-        let account = |i: usize| GrantAccount::new(format!("r{i}").into(), 1, play.policy.clone());
+        let account =
+            |i: usize| GrantAccount::new(format!("r{i}").into(), 1, simulation.policy.clone());
         let mut simulator = Self {
-            shares: vec![shares; play.routers],
-            accounts: (0..play.routers).map(account).collect(),
+            shares: vec![shares; simulation.routers],
+            accounts: (0..simulation.routers).map(account).collect(),
             state: State::default(),
             index: 0,
             waiting: Vec::new(),
@@ -173,7 +174,7 @@
             outcome: Outcome::default(),
             requests,
             budget_truths,
-            play,
+            simulation,
         };
         simulator.credit_budgets();
         simulator
@@ -181,7 +182,7 @@
 
     fn credit_budgets(&mut self) {
         self.put_document("organisations/paper", "");
-        for i in 0..self.play.budgets {
+        for i in 0..self.simulation.budgets {
             let id = budget(i);
             self.put_document(&format!("budgets/{id}"), "organisation = \"paper\"");
             let top_up = TopUp {
@@ -240,25 +241,25 @@
         self.outcome.peak_bytes = self.bytes.values().copied().max().unwrap_or_default();
         let total_bytes: usize = self.bytes.values().sum();
         let seconds = usize::try_from(SIMULATED_TIME.as_secs()).unwrap_or(1);
-        self.outcome.mean_bytes = total_bytes / seconds / self.play.routers;
+        self.outcome.mean_bytes = total_bytes / seconds / self.simulation.routers;
     }
 
     fn is_partitioned(&self, now: Now, router: usize) -> bool {
         // Every second router, including the one that gets most requests when skewed.
-        self.play.partition && PARTITION_TIME.contains(&now) && router.is_multiple_of(2)
+        self.simulation.partition && PARTITION_TIME.contains(&now) && router.is_multiple_of(2)
     }
 
     fn arrive(&mut self, now: Now, request: usize, until: Option<Now>) {
         let arriving = self.requests[request].clone();
-        match self.play.way {
-            Way::Grants => self.arrive_by_grants(now, request, until),
-            Way::EvenSplit => {
+        match self.simulation.scheme {
+            SharingScheme::Grants => self.arrive_by_grants(now, request, until),
+            SharingScheme::EvenSplit => {
                 let share = &mut self.shares[arriving.router][arriving.budget];
                 let fits = *share >= arriving.max_cost;
                 *share -= if fits { arriving.max_cost } else { 0 };
                 self.start_or_refuse(now, request, fits);
             }
-            Way::AskLedger => {
+            SharingScheme::LedgerPerRequest => {
                 let fits = self.has_room(&arriving) && !self.is_partitioned(now, arriving.router);
                 self.start_or_refuse(now, request, fits);
                 let second = (arriving.router, now.as_secs());
@@ -325,7 +326,7 @@
             let b = &mut self.budget_truths[finished.budget];
             b.running -= finished.max_cost;
             b.spent += finished.cost;
-            if self.play.way == Way::EvenSplit {
+            if self.simulation.scheme == SharingScheme::EvenSplit {
                 self.shares[finished.router][finished.budget] += finished.max_cost - finished.cost;
             }
             if let Some(reservation) = run.reservation {
@@ -342,7 +343,7 @@
     }
 
     fn send_batches(&mut self, now: Now) {
-        if self.play.way != Way::Grants {
+        if self.simulation.scheme != SharingScheme::Grants {
             return;
         }
         for router in 0..self.accounts.len() {
--- a/crates/anvilreel/tests/ledger_followers_and_evidence.rs
+++ b/crates/anvilreel/tests/ledger_followers_and_evidence.rs
@@ -12,9 +12,9 @@
 };
 use anvil_world::prelude::*;
 use anvil_world::suspect::CrashedRun;
-use anvilreel::held::Held;
 use anvilreel::ledger_service::follow::Follower;
 use anvilreel::ledger_service::grant_evidence::{Findings, GrantEvidence};
+use anvilreel::ledger_view::LedgerView;
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
@@ -266,19 +266,19 @@
             at: SystemTime::now(),
         }))?;
     }
-    let mut held = Held::default();
+    let mut ledger_view = LedgerView::default();
     let sidecar = follower(FollowScope::Sidecar, 0).catch_up(&ledger.machine);
-    held.apply(sidecar.ok_or("an event")?);
-    assert!(held.suspects.is_empty());
-    let mut held = Held::default();
+    ledger_view.apply(sidecar.ok_or("an event")?);
+    assert!(ledger_view.suspects.is_empty());
+    let mut ledger_view = LedgerView::default();
     let full = follower(FollowScope::Router, 0).catch_up(&ledger.machine);
-    held.apply(full.ok_or("an event")?);
-    assert_eq!(held.suspects[&7].crashes.len(), 2);
+    ledger_view.apply(full.ok_or("an event")?);
+    assert_eq!(ledger_view.suspects[&7].crashes.len(), 2);
     let requests = vec![7];
     ledger.apply(&Command::ClearSuspects(ClearSuspects { requests }))?;
-    let delta = follower(FollowScope::Router, held.version).catch_up(&ledger.machine);
-    held.apply(delta.ok_or("an event")?);
-    assert!(held.suspects.is_empty());
+    let delta = follower(FollowScope::Router, ledger_view.version).catch_up(&ledger.machine);
+    ledger_view.apply(delta.ok_or("an event")?);
+    assert!(ledger_view.suspects.is_empty());
     Ok(())
 }
 
@@ -286,16 +286,16 @@
 #[test]
 fn routers_receive_endpoint_limits() -> Result<(), Failure> {
     let mut ledger = Ledger::default();
-    let mut held = Held::default();
+    let mut ledger_view = LedgerView::default();
     for limit in [Some(1_000), Some(500), None] {
         ledger.apply(&Command::ReportLimit(ReportLimit {
             endpoint: "a".into(),
             limit,
             at: SystemTime::now(),
         }))?;
-        let event = follower(FollowScope::Router, held.version).catch_up(&ledger.machine);
-        held.apply(event.ok_or("an event")?);
-        assert_eq!(held.limits.get("a").map(|named| named.limit), limit);
+        let event = follower(FollowScope::Router, ledger_view.version).catch_up(&ledger.machine);
+        ledger_view.apply(event.ok_or("an event")?);
+        assert_eq!(ledger_view.limits.get("a").map(|named| named.limit), limit);
     }
     Ok(())
 }
--- a/crates/anvilreel/tests/ledger_leader_search.rs
+++ b/crates/anvilreel/tests/ledger_leader_search.rs
@@ -57,7 +57,7 @@
     let calls = replica(replicas[1], hint_to_deposed).await;
     replica(replicas[2], answer()).await;
     let client = LedgerClient::new(&replicas);
-    let got = client.ask(&request(), CALL_TIMEOUT).await;
+    let got = client.send_request(&request(), CALL_TIMEOUT).await;
     assert_eq!(got.expect("the leader's answer"), answer());
     assert_eq!(calls.load(Ordering::Relaxed), 1);
 }
@@ -73,7 +73,7 @@
     let skipped_calls = replica(replicas[1], hint_to_leader).await;
     replica(replicas[3], answer()).await;
     let client = LedgerClient::new(&replicas);
-    let got = client.ask(&request(), CALL_TIMEOUT).await;
+    let got = client.send_request(&request(), CALL_TIMEOUT).await;
     assert_eq!(got.expect("the leader's answer"), answer());
     assert_eq!(skipped_calls.load(Ordering::Relaxed), 0);
 }
--- a/crates/anvilreel/tests/ledger_service/cluster.rs
+++ b/crates/anvilreel/tests/ledger_service/cluster.rs
@@ -12,7 +12,9 @@
 use anvil_world::command::{Change, Edit, TopUp, change_id};
 use anvil_world::prelude::*;
 use anvil_world::settings::{LedgerSettings, Peer};
-use anvilreel::ledger_service::{Contacts, LedgerHandle, TakeOut, Tuning, open_disk, start_on};
+use anvilreel::ledger_service::{
+    AutoRemoval, LedgerHandle, PeerAddresses, Tuning, open_disk, start_on,
+};
 use slog::{Discard, Drain, Logger, o};
 use tempfile::TempDir;
 use tokio::sync::oneshot;
@@ -28,7 +30,7 @@
 
 /// A running replica.
 pub struct Running {
-    pub peer_addresses: Contacts,
+    pub peer_addresses: PeerAddresses,
     pub stop: oneshot::Sender<()>,
     pub handle: LedgerHandle,
 }
@@ -37,7 +39,7 @@
 pub struct Cluster {
     pub folder: TempDir,
     pub peers: Vec<Peer>,
-    pub auto_removal: Option<TakeOut>,
+    pub auto_removal: Option<AutoRemoval>,
     /// Replicas named in a replica's settings, if they are not all of them; it can't found a ledger
     /// then.
     pub known_peers: BTreeMap<usize, Vec<usize>>,
@@ -62,7 +64,10 @@
         Self::start_with(size, None).await
     }
 
-    pub async fn start_with(size: usize, auto_removal: Option<TakeOut>) -> Result<Self, Failure> {
+    pub async fn start_with(
+        size: usize,
+        auto_removal: Option<AutoRemoval>,
+    ) -> Result<Self, Failure> {
         let mut peers = Vec::new();
         for number in 0..size {
             let id = format!("ledger-{number}").into();
@@ -160,8 +165,8 @@
         let tuning = Tuning {
             silent_after: Duration::from_millis(500),
             gone_after: Duration::from_secs(1),
-            snapshot_every: 200,
-            take_out: self.auto_removal,
+            snapshot_entries: 200,
+            auto_removal: self.auto_removal,
             // A short log, so that a replica with a new disk has to fetch a snapshot.
             core: CoreSettings {
                 trailing_entries: 50,
@@ -170,7 +175,7 @@
             ..Tuning::default()
         };
         let cfg = self.settings(number);
-        let peer_addresses = Contacts::default();
+        let peer_addresses = PeerAddresses::default();
         let disk = open_disk(&cfg)?;
         let handle = start_on(disk, cfg, tuning, peer_addresses.clone(), log, stopped).await?;
         self.running[number] = Some(Running {
--- a/crates/anvilreel/tests/ledger_service/failures.rs
+++ b/crates/anvilreel/tests/ledger_service/failures.rs
@@ -9,7 +9,7 @@
 use anvil_wire::msg::{FollowEvent, FollowScope, LedgerCall, LedgerReply, LedgerRequest, Query};
 use anvil_world::prelude::*;
 use anvil_world::settings::{LedgerSettings, Peer};
-use anvilreel::ledger_service::{Contacts, Tuning, start_on};
+use anvilreel::ledger_service::{PeerAddresses, Tuning, start_on};
 use slog::{Discard, Logger, o};
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
@@ -94,7 +94,7 @@
         disk,
         cfg,
         Tuning::default(),
-        Contacts::default(),
+        PeerAddresses::default(),
         log,
         stopped,
     )
--- a/crates/anvilreel/tests/ledger_service/followers.rs
+++ b/crates/anvilreel/tests/ledger_service/followers.rs
@@ -10,7 +10,7 @@
 use anvil_world::command::ReplaceRouting;
 use anvil_world::prelude::*;
 use anvilreel::ledger_client::LedgerClient;
-use anvilreel::watcher::Watcher;
+use anvilreel::watcher::ReplicaWatcher;
 use tokio::time::timeout;
 
 use crate::cluster::{Cluster, Failure, TEST_TIMEOUT, declare_budget, free_addr, put};
@@ -132,7 +132,7 @@
 async fn new_seeds_do_not_replace_replicas_that_answer() -> Result<(), Failure> {
     let mut cluster = Cluster::start(1).await?;
     let addrs = [cluster.peers[0].addr];
-    let watcher = Watcher::new(LedgerClient::new(&addrs), "operators-1".into(), &addrs);
+    let watcher = ReplicaWatcher::new(LedgerClient::new(&addrs), "operators-1".into(), &addrs);
     watcher.set_seeds(&[free_addr()?]);
     let within = Duration::from_secs(2);
     let answer = watcher.ledger.query(Query::Status, within).await;
--- a/crates/anvilreel/tests/ledger_service/membership.rs
+++ b/crates/anvilreel/tests/ledger_service/membership.rs
@@ -5,7 +5,7 @@
 
 use anvil_ledger::core::Membership;
 use anvil_world::prelude::*;
-use anvilreel::ledger_service::TakeOut;
+use anvilreel::ledger_service::AutoRemoval;
 use tokio::time::{sleep, timeout};
 
 use crate::cluster::{Cluster, Failure, TEST_TIMEOUT, declare_budget, free_addr, top_up};
@@ -47,9 +47,9 @@
 /// timeout, but never when fewer than three voters would remain.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_permanently_lost_replica_is_removed() -> Result<(), Failure> {
-    let rule = TakeOut {
-        after: Duration::from_secs(2),
-        least: 3,
+    let rule = AutoRemoval {
+        unresponsive_for: Duration::from_secs(2),
+        min_voters: 3,
     };
     let mut cluster = Cluster::start_with(4, Some(rule)).await?;
     declare_budget(&cluster).await?;
--- a/crates/anvilreel/tests/ledger_service/presence.rs
+++ b/crates/anvilreel/tests/ledger_service/presence.rs
@@ -7,7 +7,7 @@
 use anvil_world::prelude::*;
 use anvil_world::settings::{EndpointKind, EndpointSettings, SidecarSettings};
 use anvilreel::ledger_service::remove;
-use anvilreel::logs::silent;
+use anvilreel::logs::discard;
 use anvilreel::metrics::Metrics;
 use anvilreel::sidecar::Sidecar;
 use tokio::time::{sleep, timeout};
@@ -130,7 +130,7 @@
         log_json: false,
         statsd: None,
     };
-    let sidecar = Sidecar::start(&settings, silent(), Metrics::silent("sidecar")).await?;
+    let sidecar = Sidecar::start(&settings, discard(), Metrics::disabled("sidecar")).await?;
     wait_for_presence(&cluster, Presence::Live).await?;
     cluster.stop(configured).await;
     // Heartbeats from before the loss no longer count.
--- a/crates/anvilreel/tests/path_fleet/answers.rs
+++ b/crates/anvilreel/tests/path_fleet/answers.rs
@@ -69,7 +69,7 @@
     );
     assert_eq!((a.status.as_u16(), b.status.as_u16()), (200, 200));
     assert_eq!(a.body, b.body);
-    assert_eq!(fleet.plain.runs().get("order-7"), Some(&1));
+    assert_eq!(fleet.plain.run_counts().get("order-7"), Some(&1));
     fleet.wait_until_billed(1).await;
 }
 
@@ -90,5 +90,5 @@
     let error = &json(&again)["error"];
     assert_eq!(error["outcome"], "completed");
     assert_eq!(error["billed"], true);
-    assert_eq!(fleet.plain.runs().get("order-9"), Some(&1));
+    assert_eq!(fleet.plain.run_counts().get("order-9"), Some(&1));
 }
--- a/crates/anvilreel/tests/path_fleet/bad_input.rs
+++ b/crates/anvilreel/tests/path_fleet/bad_input.rs
@@ -1,12 +1,12 @@
 //! Invalid input is refused with a typed error; nothing runs and nothing is billed.
 
-use anvil_standins::client::Answer;
+use anvil_standins::client::FullResponse;
 
 use super::fleet::{Fleet, chat_body, json};
 
 const CHAT: &str = "/v1/chat/completions";
 
-fn check(answer: &Answer, status: u16, kind: &str) {
+fn check(answer: &FullResponse, status: u16, kind: &str) {
     let body = json(answer);
     assert_eq!(answer.status.as_u16(), status, "{body}");
     assert_eq!(body["error"]["type"], kind);
--- a/crates/anvilreel/tests/path_fleet/callers.rs
+++ b/crates/anvilreel/tests/path_fleet/callers.rs
@@ -35,10 +35,10 @@
     })
     .await;
     sleep(Duration::from_millis(100)).await;
-    let generated = fleet.engines[0].engine.tokens();
+    let generated = fleet.engines[0].engine.tokens_generated();
     sleep(Duration::from_millis(200)).await;
     assert_eq!(
-        fleet.engines[0].engine.tokens(),
+        fleet.engines[0].engine.tokens_generated(),
         generated,
         "the engine stopped"
     );
--- a/crates/anvilreel/tests/path_fleet/fleet.rs
+++ b/crates/anvilreel/tests/path_fleet/fleet.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use anvil_standins::client::{Answer as HttpAnswer, Client};
+use anvil_standins::client::{Client, FullResponse as HttpAnswer};
 use anvil_standins::{engine, plain};
 use anvil_wire::msg::{Query, QueryAnswer};
 use anvil_world::command::{Change, Edit, TopUp, change_id};
@@ -13,8 +13,8 @@
 };
 use anvilreel::ledger_client::LedgerClient;
 use anvilreel::ledger_service::{LedgerHandle, Tuning, start as start_ledger};
-use anvilreel::local::{BUDGET, KEY, MODEL, SERVICE, seed_demo};
-use anvilreel::logs::silent;
+use anvilreel::local::{BEARER_KEY, BUDGET, MODEL, SERVICE, seed_demo};
+use anvilreel::logs::discard;
 use anvilreel::metrics::Metrics;
 use anvilreel::router::Router;
 use anvilreel::sidecar::Sidecar;
@@ -111,7 +111,7 @@
             log_json: false,
             statsd: None,
         };
-        let started = Router::start(&settings, silent(), Metrics::silent("router"));
+        let started = Router::start(&settings, discard(), Metrics::disabled("router"));
         started.await.expect("a router")
     }
 
@@ -140,7 +140,7 @@
     ) -> HttpAnswer {
         let url = self.url(router, path);
         let req = request(&url, headers, body);
-        let answer = timeout(WAIT_TIMEOUT, self.client.whole(&url, req)).await;
+        let answer = timeout(WAIT_TIMEOUT, self.client.fetch(&url, req)).await;
         answer.expect("in time").expect("an answer")
     }
 
@@ -232,7 +232,7 @@
     pub fn started_runs(&self) -> u64 {
         self.engines
             .iter()
-            .map(|engine_with_sidecar| engine_with_sidecar.engine.started())
+            .map(|engine_with_sidecar| engine_with_sidecar.engine.runs_started())
             .sum()
     }
 
@@ -241,7 +241,7 @@
         let addr = self.plain.addr();
         let settings = sidecar_settings(0, self.ledger_addr, addr, EndpointKind::Plain);
         let new = start_sidecar(&settings).await;
-        let incarnation = new.life();
+        let incarnation = new.incarnation();
         std::mem::replace(&mut self.plain_sidecar, new).kill();
         let id = settings.id.clone();
         eventually("the ledger knows the new incarnation", || async {
@@ -277,7 +277,7 @@
     };
     let (tx, rx) = oneshot::channel();
     let stop = async move { drop(rx.await) };
-    let handle = start_ledger(settings, Tuning::default(), silent(), stop).await;
+    let handle = start_ledger(settings, Tuning::default(), discard(), stop).await;
     (addr, (handle.expect("a ledger"), tx))
 }
 
@@ -310,7 +310,7 @@
 }
 
 pub async fn start_sidecar(settings: &SidecarSettings) -> Sidecar {
-    let started = Sidecar::start(settings, silent(), Metrics::silent("sidecar"));
+    let started = Sidecar::start(settings, discard(), Metrics::disabled("sidecar"));
     started.await.expect("a sidecar")
 }
 
@@ -322,7 +322,7 @@
 ) -> Request<Full<Bytes>> {
     let mut req = Request::builder().method(Method::POST).uri(url);
     if headers.iter().all(|(name, _)| *name != "authorization") {
-        req = req.header("authorization", format!("Bearer {KEY}"));
+        req = req.header("authorization", format!("Bearer {BEARER_KEY}"));
     }
     for (name, value) in headers {
         req = req.header(*name, *value);
--- a/crates/anvilreel/tests/path_fleet/losses.rs
+++ b/crates/anvilreel/tests/path_fleet/losses.rs
@@ -47,7 +47,7 @@
 async fn another_engine_continues_after_an_engine_crash_without_a_gap() {
     let fleet = Fleet::start_with(1, 2, slow()).await;
     for engine_with_sidecar in &fleet.engines {
-        engine_with_sidecar.engine.set_dying_after(30);
+        engine_with_sidecar.engine.set_crash_after(30);
     }
     let prompt = "tokens=80 repair history";
     let url = fleet.url(0, CHAT);
@@ -62,7 +62,7 @@
         .expect("a valid frame");
     read.extend_from_slice(&first.into_data().expect("bytes"));
     for engine_with_sidecar in &fleet.engines {
-        engine_with_sidecar.engine.set_dying_after(0);
+        engine_with_sidecar.engine.set_crash_after(0);
     }
     while let Some(frame) = answer.frame().await {
         let frame = frame.expect("a valid frame");
@@ -93,7 +93,7 @@
     assert_eq!(error["type"], "ledger_unreachable");
     assert!(error["retry_after_ms"].is_u64());
     assert!(answer.headers.contains_key("retry-after"));
-    assert!(fleet.plain.runs().is_empty());
+    assert!(fleet.plain.run_counts().is_empty());
 }
 
 /// A sidecar crashes in a new fleet, where no router has held claims long enough to confirm that a
@@ -137,7 +137,10 @@
             .expect("a valid frame");
         read.extend_from_slice(&frame.into_data().expect("bytes"));
     }
-    let busy = fleet.engines.iter().position(|b| b.engine.started() > 0);
+    let busy = fleet
+        .engines
+        .iter()
+        .position(|b| b.engine.runs_started() > 0);
     let busy = busy.expect("one works on it");
     fleet.engines[busy]
         .sidecar
--- a/crates/anvilreel/tests/path_fleet/rolling.rs
+++ b/crates/anvilreel/tests/path_fleet/rolling.rs
@@ -41,7 +41,7 @@
             let url = format!("http://{addr}{path}");
             let sent = self
                 .client
-                .whole(&url, request(&url, headers, body.to_owned()));
+                .fetch(&url, request(&url, headers, body.to_owned()));
             match sent.await {
                 Ok(answer) if answer.status == 200 && path.starts_with("/v1") => {
                     let json = json(&answer);
@@ -142,7 +142,7 @@
             runs,
             "each chat request ran once"
         );
-        let orders = self.fleet.plain.runs();
+        let orders = self.fleet.plain.run_counts();
         assert!(orders.values().all(|ran| *ran == 1), "{orders:?}");
         assert_eq!(orders.len(), CALLERS * CHATS_PER_CALLER / 5);
         self.fleet.wait_until_billed(cost).await;
--- a/crates/anvilreel/tests/path_fleet/stops.rs
+++ b/crates/anvilreel/tests/path_fleet/stops.rs
@@ -59,7 +59,7 @@
     tokio::time::sleep(Duration::from_millis(50)).await;
     assert_eq!(fleet.client.get(&url).await.expect("not ready").status, 503);
     let body = chat_body("tokens=1 late", false);
-    let refused = fleet.client.whole(&chat, request(&chat, &[], body)).await;
+    let refused = fleet.client.fetch(&chat, request(&chat, &[], body)).await;
     let refused = refused.expect("an answer");
     assert_eq!(json(&refused)["error"]["type"], "leaving");
     stopping.await.expect("stopped");
@@ -81,7 +81,7 @@
         .expect("output")
         .expect("a valid frame");
     let mut read = first.into_data().expect("bytes").to_vec();
-    let busy = usize::from(fleet.engines[0].engine.started() == 0);
+    let busy = usize::from(fleet.engines[0].engine.runs_started() == 0);
     let sidecar = fleet.engines[busy].sidecar.take().expect("it is running");
     let stopping = tokio::spawn(sidecar.stop());
     for number in 0..8 {
@@ -89,7 +89,7 @@
         let other = fleet.chat(0, None, &quick).await;
         assert_eq!(other.status, 200, "{}", json(&other));
     }
-    assert_eq!(fleet.engines[busy].engine.started(), 1);
+    assert_eq!(fleet.engines[busy].engine.runs_started(), 1);
     while let Some(frame) = answer.frame().await {
         let frame = frame.expect("a valid frame");
         read.extend_from_slice(&frame.into_data().expect("bytes"));
--- a/crates/anvilreel/tests/proof_processes.rs
+++ b/crates/anvilreel/tests/proof_processes.rs
@@ -65,7 +65,7 @@
             continue;
         };
         let url = format!("{base}{CHAT}");
-        let sent = client.whole(&url, request(&url, &headers, body.clone()));
+        let sent = client.fetch(&url, request(&url, &headers, body.clone()));
         if let Ok(Ok(answer)) = timeout(ATTEMPT_TIMEOUT, sent).await
             && answer.status.is_success()
         {
@@ -98,7 +98,7 @@
             continue;
         };
         let url = format!("{base}{ORDER}");
-        let sent = client.whole(&url, request(&url, &headers, "{}"));
+        let sent = client.fetch(&url, request(&url, &headers, "{}"));
         if let Ok(Ok(answer)) = timeout(2 * ATTEMPT_TIMEOUT, sent).await
             && answer.status.is_success()
         {
@@ -117,7 +117,7 @@
 
 /// Checks that no order ran twice, every caller succeeded and the budget was not overspent.
 async fn check_counts(fleet: &Fleet, counts: &Counts, chats: usize, orders: usize, cost: Tokens) {
-    let runs: BTreeMap<_, _> = fleet.plain.runs();
+    let runs: BTreeMap<_, _> = fleet.plain.run_counts();
     let run_twice: Vec<_> = runs.iter().filter(|(_, n)| **n > 1).collect();
     assert!(
         run_twice.is_empty(),
--- a/crates/anvilreel/tests/replay.rs
+++ b/crates/anvilreel/tests/replay.rs
@@ -11,7 +11,7 @@
 use anvil_wire::msg::{Payment, ProbeAnswer, SidecarReply, StartRequest, Work};
 use anvil_world::document::WorkClass;
 use anvil_world::prelude::*;
-use anvilreel::runs::{Action, EngineCommand, EngineEvent, Event, Runs, RunsConfig};
+use anvilreel::runs::{Action, EndpointCommand, EndpointEvent, Event, Runs, RunsConfig};
 use bytes::Bytes;
 use serde::Deserialize;
 
@@ -105,12 +105,12 @@
 }
 
 fn event(step: &Step) -> Event {
-    let (reader, key, life) = (step.reader, key(step), step.life);
+    let (reader, key, incarnation) = (step.reader, key(step), step.life);
     let usage = Usage {
         output: step.tokens,
         ..Usage::default()
     };
-    let engine = |event| Event::Engine {
+    let engine = |event| Event::Endpoint {
         run: step.run,
         event,
     };
@@ -124,28 +124,32 @@
             key,
             offset: step.offset,
         },
-        "ready" => Event::Ready { reader },
-        "gone" => Event::Gone { reader },
-        "cancel" => Event::Cancel { reader, key, life },
+        "ready" => Event::ReaderReady { reader },
+        "gone" => Event::ReaderGone { reader },
+        "cancel" => Event::Cancel {
+            reader,
+            key,
+            incarnation,
+        },
         "forbid" => Event::Forbid {
             reader,
             key,
-            life,
+            incarnation,
             claim: None,
         },
-        "output" => engine(EngineEvent::Output {
+        "output" => engine(EndpointEvent::Output {
             bytes: step.text.clone().into(),
             usage,
         }),
-        "ended" => engine(EngineEvent::Ended {
+        "ended" => engine(EndpointEvent::Ended {
             usage,
             finish: "stop".into(),
         }),
-        "lost" => engine(EngineEvent::Lost {
+        "lost" => engine(EndpointEvent::Lost {
             usage,
             resumable: false,
         }),
-        "refused" => engine(EngineEvent::Refused),
+        "refused" => engine(EndpointEvent::Refused),
         "fence" => Event::Fenced {
             router: step.router.as_str().into(),
             incarnation: 1,
@@ -160,13 +164,13 @@
     match action {
         Action::Reply { reader, reply } => format!("{reader}: {}", describe_reply(reply)),
         Action::Close { reader } => format!("{reader}: close"),
-        Action::Engine { run, command } => {
+        Action::Endpoint { run, command } => {
             let command = match command {
-                EngineCommand::Begin(_) => "begin",
-                EngineCommand::Resume { .. } => "resume",
-                EngineCommand::Stop => "stop",
-                EngineCommand::Pause => "pause",
-                EngineCommand::Continue => "continue",
+                EndpointCommand::Begin(_) => "begin",
+                EndpointCommand::Resume { .. } => "resume",
+                EndpointCommand::Stop => "stop",
+                EndpointCommand::Pause => "pause",
+                EndpointCommand::Continue => "continue",
             };
             format!("engine {run}: {command}")
         }
@@ -214,9 +218,9 @@
 fn replay(path: &Path) -> datatest_stable::Result<()> {
     let trace: Trace = toml::from_str(&std::fs::read_to_string(path)?)?;
     let mut runs = Runs::new(RunsConfig {
-        life: 1,
+        incarnation: 1,
         buffer_bytes: 64,
-        keep_once: Duration::from_hours(25),
+        once_retention: Duration::from_hours(25),
     });
     for (number, step) in trace.step.iter().enumerate() {
         let actions = runs.handle(Duration::from_millis(step.at), event(step));
--- a/crates/anvilreel/tests/sidecar_platform.rs
+++ b/crates/anvilreel/tests/sidecar_platform.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use anvil_standins::plain;
-use anvil_standins::platform::{self, Listed};
+use anvil_standins::platform::{self, ListedInstance};
 use anvil_wire::Channel;
 use anvil_wire::msg::{Payment, SidecarCall, SidecarReply, SidecarRequest, StartRequest, Work};
 use anvil_world::document::WorkClass;
@@ -28,8 +28,8 @@
     ([127, 0, 0, 1], 0).into()
 }
 
-fn listed(presence: Presence) -> Listed {
-    Listed {
+fn listed(presence: Presence) -> ListedInstance {
+    ListedInstance {
         id: "orders-1".into(),
         zone: Zone::default(),
         addr: loopback(),
@@ -119,8 +119,8 @@
     let settings = settings(orders.addr(), platform.addr());
     let sidecar = Sidecar::start(&settings, log, Metrics::new("sidecar", None)?).await?;
     let channel = Channel::new(sidecar.addr());
-    let life = sidecar.life();
-    let before = first_reply(&channel, &start(0, life)).await?;
+    let incarnation = sidecar.incarnation();
+    let before = first_reply(&channel, &start(0, incarnation)).await?;
     assert!(
         matches!(before, SidecarReply::Accepted { .. }),
         "{before:?}"
@@ -129,7 +129,7 @@
     platform.set(listed(Presence::Leaving));
     let deadline = Instant::now() + MAX_DELAY;
     for number in 1.. {
-        let reply = first_reply(&channel, &start(number, life)).await?;
+        let reply = first_reply(&channel, &start(number, incarnation)).await?;
         if let SidecarReply::Refused(refusal) = reply {
             assert_eq!(refusal.reason, Reason::Leaving);
             break;
@@ -140,7 +140,7 @@
 
     platform.set(listed(Presence::Live));
     sleep(MAX_DELAY).await;
-    let after = first_reply(&channel, &start(u64::MAX, life)).await?;
+    let after = first_reply(&channel, &start(u64::MAX, incarnation)).await?;
     assert!(matches!(after, SidecarReply::Accepted { .. }), "{after:?}");
     sidecar.kill();
     Ok(())
--- a/crates/anvilreel/tests/soak/sidecars.rs
+++ b/crates/anvilreel/tests/soak/sidecars.rs
@@ -6,7 +6,7 @@
 
 use anvil_wire::msg::{Frame, ResponseHead, SidecarReply, SidecarRequest, StartRequest, Work};
 use anvil_world::prelude::*;
-use anvilreel::runs::{Action, EngineCommand, EngineEvent, Event, Runs, RunsConfig};
+use anvilreel::runs::{Action, EndpointCommand, EndpointEvent, Event, Runs, RunsConfig};
 use bytes::Bytes;
 
 use super::callers::{TOKEN_BYTES, token};
@@ -62,12 +62,12 @@
     }
 }
 
-fn runs(life: Incarnation) -> Runs {
+fn runs(incarnation: Incarnation) -> Runs {
     Runs::new(RunsConfig {
-        life,
+        incarnation,
         // Small, so that slow readers are dropped, answers are trimmed, and engines are paused.
         buffer_bytes: 16_000,
-        keep_once: Duration::from_hours(25),
+        once_retention: Duration::from_hours(25),
     })
 }
 
@@ -126,7 +126,7 @@
         );
         self.feed_runs(slot, Event::Tick);
         if self.sidecars[slot].runs.is_leaving() && self.chance(5.0) {
-            self.feed_runs(slot, Event::Returned);
+            self.feed_runs(slot, Event::NoLongerLeaving);
         }
         let now = self.now;
         if now < self.sidecars[slot].last_heartbeat + Duration::from_secs(1) {
@@ -173,12 +173,12 @@
         for (router, incarnation) in accepted {
             self.sidecars[slot]
                 .runs
-                .evidence_taken(router, *incarnation);
+                .acknowledge_evidence(router, *incarnation);
         }
     }
 
     pub fn handle_sidecar_request(&mut self, slot: usize, reader: StreamId, req: SidecarRequest) {
-        let Some(event) = Event::of(reader, req) else {
+        let Some(event) = Event::from_request(reader, req) else {
             return;
         };
         self.feed_runs(slot, event);
@@ -186,13 +186,13 @@
 
     pub fn reader_ready(&mut self, slot: usize, incarnation: Incarnation, reader: StreamId) {
         if self.sidecars[slot].incarnation == incarnation {
-            self.feed_runs(slot, Event::Ready { reader });
+            self.feed_runs(slot, Event::ReaderReady { reader });
         }
     }
 
     pub fn reader_gone(&mut self, slot: usize, incarnation: Incarnation, reader: StreamId) {
         if self.sidecars[slot].incarnation == incarnation {
-            self.feed_runs(slot, Event::Gone { reader });
+            self.feed_runs(slot, Event::ReaderGone { reader });
         }
     }
 
@@ -208,12 +208,12 @@
             match action {
                 Action::Reply { reader, reply } => self.reply(slot, reader, reply),
                 Action::Close { .. } => {}
-                Action::Engine { run, command } => {
-                    if let (EngineCommand::Begin(start), Some(stream)) = (&command, &starter) {
+                Action::Endpoint { run, command } => {
+                    if let (EndpointCommand::Begin(start), Some(stream)) = (&command, &starter) {
                         if self.chance(2.0) {
                             // Not counted as a run: the endpoint reports that it did not run it.
                             self.count("starts refused by the endpoint");
-                            self.feed_engine_event(slot, run, EngineEvent::Refused);
+                            self.feed_engine_event(slot, run, EndpointEvent::Refused);
                             continue;
                         }
                         let exchange = (stream.router, stream.router_incarnation, stream.exchange);
@@ -269,26 +269,26 @@
         self.send_reply(reader, reply);
     }
 
-    fn run_engine_command(&mut self, slot: usize, run: u64, command: EngineCommand) {
+    fn run_engine_command(&mut self, slot: usize, run: u64, command: EndpointCommand) {
         match command {
-            EngineCommand::Begin(start) => self.start_engine_run(slot, run, start),
-            EngineCommand::Resume { from } => {
+            EndpointCommand::Begin(start) => self.start_engine_run(slot, run, start),
+            EndpointCommand::Resume { from } => {
                 if let Some(engine_run) = self.sidecars[slot].engine.get_mut(&run) {
                     engine_run.tokens_made = engine_run.start.prefix_tokens + from / TOKEN_BYTES;
                     engine_run.epoch += 1;
                     self.schedule_token(slot, run);
                 }
             }
-            EngineCommand::Stop => {
+            EndpointCommand::Stop => {
                 self.sidecars[slot].engine.remove(&run);
             }
-            EngineCommand::Pause => {
+            EndpointCommand::Pause => {
                 if let Some(engine_run) = self.sidecars[slot].engine.get_mut(&run) {
                     engine_run.paused = true;
                     self.count("engines paused");
                 }
             }
-            EngineCommand::Continue => {
+            EndpointCommand::Continue => {
                 if let Some(engine_run) = self.sidecars[slot].engine.get_mut(&run) {
                     engine_run.paused = false;
                     engine_run.epoch += 1;
@@ -342,7 +342,7 @@
             let usage = engine_run.usage();
             self.sidecars[slot].engine.remove(&run);
             let finish = "stop".into();
-            return self.feed_engine_event(slot, run, EngineEvent::Ended { usage, finish });
+            return self.feed_engine_event(slot, run, EndpointEvent::Ended { usage, finish });
         }
         let plain = matches!(engine_run.start.work, Work::Plain { .. });
         let bytes = Bytes::from(token(&engine_run.start.key, engine_run.tokens_made));
@@ -353,9 +353,9 @@
                 status: 200,
                 headers: Vec::new(),
             };
-            self.feed_engine_event(slot, run, EngineEvent::Head(head));
+            self.feed_engine_event(slot, run, EndpointEvent::Head(head));
         }
-        self.feed_engine_event(slot, run, EngineEvent::Output { bytes, usage });
+        self.feed_engine_event(slot, run, EndpointEvent::Output { bytes, usage });
         self.schedule_token(slot, run);
     }
 
@@ -373,12 +373,12 @@
             if !resumable {
                 self.sidecars[slot].engine.remove(&run);
             }
-            self.feed_engine_event(slot, run, EngineEvent::Lost { usage, resumable });
+            self.feed_engine_event(slot, run, EndpointEvent::Lost { usage, resumable });
         }
     }
 
-    fn feed_engine_event(&mut self, slot: usize, run: u64, event: EngineEvent) {
-        self.feed_runs(slot, Event::Engine { run, event });
+    fn feed_engine_event(&mut self, slot: usize, run: u64, event: EndpointEvent) {
+        self.feed_runs(slot, Event::Endpoint { run, event });
     }
 }
 
