--- a/crates/anvil_daemons/examples/slopes/live/bench.rs
+++ b/crates/anvil_daemons/examples/slopes/live/bench.rs
@@ -1,4 +1,4 @@
-//! Processes to be measured, and how they are.
+//! Starts the processes to be measured, and measures them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,16 +16,16 @@
 use tempfile::TempDir;
 use tokio::time::sleep;
 
-/// How long processor time is counted.
+/// Time over which processor time is measured.
 pub const WINDOW: Duration = Duration::from_secs(6);
-/// Time for things to come to rest before a window begins.
-pub const REST: Duration = Duration::from_secs(3);
-/// Longest wait for one answer.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+/// Time to settle before a measurement begins.
+pub const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Timeout of one call.
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Replicas of the ledger.
 const REPLICAS: usize = 3;
 
-/// A ledger of three processes, and whatever else is started beside it.
+/// A ledger of three processes, and the folder of the settings of all processes started.
 pub struct Bench {
     folder: TempDir,
     programs: PathBuf,
@@ -35,9 +35,9 @@
     pub replicas: Vec<Process>,
 }
 
-/// What a process used in a window.
+/// Usage of one process over a window.
 #[derive(Debug, Clone, Copy)]
-pub struct Used {
+pub struct ProcessCost {
     /// Processor time, in microseconds a second.
     pub processor: u64,
     /// Memory at the end, in bytes.
@@ -45,18 +45,18 @@
 }
 
 impl Bench {
-    /// Starts a ledger and waits until it leads.
+    /// Starts a ledger and waits until it has a leader.
     pub async fn start() -> Self {
         let folder = tempfile::tempdir().expect("a temporary folder can be made");
         let program = std::env::current_exe().expect("a running program has a path");
         let programs = program.ancestors().nth(2).map(Path::to_path_buf);
         let mut bench = Self {
             folder,
-            programs: programs.expect("examples stand beside the daemons"),
+            programs: programs.expect("examples are built beside the daemons"),
             ledgers: (0..REPLICAS).map(|_| addr()).collect(),
             replicas: Vec::new(),
         };
-        let founders: Vec<_> = (0..REPLICAS).map(|at| bench.peer(at)).collect();
+        let founders: Vec<_> = (0..REPLICAS).map(|index| bench.peer(index)).collect();
         for peer in &founders {
             let settings = LedgerSettings {
                 id: peer.id.clone(),
@@ -76,22 +76,22 @@
         bench
     }
 
-    fn peer(&self, at: usize) -> Peer {
+    fn peer(&self, index: usize) -> Peer {
         Peer {
-            id: format!("ledger-{at}").into(),
-            addr: self.ledgers[at],
+            id: format!("ledger-{index}").into(),
+            addr: self.ledgers[index],
         }
     }
 
     /// Starts a daemon with these settings.
     pub fn spawn(&self, program: &str, id: &str, settings: &impl Serialize) -> Process {
-        let text = toml::to_string(settings).expect("settings are TOML");
+        let text = toml::to_string(settings).expect("settings can be written as TOML");
         let path = self.folder.path().join(format!("{id}.toml"));
-        std::fs::write(&path, text).expect("the temporary folder takes a file");
+        std::fs::write(&path, text).expect("the temporary folder is writable");
         Process::start(&self.programs.join(program), id, &path).expect("the daemons are built")
     }
 
-    /// Starts a router; it listens at the second address.
+    /// Starts a router; returns the address at which it listens to callers.
     pub fn router(&self, ledgers: Vec<SocketAddr>) -> (Process, SocketAddr) {
         let settings = RouterSettings {
             id: "router-0".into(),
@@ -107,14 +107,16 @@
         (router, settings.listen)
     }
 
-    /// Which replica leads.
+    /// Index of the leading replica.
     pub async fn leader(&self) -> usize {
         loop {
-            for (at, addr) in self.ledgers.iter().enumerate() {
-                let ask = LedgerRequest::Query(Query::Status);
-                let reply = Channel::new(*addr).call::<LedgerCall>(&ask, PATIENCE).await;
+            for (index, addr) in self.ledgers.iter().enumerate() {
+                let req = LedgerRequest::Query(Query::Status);
+                let reply = Channel::new(*addr)
+                    .call::<LedgerCall>(&req, CALL_TIMEOUT)
+                    .await;
                 if matches!(reply, Ok(LedgerReply::Read(_))) {
-                    return at;
+                    return index;
                 }
             }
             sleep(Duration::from_millis(100)).await;
@@ -122,13 +124,13 @@
     }
 
     /// A channel to the leader.
-    pub async fn lead(&self) -> Channel {
+    pub async fn leader_channel(&self) -> Channel {
         Channel::new(self.ledgers[self.leader().await])
     }
 }
 
-/// What processes use, over a window in which the world goes on.
-pub async fn used(processes: &[&Process]) -> BTreeMap<String, Used> {
+/// Measures the usage of processes over one window.
+pub async fn measure_usage(processes: &[&Process]) -> BTreeMap<String, ProcessCost> {
     let now = |p: &&Process| {
         let usage = p.id().and_then(ProcessUsage::of);
         (p.name.clone(), usage.unwrap_or_default())
@@ -138,12 +140,12 @@
     let after = processes.iter().map(now);
     after
         .map(|(name, after)| {
-            let spent = after.processor.saturating_sub(before[&name].processor);
-            let used = Used {
+            let spent = after.cpu_time.saturating_sub(before[&name].cpu_time);
+            let cost = ProcessCost {
                 processor: u64::try_from(spent.as_micros()).unwrap_or(u64::MAX) / WINDOW.as_secs(),
                 memory: after.memory,
             };
-            (name, used)
+            (name, cost)
         })
         .collect()
 }
--- a/crates/anvil_daemons/src/local_command.rs
+++ b/crates/anvil_daemons/src/local_command.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use anvil_standins::{engine, plain};
-use anvilreel::local::{BUDGET, KEY, Local, LocalError, LocalSettings, MODEL, SERVICE};
+use anvilreel::local::{BEARER_KEY, BUDGET, LocalError, LocalFleet, LocalSettings, MODEL, SERVICE};
 use anvilreel::logs;
 use argh::FromArgs;
 use snafu::{ResultExt, Snafu};
@@ -26,31 +26,31 @@
     pub data: Option<PathBuf>,
 }
 
-/// A quick start that failed.
+/// Why the quick start failed.
 #[derive(Debug, Snafu)]
 pub enum LocalCommandError {
-    /// The process can't start.
+    /// The process could not start.
     #[snafu(display("{source}"))]
     Process {
-        /// Why.
+        /// The cause.
         source: StartError,
     },
-    /// No temporary folder.
-    #[snafu(display("no temporary folder: {source}"))]
+    /// The temporary folder could not be created.
+    #[snafu(display("creating the temporary folder failed: {source}"))]
     Folder {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// A stand-in can't start.
-    #[snafu(display("a stand-in can't start: {source}"))]
+    /// A stand-in endpoint could not start.
+    #[snafu(display("starting a stand-in endpoint failed: {source}"))]
     Standin {
-        /// Why.
+        /// The cause.
         source: anvil_standins::Error,
     },
-    /// A role can't start.
+    /// A role could not start.
     #[snafu(display("{source}"))]
     Role {
-        /// Why.
+        /// The cause.
         source: LocalError,
     },
 }
@@ -59,7 +59,7 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, port))
 }
 
-/// Runs until it is asked to stop.
+/// Runs until the process is asked to stop.
 pub fn local(command: &LocalCommand) -> Result<(), LocalCommandError> {
     runtime(0).context(ProcessSnafu)?.block_on(run(command))
 }
@@ -81,7 +81,7 @@
         engine: engine.addr(),
         plain: plain.addr(),
     };
-    let local = Local::start(&settings, &logs::logger(false))
+    let local = LocalFleet::start(&settings, &logs::logger(false))
         .await
         .context(RoleSnafu)?;
     print_help(&settings, &local);
@@ -90,19 +90,19 @@
     Ok(())
 }
 
-fn print_help(settings: &LocalSettings, local: &Local) {
+fn print_help(settings: &LocalSettings, local: &LocalFleet) {
     let (callers, ledger) = (local.addr(), local.ledger);
     let data = settings.data.display();
     println!(
         "anvilreel is ready on http://{callers}; state in {data}
 
 Ask a question:
-  curl -N http://{callers}/v1/chat/completions -H 'Authorization: Bearer {KEY}' \\
+  curl -N http://{callers}/v1/chat/completions -H 'Authorization: Bearer {BEARER_KEY}' \\
     -H 'Content-Type: application/json' \\
     -d '{{\"model\":\"{MODEL}\",\"stream\":true,\"messages\":[{{\"role\":\"user\",\"content\":\"Which card for a swatch book?\"}}]}}'
 
 Place an order, which runs at most once (send it twice: it is still one):
-  curl http://{callers}/services/{SERVICE}/orders -H 'Authorization: Bearer {KEY}' \\
+  curl http://{callers}/services/{SERVICE}/orders -H 'Authorization: Bearer {BEARER_KEY}' \\
     -H 'Idempotency-Key: order-1' -H 'order-id: order-1' -d '{{\"books\":2}}'
 
 See the bill (another terminal):
--- a/crates/anvil_daemons/src/operate/arguments.rs
+++ b/crates/anvil_daemons/src/operate/arguments.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! The operators' command line. The doc comments of arguments are the texts of `--help`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,27 +8,27 @@
 use anvilreel::operator::Client;
 use argh::FromArgs;
 
-/// Where `anvilreel local` answers operators.
+/// Ledger address of `anvilreel local`.
 const DEFAULT_LEDGER: SocketAddr = SocketAddr::V4(std::net::SocketAddrV4::new(
     std::net::Ipv4Addr::LOCALHOST,
     8_788,
 ));
 
-/// How to reach the ledger, and as whom. Given before the subcommand.
+/// How to reach the ledger, and on whose behalf. Given before the subcommand.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Connection {
-    /// Replicas; none means the one of `anvilreel local`.
+    /// Addresses of replicas; if empty, that of `anvilreel local`.
     pub ledgers: Vec<SocketAddr>,
-    /// Who the changes are made by.
+    /// Name of the operator who makes the changes.
     pub operator: Option<String>,
-    /// Longest time for one action, in seconds.
+    /// Timeout of one action, in seconds.
     pub within: u64,
-    /// Reports as JSON.
+    /// Whether reports are printed as JSON.
     pub json: bool,
 }
 
 impl Connection {
-    /// The client that these options ask for.
+    /// A client with these options.
     pub fn client(&self) -> Client {
         let ledgers = if self.ledgers.is_empty() {
             vec![DEFAULT_LEDGER]
@@ -39,45 +39,45 @@
         let operator = self.operator.clone().unwrap_or_else(user);
         Client::new(&ledgers)
             .with_operator(operator.into())
-            .with_time(Duration::from_secs(self.within))
+            .with_timeout(Duration::from_secs(self.within))
     }
 }
 
-/// What operators do.
+/// The operators' subcommands.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum Operate {
-    /// Write documents.
+    /// Writes documents.
     Apply(Apply),
-    /// Take a document away.
+    /// Removes a document.
     Remove(Remove),
-    /// Read documents.
+    /// Prints documents.
     Get(Get),
-    /// Compare a file with what stands.
+    /// Compares a file with the current document.
     Diff(Diff),
-    /// Pay into a budget.
+    /// Pays tokens into a budget.
     TopUp(TopUpArgs),
-    /// Show budgets.
+    /// Prints the state of budgets.
     Budget(BudgetArgs),
-    /// Give up a fenced grant.
+    /// Writes off a fenced grant whose evidence is lost.
     WriteOff(WriteOffArgs),
-    /// Read the audit trail.
+    /// Prints the audit trail.
     Audit(Audit),
-    /// Show the ledger and the fleet.
+    /// Prints the state of the ledger and the fleet.
     Status(Status),
-    /// Empty an instance.
+    /// Drains an instance.
     Drain(Drain),
-    /// Order an endpoint.
+    /// Sends an order to an endpoint.
     Order(OrderArgs),
-    /// Check settings without sending them.
+    /// Validates settings files without sending them.
     Check(Check),
-    /// Print the digest of a bearer key.
+    /// Prints the digest of a bearer key.
     HashKey(HashKey),
-    /// Tell one request's way out of logs.
+    /// Explains the handling of one request from logs.
     Explain(ExplainArgs),
-    /// Add up what requests were lost to, out of logs.
+    /// Sums the losses of requests and the use of budgets from logs.
     Losses(LossesArgs),
-    /// Look into a ledger's data folder.
+    /// Inspects the data folder of a ledger.
     Ledger(LedgerArgs),
 }
 
@@ -227,7 +227,7 @@
     pub detail: Option<String>,
 }
 
-/// Which order is meant.
+/// Kind of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderSubject {
     /// Load a model.
@@ -307,11 +307,11 @@
     pub command: LedgerCommand,
 }
 
-/// What can be done with a data folder.
+/// What to do with a data folder.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum LedgerCommand {
-    /// Check and print it.
+    /// Checks it and prints its contents.
     Inspect(Inspect),
 }
 
--- a/crates/anvilreel/src/local/demo.rs
+++ b/crates/anvilreel/src/local/demo.rs
@@ -1,4 +1,4 @@
-//! What the quick start begins with: a demo team, its budget, a model and a plain service.
+//! Initial settings of the quick start: a demo team, its budget, a model and a plain service.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -11,23 +11,24 @@
 use crate::ledger_client::{LedgerClient, LedgerError};
 
 /// The bearer key of the demo team.
-pub const KEY: &str = "demo-key";
-/// The model that it may use.
+pub const BEARER_KEY: &str = "demo-key";
+/// The model that the demo team may use.
 pub const MODEL: &str = "demo-chat";
-/// The plain service that it may use.
+/// The plain service that the demo team may use.
 pub const SERVICE: &str = "swatches";
-/// The budget that pays.
+/// The budget that pays for the demo team.
 pub const BUDGET: &str = "demo";
-/// Tokens paid in at the first start.
-pub const PREPAID: Tokens = 1_000_000;
+/// Tokens credited to the budget at the first start.
+pub const INITIAL_CREDIT: Tokens = 1_000_000;
 
-/// Longest wait for one step.
-const WITHIN: Duration = Duration::from_secs(5);
+/// Timeout of each call to the ledger.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Writes the demo's documents and credits its budget, unless they are there already.
-pub async fn seed(ledger: &LedgerClient) -> Result<bool, LedgerError> {
-    let all = ledger.query(Query::Tree("".into()), WITHIN).await?;
-    if matches!(&all, QueryAnswer::Tree(tree) if tree.contains_key(&team_path())) {
+/// Writes the demo's documents and credits its budget, unless the demo team exists already.
+/// Returns whether it has written them.
+pub async fn seed_demo(ledger: &LedgerClient) -> Result<bool, LedgerError> {
+    let answer = ledger.query(Query::Tree("".into()), CALL_TIMEOUT).await?;
+    if matches!(&answer, QueryAnswer::Tree(tree) if tree.contains_key(&team_path())) {
         return Ok(false);
     }
     for (number, (path, text)) in documents().into_iter().enumerate() {
@@ -40,17 +41,19 @@
             edit: Edit::Put(text),
             at,
         };
-        ledger.propose(Command::Change(change), WITHIN).await?;
+        ledger
+            .propose(Command::Change(change), CALL_TIMEOUT)
+            .await?;
     }
     let at = SystemTime::now();
     let top_up = TopUp {
         id: change_id(at, "demo-top-up"),
         operator: "local".into(),
         budget: BUDGET.into(),
-        amount: PREPAID,
+        amount: INITIAL_CREDIT,
         at,
     };
-    ledger.propose(Command::TopUp(top_up), WITHIN).await?;
+    ledger.propose(Command::TopUp(top_up), CALL_TIMEOUT).await?;
     Ok(true)
 }
 
@@ -61,7 +64,7 @@
 fn documents() -> Vec<(TreePath, Arc<str>)> {
     let team = format!(
         "organisation = \"demo\"\nkeys = [\"{}\"]\nsplit = {{ {BUDGET} = 1 }}\n",
-        key_hash(KEY.as_bytes())
+        key_hash(BEARER_KEY.as_bytes())
     );
     vec![
         (TreePath::Fleet, "".into()),
--- a/crates/anvilreel/src/sidecar/drive.rs
+++ b/crates/anvilreel/src/sidecar/drive.rs
@@ -1,5 +1,5 @@
-//! Drives one run at the endpoint: the endpoint's words go to the state machine, and its
-//! commands to the endpoint.
+//! Performs one run at the endpoint: forwards the endpoint's events to the state machine, and the
+//! state machine's commands to the endpoint.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,45 +13,45 @@
 use tokio::time::sleep;
 use xxhash_rust::xxh3::xxh3_128;
 
-use super::engine::{self, Ask, EngineStream, Said};
+use super::engine::{self, ChatRequest, EngineStream, StreamItem};
 use super::http::{EndpointClient, EndpointError};
 use super::hub::Hub;
-use crate::runs::{EngineCommand, EngineEvent, Event, RunId};
+use crate::runs::{EndpointCommand, EndpointEvent, Event, RunId};
 
-/// How often a broken stream is resumed before the run is given up here.
-const RESUMES: u32 = 3;
+/// Maximum number of times the stream of one run is resumed.
+const MAX_RESUMES: u32 = 3;
 /// Pause before a broken stream is resumed.
-const RESUME_AFTER: Duration = Duration::from_millis(50);
-/// Bytes that a prompt token takes on average: for the use of a run that is stopped before the
-/// engine has told.
-const USUAL_TOKEN_BYTES: u64 = 4;
-/// Priority of work that a person waits for; lower is sooner.
-const INTERACTIVE: i32 = 0;
-/// Priority of work with a deadline of hours.
-const BATCH: i32 = 10;
+const RESUME_PAUSE: Duration = Duration::from_millis(50);
+/// Average bytes of a prompt token. Used to estimate the usage of a run that is stopped before the
+/// engine has reported it.
+const AVERAGE_TOKEN_BYTES: u64 = 4;
+/// Engine priority of interactive work; lower is sooner.
+const INTERACTIVE_PRIORITY: i32 = 0;
+/// Engine priority of batch work, whose deadline is hours away.
+const BATCH_PRIORITY: i32 = 10;
 
-/// What drives one run.
+/// What is needed to perform one run.
 pub struct Driver {
-    /// Where the endpoint's words go.
+    /// Receives the events of the run.
     pub hub: Arc<Hub>,
-    /// The way to the endpoint.
+    /// Client of the endpoint.
     pub client: EndpointClient,
-    /// Which run.
+    /// The run.
     pub run: RunId,
-    /// What was asked.
+    /// The request.
     pub start: Arc<StartRequest>,
-    /// What the state machine wants of the endpoint.
-    pub commands: UnboundedReceiver<EngineCommand>,
+    /// The state machine's commands.
+    pub commands: UnboundedReceiver<EndpointCommand>,
 }
 
-/// Drives a run to its end.
+/// Performs a run until it ends.
 pub async fn drive(mut driver: Driver) {
     let start = driver.start.clone();
     match &start.work {
         Work::Chat {
             body, max_output, ..
         } => {
-            Chat::new(&start, body)
+            ChatRun::new(&start, body)
                 .drive(&mut driver, *max_output)
                 .await;
         }
@@ -60,33 +60,33 @@
             tail,
             headers,
             body,
-        } => driver.plain(method, tail, headers, body.clone()).await,
+        } => driver.run_plain(method, tail, headers, body.clone()).await,
     }
-    driver.hub.driven(driver.run);
+    driver.hub.remove_driver(driver.run);
 }
 
 impl Driver {
-    fn say(&self, event: EngineEvent) {
-        if let EngineEvent::Lost { resumable, .. } = event {
-            self.hub.broken(self.run, resumable);
+    fn report(&self, event: EndpointEvent) {
+        if let EndpointEvent::Lost { resumable, .. } = event {
+            self.hub.log_broken_stream(self.run, resumable);
         }
-        self.hub.feed(Event::Engine {
+        self.hub.feed(Event::Endpoint {
             run: self.run,
             event,
         });
     }
 
     /// Returns when the run is to be stopped.
-    async fn stopped(&mut self) {
-        // A closed channel means that nobody is left who could want it to go on.
+    async fn wait_for_stop(&mut self) {
+        // A closed channel counts as a stop: nobody is left who could continue the run.
         while let Some(command) = self.commands.recv().await {
-            if command == EngineCommand::Stop {
+            if command == EndpointCommand::Stop {
                 return;
             }
         }
     }
 
-    async fn plain(
+    async fn run_plain(
         &mut self,
         method: &str,
         tail: &str,
@@ -98,17 +98,17 @@
             ..Usage::default()
         };
         let (hub, run) = (self.hub.clone(), self.run);
-        let say = move |event| hub.feed(Event::Engine { run, event });
+        let report = move |event| hub.feed(Event::Endpoint { run, event });
         let client = self.client.clone();
         let tail = format!("/{tail}");
-        let call = plain_call(&client, (method, &tail), headers, body, usage, &say);
+        let call = plain_call(&client, (method, &tail), headers, body, usage, &report);
         tokio::select! {
-            called = call => match called {
-                Ok(()) => self.say(EngineEvent::Ended { usage, finish: "stop".into() }),
-                Err(e) if e.never_ran() => self.say(EngineEvent::Refused),
-                Err(_) => self.say(EngineEvent::Lost { usage, resumable: false }),
+            result = call => match result {
+                Ok(()) => self.report(EndpointEvent::Ended { usage, finish: "stop".into() }),
+                Err(e) if e.never_ran() => self.report(EndpointEvent::Refused),
+                Err(_) => self.report(EndpointEvent::Lost { usage, resumable: false }),
             },
-            () = self.stopped() => {}
+            () = self.wait_for_stop() => {}
         }
     }
 }
@@ -119,48 +119,48 @@
     headers: &[(Arc<str>, Bytes)],
     body: Bytes,
     usage: Usage,
-    say: &impl Fn(EngineEvent),
+    report: &impl Fn(EndpointEvent),
 ) -> Result<(), EndpointError> {
-    let answer = client.send(method, tail, headers, body).await?;
-    let (parts, mut body) = answer.into_parts();
+    let response = client.send(method, tail, headers, body).await?;
+    let (parts, mut body) = response.into_parts();
     let headers = parts.headers.iter().map(|(name, value)| {
         let value = Bytes::copy_from_slice(value.as_bytes());
         (name.as_str().into(), value)
     });
-    say(EngineEvent::Head(ResponseHead {
+    report(EndpointEvent::Head(ResponseHead {
         status: parts.status.as_u16(),
         headers: headers.collect(),
     }));
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|source| EndpointError::Broken { source })?;
         if let Ok(bytes) = frame.into_data() {
-            say(EngineEvent::Output { bytes, usage });
+            report(EndpointEvent::Output { bytes, usage });
         }
     }
     Ok(())
 }
 
-/// A chat at the engine.
-struct Chat<'a> {
+/// A chat run at an engine.
+struct ChatRun<'a> {
     start: &'a StartRequest,
     body: &'a Bytes,
     run_id: String,
-    /// Bytes of the whole answer, prefix included.
+    /// Length of the whole answer so far, prefix included.
     length: Offset,
     usage: Usage,
     finish: Arc<str>,
     resumes: u32,
 }
 
-/// What ends the reading of one stream.
-enum Cut {
+/// Why the reading of one stream ended.
+enum StreamEnd {
     Done,
     Lost,
     Stopped,
     Resume,
 }
 
-impl<'a> Chat<'a> {
+impl<'a> ChatRun<'a> {
     fn new(start: &'a StartRequest, body: &'a Bytes) -> Self {
         let bytes = body.len() as u64;
         Self {
@@ -168,10 +168,10 @@
             body,
             run_id: run_id(start),
             length: start.prefix.len() as u64,
-            // Until the engine has told, which it does at the end: an estimate of the prompt, and
-            // one token for each event, which is never more than it made.
+            // The engine reports its usage at the end. Until then the prompt is estimated, and each
+            // event counts as one token, which is never more than the engine produced.
             usage: Usage {
-                prompt: bytes / USUAL_TOKEN_BYTES,
+                prompt: bytes / AVERAGE_TOKEN_BYTES,
                 output: start.prefix_tokens,
                 ..Usage::default()
             },
@@ -181,118 +181,119 @@
     }
 
     async fn drive(mut self, driver: &mut Driver, max_output: Tokens) {
-        let ask = Ask {
+        let request = ChatRequest {
             body: self.body,
-            // The engine bounds the whole answer, the state machine what is left of it.
+            // The engine limits the whole answer; `max_output` is what remains of it.
             max_output: max_output + self.start.prefix_tokens,
             priority: match self.start.class {
-                WorkClass::Interactive => INTERACTIVE,
-                WorkClass::Batch => BATCH,
+                WorkClass::Interactive => INTERACTIVE_PRIORITY,
+                WorkClass::Batch => BATCH_PRIORITY,
             },
             run_id: &self.run_id,
             prefix: &self.start.prefix,
         };
         let client = driver.client.clone();
-        let begun = tokio::select! {
-            begun = engine::chat(&client, &ask) => begun,
-            () = driver.stopped() => return self.stop(driver).await,
+        let opened = tokio::select! {
+            opened = engine::chat(&client, &request) => opened,
+            () = driver.wait_for_stop() => return self.stop(driver).await,
         };
-        let mut stream = match begun {
+        let mut stream = match opened {
             Ok(stream) => stream,
-            Err(e) => return not_begun(driver, &e),
+            Err(e) => return report_failed_start(driver, &e),
         };
         loop {
             match self.read(driver, &mut stream).await {
-                Cut::Done => {
+                StreamEnd::Done => {
                     let (usage, finish) = (self.usage, self.finish);
-                    return driver.say(EngineEvent::Ended { usage, finish });
+                    return driver.report(EndpointEvent::Ended { usage, finish });
                 }
-                Cut::Stopped => return self.stop(driver).await,
-                Cut::Lost => return,
-                Cut::Resume => match self.resume(driver).await {
-                    Some(again) => stream = again,
+                StreamEnd::Stopped => return self.stop(driver).await,
+                StreamEnd::Lost => return,
+                StreamEnd::Resume => match self.resume(driver).await {
+                    Some(resumed) => stream = resumed,
                     None => return,
                 },
             }
         }
     }
 
-    /// Passes the engine's words on until the stream ends or a command comes.
-    async fn read(&mut self, driver: &mut Driver, stream: &mut EngineStream) -> Cut {
+    /// Forwards items of the stream until it ends or a command ends the reading.
+    async fn read(&mut self, driver: &mut Driver, stream: &mut EngineStream) -> StreamEnd {
         let mut paused = false;
         let mut broken = false;
         loop {
             tokio::select! {
-                said = stream.next(), if !paused && !broken => match said {
-                    Ok(Said::Done) => return Cut::Done,
-                    Ok(said) => self.take(driver, said),
+                item = stream.next(), if !paused && !broken => match item {
+                    Ok(StreamItem::Done) => return StreamEnd::Done,
+                    Ok(item) => self.handle_item(driver, item),
                     Err(_) => {
-                        // The state machine answers with a command where it is resumable.
+                        // If the run is resumable, the state machine replies with a command.
                         broken = true;
-                        let resumable = self.resumes < RESUMES;
+                        let resumable = self.resumes < MAX_RESUMES;
                         self.resumes += 1;
                         let usage = self.usage;
-                        driver.say(EngineEvent::Lost { usage, resumable });
+                        driver.report(EndpointEvent::Lost { usage, resumable });
                         if !resumable {
-                            return Cut::Lost;
+                            return StreamEnd::Lost;
                         }
                     }
                 },
                 command = driver.commands.recv() => match command {
-                    Some(EngineCommand::Stop) | None => return Cut::Stopped,
-                    Some(EngineCommand::Pause) => paused = true,
-                    Some(EngineCommand::Continue) => paused = false,
-                    Some(EngineCommand::Resume { .. }) => return Cut::Resume,
-                    Some(EngineCommand::Begin(_)) => {}
+                    Some(EndpointCommand::Stop) | None => return StreamEnd::Stopped,
+                    Some(EndpointCommand::Pause) => paused = true,
+                    Some(EndpointCommand::Continue) => paused = false,
+                    Some(EndpointCommand::Resume { .. }) => return StreamEnd::Resume,
+                    Some(EndpointCommand::Begin(_)) => {}
                 },
             }
         }
     }
 
-    fn take(&mut self, driver: &Driver, said: Said) {
-        match said {
-            Said::Text(text) => {
+    fn handle_item(&mut self, driver: &Driver, item: StreamItem) {
+        match item {
+            StreamItem::Text(text) => {
                 self.length += text.len() as u64;
                 self.usage.output += 1;
                 let (bytes, usage) = (text.into(), self.usage);
-                driver.say(EngineEvent::Output { bytes, usage });
+                driver.report(EndpointEvent::Output { bytes, usage });
             }
-            Said::Finish(why) => self.finish = why,
-            // Of the whole answer, also where the engine continues one.
-            Said::Usage(usage) => self.usage = usage,
-            Said::Done => {}
+            StreamItem::Finish(reason) => self.finish = reason,
+            // Covers the whole answer, also when the engine continues one.
+            StreamItem::Usage(usage) => self.usage = usage,
+            StreamItem::Done => {}
         }
     }
 
     async fn resume(&mut self, driver: &Driver) -> Option<EngineStream> {
-        sleep(RESUME_AFTER).await;
-        let again = engine::resume(&driver.client, &self.run_id, self.length).await;
-        if again.is_err() {
+        sleep(RESUME_PAUSE).await;
+        let resumed = engine::resume(&driver.client, &self.run_id, self.length).await;
+        if resumed.is_err() {
             let (usage, resumable) = (self.usage, false);
-            driver.say(EngineEvent::Lost { usage, resumable });
+            driver.report(EndpointEvent::Lost { usage, resumable });
         }
-        again.ok()
+        resumed.ok()
     }
 
     async fn stop(&self, driver: &Driver) {
-        // An engine that can't be reached runs nothing that could be cancelled.
+        // A failed cancel is ignored: an engine that can't be reached has no run left to cancel.
         let _ = engine::cancel(&driver.client, &self.run_id).await;
     }
 }
 
-fn not_begun(driver: &Driver, e: &EndpointError) {
-    // A status is the engine's own word that it runs nothing.
+fn report_failed_start(driver: &Driver, e: &EndpointError) {
+    // A status other than 200 means that the engine runs nothing.
     if e.never_ran() || matches!(e, EndpointError::Status { .. }) {
-        return driver.say(EngineEvent::Refused);
+        return driver.report(EndpointEvent::Refused);
     }
     let usage = Usage::default();
-    driver.say(EngineEvent::Lost {
+    driver.report(EndpointEvent::Lost {
         usage,
         resumable: false,
     });
 }
 
-/// Names the run at the engine, also where the caller's key holds characters of URLs.
+/// The id of a run at the engine. Hashed, because the caller's key may contain characters that are
+/// reserved in URLs.
 fn run_id(start: &StartRequest) -> String {
     let key = &start.key;
     let name = format!("{}/{}/{}/{}", start.life, start.attempt, key.team, key.id);
--- a/crates/anvilreel/src/sidecar/follow.rs
+++ b/crates/anvilreel/src/sidecar/follow.rs
@@ -1,4 +1,4 @@
-//! Keeps what the gate knows current, and tells the ledger that the sidecar lives.
+//! Connects to the ledger: follows its state and sends heartbeats.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,78 +10,84 @@
 use super::Core;
 use crate::event;
 use crate::events;
-use crate::held::Held;
+use crate::ledger_view::LedgerView;
 use crate::runs::Event;
 
-/// Time between two signs of life.
-const HEARTBEAT: Duration = Duration::from_secs(1);
-/// Longest wait for anything from a followed replica before another one is tried.
-const SILENCE: Duration = Duration::from_secs(3);
-/// A once-only key is remembered this much longer than the ledger keeps its claim.
-const REMEMBER_LONGER: Duration = Duration::from_hours(1);
+/// Interval of heartbeats; also the timeout of one.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// A followed replica that sends nothing for this time is left for another one.
+const REPLICA_TIMEOUT: Duration = Duration::from_secs(3);
+/// How much longer a non-idempotent key is remembered than the ledger keeps its claim.
+const ONCE_RETENTION_MARGIN: Duration = Duration::from_hours(1);
 /// Pause before another replica is followed.
-const AGAIN: Duration = Duration::from_millis(100);
+const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
 
-/// Follows one replica after the other, for as long as the process lives.
+/// Follows one replica after the other, for as long as the process runs.
 pub async fn follow(core: &Core) {
-    let mut held = Held::default();
-    let mut in_touch = true;
-    // Sidecars start at different replicas, so that no replica spreads to all of them.
+    let mut ledger_view = LedgerView::default();
+    let mut connected = true;
+    // Sidecars start at different replicas, so that no single replica has to serve all of them.
     let mut replica = usize::try_from(core.instance.incarnation % 7).unwrap_or(0);
     loop {
-        let heard = follow_one(core, replica, &mut held).await;
-        if !heard && in_touch {
+        let received = follow_replica(core, replica, &mut ledger_view).await;
+        if !received && connected {
             event!(core.log, events::SIDECAR_OUT_OF_TOUCH);
         }
-        in_touch = heard;
+        connected = received;
         replica += 1;
-        sleep(AGAIN).await;
+        sleep(RECONNECT_PAUSE).await;
     }
 }
 
-async fn follow_one(core: &Core, replica: usize, held: &mut Held) -> bool {
+async fn follow_replica(core: &Core, replica: usize, ledger_view: &mut LedgerView) -> bool {
     let id = core.instance.id.clone();
     let opening = core
         .ledger
-        .follow(replica, id, FollowScope::Sidecar, held.version);
-    let Ok(Ok(mut replies)) = timeout(SILENCE, opening).await else {
+        .follow(replica, id, FollowScope::Sidecar, ledger_view.version);
+    let Ok(Ok(mut replies)) = timeout(REPLICA_TIMEOUT, opening).await else {
         return false;
     };
-    let mut heard = false;
-    while let Ok(Ok(Some(LedgerReply::Follow(event)))) = timeout(SILENCE, replies.next()).await {
-        heard = true;
-        if held.apply(event) {
-            take_in(core, held);
+    let mut received = false;
+    while let Ok(Ok(Some(LedgerReply::Follow(event)))) =
+        timeout(REPLICA_TIMEOUT, replies.next()).await
+    {
+        received = true;
+        if ledger_view.apply(event) {
+            apply_state(core, ledger_view);
         }
     }
-    heard
+    received
 }
 
-/// Sends a sign of life every second, with the evidence of fenced routers.
-pub async fn beat(core: &Core) {
+/// Sends a heartbeat every second, with the charge evidence of fenced routers.
+pub async fn heartbeat(core: &Core) {
     loop {
         let heartbeat = Heartbeat {
-            instance: core.present_instance(),
-            version: core.gate.held.load().version,
+            instance: core.current_instance(),
+            version: core.admission.ledger_view.load().version,
             evidence: core.hub.evidence(),
-            leaving: core.gate.is_leaving(),
+            leaving: core.admission.is_leaving(),
         };
-        // A lost sign of life is followed by the next one.
-        if let Ok(reply) = core.ledger.heartbeat(heartbeat, HEARTBEAT).await {
-            core.hub.evidence_taken(&reply.taken);
-            if reply.presence == Presence::Gone && core.life.end() {
+        // A lost heartbeat is not retried; the next one follows.
+        if let Ok(reply) = core.ledger.heartbeat(heartbeat, HEARTBEAT_INTERVAL).await {
+            core.hub.acknowledge_evidence(&reply.taken);
+            if reply.presence == Presence::Gone && core.lifecycle.end_incarnation() {
                 event!(core.log, events::SIDECAR_GONE);
             }
         }
         core.hub.feed(Event::Tick);
-        sleep(HEARTBEAT).await;
+        sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-/// Tells the runs what the fleet holds now.
-fn take_in(core: &Core, held: &Held) {
-    let before = core.gate.held.swap(Arc::new(held.clone()));
-    for (router, incarnation) in &held.fenced {
+/// Applies a new state of the ledger: fences, the retention of keys, and whether the endpoint is
+/// leaving.
+fn apply_state(core: &Core, ledger_view: &LedgerView) {
+    let before = core
+        .admission
+        .ledger_view
+        .swap(Arc::new(ledger_view.clone()));
+    for (router, incarnation) in &ledger_view.fenced {
         if before.fenced.get(router) != Some(incarnation) {
             let router = router.to_string();
             event!(core.log, events::SIDECAR_FENCED_ROUTER, "router" => router);
@@ -91,11 +97,12 @@
             incarnation: *incarnation,
         });
     }
-    let fleet = held.tree.get(&TreePath::Fleet);
+    let fleet = ledger_view.tree.get(&TreePath::Fleet);
     let fleet = fleet.map(|entry| Document::check(&TreePath::Fleet, &entry.text));
     if let Some(Ok(Document::Fleet(fleet))) = fleet {
-        core.hub
-            .feed(Event::KeepOnce(fleet.keep_claims + REMEMBER_LONGER));
+        core.hub.feed(Event::OnceRetention(
+            fleet.keep_claims + ONCE_RETENTION_MARGIN,
+        ));
     }
-    core.show_leaving();
+    core.publish_leaving();
 }
--- a/crates/anvilreel/src/sidecar/platform.rs
+++ b/crates/anvilreel/src/sidecar/platform.rs
@@ -1,9 +1,9 @@
-//! Asks the platform whether this instance is leaving.
+//! Polls the platform for whether this instance is leaving.
 //!
-//! Failure: the platform empties the instance while the ledger can't be reached from it, or before
-//! the ledger has heard. It would show as work that is sent to an endpoint until it is cut off.
-//! The sidecar asks the platform itself, so that the last gate closes although everybody else
-//! still sends; the platform's own lag is all that is left.
+//! Failure: the platform drains the instance while the ledger can't be reached from it, or before
+//! the ledger has learned of it; work is sent to the endpoint until it is cut off. The sidecar asks
+//! the platform itself and refuses new work even if every router still sends it. Only the
+//! platform's own lag remains.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -17,60 +17,63 @@
 use super::Core;
 use super::http::EndpointClient;
 
-/// Time between two looks at the list.
-const EVERY: Duration = Duration::from_secs(1);
-/// Longest wait for the list.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Interval at which the list is polled.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of the list, for its head and its body each.
+const LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One line of the platform's list; what else stands there is of no interest.
+/// An entry of the platform's list. Further fields are ignored.
 #[derive(Debug, Deserialize)]
-struct Listed {
+struct ListedInstance {
     id: InstanceId,
-    presence: Listing,
+    presence: ListedPresence,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-enum Listing {
+enum ListedPresence {
     Live,
     Leaving,
-    /// A word that this build does not know says nothing.
+    /// A value that this version does not know; it changes nothing.
     #[serde(other)]
     Other,
 }
 
 #[derive(Debug, Deserialize)]
 struct List {
-    instances: Vec<Listed>,
+    instances: Vec<ListedInstance>,
 }
 
-/// Looks at the list for as long as the process lives.
-pub async fn watch(core: &Core, platform: EndpointClient) {
-    // A platform that can filter sends one line instead of the whole list.
-    let tail = format!("/instances?id={}", core.instance.id);
+/// Polls the list for as long as the process runs.
+pub async fn poll(core: &Core, platform: EndpointClient) {
+    // A platform that supports the filter sends one entry instead of the whole list.
+    let path = format!("/instances?id={}", core.instance.id);
     loop {
-        if let Some(leaving) = ask(&platform, &tail, &core.instance.id).await {
-            let before = core.gate.platform_leaving.swap(leaving, Ordering::Relaxed);
+        if let Some(leaving) = fetch_leaving(&platform, &path, &core.instance.id).await {
+            let before = core
+                .admission
+                .platform_leaving
+                .swap(leaving, Ordering::Relaxed);
             if before != leaving {
-                core.show_leaving();
+                core.publish_leaving();
             }
         }
-        sleep(EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Whether the instance is listed as leaving. `None` where that is not known: no answer, or not
-/// listed (a lagging list does not know a new instance yet), and then nothing changes.
-async fn ask(platform: &EndpointClient, tail: &str, id: &InstanceId) -> Option<bool> {
-    let answer = platform.send("GET", tail, &[], Bytes::new());
-    let answer = timeout(PATIENCE, answer).await.ok()?.ok()?;
-    let body = timeout(PATIENCE, answer.into_body().collect()).await;
+/// Whether the instance is listed as leaving. `None` if this is unknown and the last state is kept:
+/// no response, or not listed (a lagging list does not contain a new instance yet).
+async fn fetch_leaving(platform: &EndpointClient, path: &str, id: &InstanceId) -> Option<bool> {
+    let response = platform.send("GET", path, &[], Bytes::new());
+    let response = timeout(LIST_TIMEOUT, response).await.ok()?.ok()?;
+    let body = timeout(LIST_TIMEOUT, response.into_body().collect()).await;
     let body = body.ok()?.ok()?;
     let list: List = serde_json::from_slice(&body.to_bytes()).ok()?;
-    let own = list.instances.iter().find(|listed| listed.id == *id)?;
-    match own.presence {
-        Listing::Live => Some(false),
-        Listing::Leaving => Some(true),
-        Listing::Other => None,
+    let own_entry = list.instances.iter().find(|entry| entry.id == *id)?;
+    match own_entry.presence {
+        ListedPresence::Live => Some(false),
+        ListedPresence::Leaving => Some(true),
+        ListedPresence::Other => None,
     }
 }
--- a/crates/anvilreel/tests/ledger_service/presence.rs
+++ b/crates/anvilreel/tests/ledger_service/presence.rs
@@ -7,7 +7,7 @@
 use anvil_world::prelude::*;
 use anvil_world::settings::{EndpointKind, EndpointSettings, SidecarSettings};
 use anvilreel::ledger_service::remove;
-use anvilreel::logs::silent;
+use anvilreel::logs::discard;
 use anvilreel::metrics::Metrics;
 use anvilreel::sidecar::Sidecar;
 use tokio::time::{sleep, timeout};
@@ -63,7 +63,7 @@
     assert_eq!(joined.presence, Presence::Live);
     wait_for_presence(&cluster, Presence::Silent).await?;
     let LedgerReply::Alive(returned) = cluster.request(&heartbeat).await? else {
-        return Err("a heartbeat of a silent instance was not answered".into());
+        return Err("a heartbeat of an unresponsive instance was not answered".into());
     };
     assert_eq!(returned.presence, Presence::Live);
     assert_eq!(presence_of_all(&cluster).await?, [Presence::Live]);
@@ -130,7 +130,7 @@
         log_json: false,
         statsd: None,
     };
-    let sidecar = Sidecar::start(&settings, silent(), Metrics::silent("sidecar")).await?;
+    let sidecar = Sidecar::start(&settings, discard(), Metrics::disabled("sidecar")).await?;
     wait_for_presence(&cluster, Presence::Live).await?;
     cluster.stop(configured).await;
     // Heartbeats from before the loss no longer count.
