--- a/crates/anvil_gateway/src/metrics.rs
+++ b/crates/anvil_gateway/src/metrics.rs
@@ -33,7 +33,7 @@
 pub const ATTEMPTS_IN_DOUBT: &str = "tries.in_doubt";
 /// Retries that the shared budget did not allow. Count.
 pub const RETRIES_DENIED: &str = "tries.denied";
-/// Attempts that told the endpoint to copy a cached prompt prefix from another one. Count.
+/// Attempts that asked the endpoint to copy a cached prompt prefix from another one. Count.
 pub const ATTEMPTS_WITH_COPY: &str = "tries.copied";
 /// Endpoints that crashed under requests. Count.
 pub const ENDPOINT_CRASHES: &str = "endpoints.crashed";
--- a/crates/anvil_gateway/tests/direct/charging.rs
+++ b/crates/anvil_gateway/tests/direct/charging.rs
@@ -159,7 +159,7 @@
 }
 
 /// Guards against clients being sent from gateway to gateway during a leader election until they
-/// give up: for one second they are told to retry shortly, afterwards to go elsewhere.
+/// give up: for one second the refusals say to retry shortly, afterwards to go elsewhere.
 #[tokio::test]
 async fn clients_are_sent_elsewhere_only_after_election_time() {
     let endpoint = endpoint_with_three_events().await;
--- a/crates/anvil_ledger/src/core/election.rs
+++ b/crates/anvil_ledger/src/core/election.rs
@@ -2,7 +2,7 @@
 //!
 //! Without a pre-vote, a replica that was cut off would come back with a term it raised alone and
 //! depose a leader that all others still follow; commits would stall each time a partition heals. A
-//! pre-vote raises no term, and replicas that hear from their leader refuse it.
+//! pre-vote raises no term, and replicas with recent leader contact refuse it.
 
 use std::collections::BTreeSet;
 
--- a/crates/anvil_ledger/src/core/leader.rs
+++ b/crates/anvil_ledger/src/core/leader.rs
@@ -267,8 +267,8 @@
     /// Sends the next entries, or none for a heartbeat.
     ///
     /// A follower whose disk hangs acknowledges entries only after the sync. If heartbeats carried
-    /// entries, a leader would hear from nobody while disks hang, and step down. A message without
-    /// entries is answered at once, also while the next position is a guess.
+    /// entries, a leader would receive no answers while disks hang, and step down. A message
+    /// without entries is answered at once, also while the next position is a guess.
     fn send_entries(&mut self, to: ReplicaId, heartbeat_only: bool) {
         let term = self.hard.term;
         let committed = self.committed;
--- a/crates/anvil_ledger/src/core/replica.rs
+++ b/crates/anvil_ledger/src/core/replica.rs
@@ -98,7 +98,7 @@
     pub(super) previous_leader_since: Option<Duration>,
     pub(super) last_leader_contact: Option<Duration>,
     /// End of the time after its start in which it becomes a candidate early. Zero once it has
-    /// heard from a leader.
+    /// received a message from a leader.
     pub(super) fast_election_until: Duration,
     pub(super) election_deadline: Duration,
     /// Position up to which the log is known to match the present leader's.
@@ -279,7 +279,7 @@
         self.leader
     }
 
-    /// Whether this replica leads, or has heard from the leader within the election timeout.
+    /// Whether this replica leads, or had contact with the leader within the election timeout.
     pub fn is_connected(&self) -> bool {
         self.leads() || self.has_recent_leader_contact()
     }
@@ -287,8 +287,8 @@
     /// Whether this replica has to ask for membership.
     ///
     /// A leader that is cut off may add a new disk; that entry never commits, the next leader does
-    /// not know it, and the replica would wait for ever. So it asks again whenever it hears from no
-    /// leader, until it votes.
+    /// not know it, and the replica would wait for ever. So it asks again whenever it has no
+    /// contact with a leader, until it is a voter.
     pub fn needs_to_join(&self) -> bool {
         !self.is_voter() && !self.is_connected()
     }
@@ -345,8 +345,8 @@
     /// When all replicas lose power and restart together, a full election timeout would delay
     /// grants and routing tables by half a second, although there is no leader to wait for. A
     /// replica that has just started therefore waits only for the time of two heartbeats, in which
-    /// a live leader would have reached it. Replicas that hear from a leader refuse the pre-vote,
-    /// so a single restart changes nothing.
+    /// a live leader would have reached it. Replicas with recent leader contact refuse the
+    /// pre-vote, so a single restart changes nothing.
     pub(super) fn wait_for_leader(&mut self) {
         let factor = self.rng.random_range(1.0..2.0);
         let timeout = if self.now < self.fast_election_until {
--- a/crates/anvil_ledger/src/state/claims.rs
+++ b/crates/anvil_ledger/src/state/claims.rs
@@ -95,7 +95,7 @@
 }
 
 /// The present claim, as the answer to a later one. A resent claim is still fresh: its first answer
-/// was lost, and nobody else was told that the claim is theirs.
+/// was lost, and no other claimant has received an answer that it holds the claim.
 fn answer_to(claim: &Claim, first: ClaimRecord) -> ClaimRecord {
     let resent = first.claim.id == claim.id && first.state == ClaimState::Open;
     ClaimRecord {
--- a/crates/anvil_ledger/src/state/money.rs
+++ b/crates/anvil_ledger/src/state/money.rs
@@ -16,8 +16,8 @@
 
 use super::InvariantError;
 
-/// A grant is at most this fraction of what is left in the budget, unless the ask needs more to be
-/// of any use. It keeps the first router that asks from taking what others need next; see
+/// A grant is at most this fraction of what is left in the budget, unless the request needs more
+/// to be of any use. It keeps the first router that asks from taking what others need next; see
 /// docs/design/02-money.md.
 const GRANT_SHARE_DIVISOR: Tokens = 4;
 
@@ -220,49 +220,53 @@
         Some(closed.id)
     }
 
-    /// Opens a grant for an ask, or refuses it and recalls unspent grants.
+    /// Opens a grant for a request, or refuses it and recalls unspent grants.
     fn open_grant(
         &mut self,
         batch: &GrantBatch,
-        ask: &GrantRequest,
+        grant_request: &GrantRequest,
     ) -> Result<Grant, GrantRefusal> {
-        let Some(budget) = self.budgets.get_mut(&ask.budget) else {
+        let Some(budget) = self.budgets.get_mut(&grant_request.budget) else {
             return Err(GrantRefusal {
-                budget: ask.budget.clone(),
+                budget: grant_request.budget.clone(),
                 left: 0,
                 outstanding: 0,
             });
         };
         let left = budget.left();
-        let least = ask.least.max(1);
+        let least = grant_request.least.max(1);
         if left < least {
             let outstanding = budget.outstanding();
-            self.recall(&ask.budget);
+            self.recall(&grant_request.budget);
             return Err(GrantRefusal {
-                budget: ask.budget.clone(),
+                budget: grant_request.budget.clone(),
                 left,
                 outstanding,
             });
         }
         let grant = Grant {
             id: self.last_grant + 1,
-            budget: ask.budget.clone(),
+            budget: grant_request.budget.clone(),
             router: batch.router.clone(),
             incarnation: batch.incarnation,
-            amount: ask.wanted.min(left / GRANT_SHARE_DIVISOR).max(least),
+            amount: grant_request
+                .wanted
+                .min(left / GRANT_SHARE_DIVISOR)
+                .max(least),
             settled: 0,
             returned: 0,
             state: GrantState::Open,
         };
-        let opened = budget.open(&ask.budget, grant.clone());
+        let opened = budget.open(&grant_request.budget, grant.clone());
         // `least` was compared with `left` above, so this can't fail.
         opened.map_err(|_| GrantRefusal {
-            budget: ask.budget.clone(),
+            budget: grant_request.budget.clone(),
             left,
             outstanding: 0,
         })?;
         self.last_grant = grant.id;
-        self.budget_of.insert(grant.id, ask.budget.clone());
+        self.budget_of
+            .insert(grant.id, grant_request.budget.clone());
         let held = self.by_router.entry(batch.router.clone()).or_default();
         held.insert(grant.id);
         Ok(grant)
--- a/crates/anvil_ledger/src/state/money/apply.rs
+++ b/crates/anvil_ledger/src/state/money/apply.rs
@@ -86,8 +86,8 @@
         for budget in affected {
             self.money.lower_to_target(budget);
         }
-        for ask in &batch.asks {
-            match self.money.open_grant(batch, ask) {
+        for grant_request in &batch.asks {
+            match self.money.open_grant(batch, grant_request) {
                 Ok(grant) => answer.opened.push(grant),
                 Err(refusal) => answer.refused.push(refusal),
             }
@@ -100,7 +100,7 @@
     fn affected_budgets(&self, batch: &GrantBatch) -> BTreeSet<BudgetId> {
         let reported = batch.reports.iter();
         let reported = reported.filter_map(|report| self.money.budget_of.get(&report.grant));
-        let asked = batch.asks.iter().map(|ask| &ask.budget);
+        let asked = batch.asks.iter().map(|grant_request| &grant_request.budget);
         reported.chain(asked).cloned().collect()
     }
 
--- a/crates/anvil_ledger/tests/failures.rs
+++ b/crates/anvil_ledger/tests/failures.rs
@@ -190,7 +190,7 @@
 }
 
 /// Guards against a restarted replica that deposes the leader: its early pre-vote is refused by all
-/// that hear from the leader.
+/// that have contact with the leader.
 #[test]
 fn a_restarted_replica_does_not_depose_the_leader() {
     for seed in 0..16 {
--- a/crates/anvil_ledger/tests/state_money.rs
+++ b/crates/anvil_ledger/tests/state_money.rs
@@ -72,7 +72,7 @@
 
 /// Guards against callers that are refused although tokens are left: the last tokens of a budget
 /// lie in the grant of an idle router. Another router asks and is refused, the grant is recalled
-/// and closed, and the next ask succeeds.
+/// and closed, and the next request succeeds.
 #[test]
 fn unspent_grants_are_recalled_near_the_end_of_a_budget() -> Result<(), Denial> {
     let mut f = Fixture::with_team();
--- a/crates/anvil_ledger/tests/state_routing.rs
+++ b/crates/anvil_ledger/tests/state_routing.rs
@@ -43,7 +43,7 @@
 
     fn batch(&mut self, reports: Vec<GrantReport>, wanted: Tokens) -> Vec<Grant> {
         self.seq += 1;
-        let ask = GrantRequest {
+        let grant_request = GrantRequest {
             budget: "co-op".into(),
             wanted,
             least: wanted,
@@ -53,7 +53,11 @@
             incarnation: 1,
             seq: self.seq,
             reports,
-            asks: if wanted > 0 { vec![ask] } else { Vec::new() },
+            asks: if wanted > 0 {
+                vec![grant_request]
+            } else {
+                Vec::new()
+            },
         };
         match self.apply(&Command::GrantBatch(batch)) {
             Answer::Grants(answer) => answer.opened,
--- a/crates/anvil_ledger/tests/support/clients.rs
+++ b/crates/anvil_ledger/tests/support/clients.rs
@@ -135,7 +135,7 @@
                 close: rng.random_bool(0.3),
             });
         }
-        let ask = GrantRequest {
+        let grant_request = GrantRequest {
             budget: budget(rng.random_range(0..BUDGETS)),
             wanted: rng.random_range(1..3_000),
             least: 1,
@@ -145,7 +145,7 @@
             incarnation: self.incarnation,
             seq: self.command_count,
             reports,
-            asks: vec![ask],
+            asks: vec![grant_request],
         })
     }
 
--- a/crates/anvil_policy/examples/decision_time.rs
+++ b/crates/anvil_policy/examples/decision_time.rs
@@ -69,12 +69,12 @@
             Vec::new()
         };
         let cached: Vec<_> = held.into_iter().map(|(id, n)| (id, n as Tokens)).collect();
-        let ask = ChoiceRequest {
+        let choice_request = ChoiceRequest {
             prompt: 1_000,
             cached: &cached,
             avoid: &[],
         };
-        black_box(chooser.choose(pool, &ask, &mut rng));
+        black_box(chooser.choose(pool, &choice_request, &mut rng));
     }
     started.elapsed() / ROUNDS
 }
--- a/crates/anvil_policy/tests/endpoints.rs
+++ b/crates/anvil_policy/tests/endpoints.rs
@@ -34,14 +34,14 @@
 /// How often each endpoint is chosen. Runs end at once, as those of a failing endpoint do.
 fn count_choices(
     pool: &Pool,
-    ask: &ChoiceRequest<'_>,
+    choice_request: &ChoiceRequest<'_>,
     times: usize,
 ) -> BTreeMap<InstanceId, usize> {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     let chooser = Chooser::default().with_zone(Zone::new("region", "zone-0"));
     let mut counts = BTreeMap::new();
     for _ in 0..times {
-        if let Choice::Endpoint(endpoint) = chooser.choose(pool, ask, &mut rng) {
+        if let Choice::Endpoint(endpoint) = chooser.choose(pool, choice_request, &mut rng) {
             *counts.entry(endpoint.id.clone()).or_default() += 1;
         }
     }
@@ -205,12 +205,12 @@
         endpoint.start();
     }
     let cached = [("0".into(), 10_000)];
-    let ask = ChoiceRequest {
+    let choice_request = ChoiceRequest {
         prompt: 10_000,
         cached: &cached,
         avoid: &[],
     };
-    assert_eq!(count_choices(&pool, &ask, 1_000).get("0"), None);
+    assert_eq!(count_choices(&pool, &choice_request, 1_000).get("0"), None);
 }
 
 /// A long cached prefix outweighs a fuller endpoint, a short one doesn't.
@@ -229,12 +229,12 @@
     }
     let chosen = |held| {
         let cached = [("0".into(), held)];
-        let ask = ChoiceRequest {
+        let choice_request = ChoiceRequest {
             prompt: 8_000,
             cached: &cached,
             avoid: &[],
         };
-        count_choices(&pool, &ask, 100)
+        count_choices(&pool, &choice_request, 100)
             .get("0")
             .copied()
             .unwrap_or_default()
@@ -249,11 +249,11 @@
 fn retry_avoids_the_zone_that_failed() {
     let pool = pool(9);
     let avoid = ["0".into()];
-    let ask = ChoiceRequest {
+    let choice_request = ChoiceRequest {
         avoid: &avoid,
         ..ChoiceRequest::default()
     };
-    let counts = count_choices(&pool, &ask, 500);
+    let counts = count_choices(&pool, &choice_request, 500);
     let same_zone = counts.iter().filter(|(id, _)| ["3", "6"].contains(&&***id));
     let times: usize = same_zone.map(|(_, times)| times).sum();
     // It is chosen only if all samples fall into that zone.
--- a/crates/anvil_standins/src/load.rs
+++ b/crates/anvil_standins/src/load.rs
@@ -1,6 +1,6 @@
 //! The load and experiment tool.
 //!
-//! A [`Scenario`] describes the fleet, the load and the faults. [`arrivals`] derives the requests
+//! A [`Scenario`] describes the fleet, the load and the faults. [`arrivals()`] derives the requests
 //! from it: the same for every run with the same seed, at times that don't depend on the
 //! responses, so that queueing delay is not hidden. [`drive`] sends them to routers; [`fleet`]
 //! starts the daemons that serve them as real processes. A [`Recorder`] collects the results and
--- a/crates/anvilreel/src/ledger_service.rs
+++ b/crates/anvilreel/src/ledger_service.rs
@@ -2,8 +2,8 @@
 //!
 //! [`start`] opens the data folder, listens, and runs the [`replica_task`]: the one task that owns
 //! the replica's core and its applied state. A separate thread writes to the disk. Replicas receive
-//! each other's messages over [`links`]. A replica with an empty data folder founds a ledger or
-//! joins one ([`bootstrap`]).
+//! each other's messages over `links`. A replica with an empty data folder founds a ledger or
+//! joins one (`bootstrap`).
 //!
 //! ```no_run
 //! # async fn demo(cfg: anvil_world::settings::LedgerSettings, log: slog::Logger)
--- a/crates/anvilreel/src/ledger_view.rs
+++ b/crates/anvilreel/src/ledger_view.rs
@@ -1,6 +1,6 @@
 //! A process's copy of the parts of the ledger's state that it follows.
 //!
-//! [`Held`] is updated from follow events. Invariant: its version never decreases, so stale
+//! [`LedgerView`] is updated from follow events. Invariant: its version never decreases, so stale
 //! events from a lagging replica don't revert it.
 
 use std::collections::BTreeMap;
--- a/crates/anvilreel/src/lib.rs
+++ b/crates/anvilreel/src/lib.rs
@@ -7,10 +7,10 @@
 //!
 //! Shared by the processes:
 //! - [`ledger_client`] sends requests to the ledger and [`announce`] sends it heartbeats.
-//! - [`ledger_view`] is a process's copy of the ledger's state; [`members`] looks up addresses in it,
-//!   and [`watcher`] keeps a client's list of ledger replicas up to date.
-//! - [`channel_cache`] holds the channels to other processes, and [`lifecycle`] a process's incarnation, clock
-//!   and planned stop.
+//! - [`ledger_view`] is a process's copy of the ledger's state; [`members`] looks up addresses in
+//!   it, and [`watcher`] keeps a client's list of ledger replicas up to date.
+//! - [`channel_cache`] holds the channels to other processes, and [`lifecycle`] a process's
+//!   incarnation, clock and planned stop.
 //! - [`events`] lists the log events, [`logs`] writes them, and [`metrics`] lists and sends the
 //!   metrics.
 
--- a/crates/anvilreel/src/money/batch_exchange.rs
+++ b/crates/anvilreel/src/money/batch_exchange.rs
@@ -1,4 +1,5 @@
-//! The batches of reports and asks that a grant account exchanges with the ledger, one at a time.
+//! The batches of reports and grant requests that a grant account exchanges with the ledger, one at
+//! a time.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -132,7 +133,7 @@
     }
 
     /// Composes the next batch. Once a second it covers every budget; in between only those with a
-    /// shortage, so that an urgent ask does not carry the reports of all others.
+    /// shortage, so that an urgent request does not carry the reports of all others.
     fn compose(&self, now: Now, batches: &mut BatchState) -> Option<GrantBatch> {
         let since = now.saturating_sub(batches.last_full_at);
         let covers_all =
@@ -197,8 +198,8 @@
         since >= self.policy.max_ledger_wait / 2 && !self.budgets.load().is_empty()
     }
 
-    /// The asks for a budget whose free tokens would not last, or which had a shortage; the one
-    /// with the smallest `least` comes last.
+    /// The grant requests for a budget whose free tokens would not last, or which had a shortage;
+    /// the one with the smallest `least` comes last.
     ///
     /// The largest and the smallest shortage are asked for separately. Otherwise, near the end of a
     /// budget, small requests that would fit wait behind one large request that needs more than is
@@ -239,7 +240,7 @@
             least,
         };
         if largest_shortage > smallest_shortage {
-            // The first ask covers the expected demand; the second one only the smallest shortage.
+            // The first request covers the expected demand; the second only the smallest shortage.
             return vec![
                 ask_for(largest_shortage, horizon),
                 ask_for(smallest_shortage, 0),
@@ -261,7 +262,7 @@
         &self,
         now: Now,
         budget_grants: &BudgetGrants,
-        ask: Option<&GrantRequest>,
+        grant_request: Option<&GrantRequest>,
     ) -> BTreeSet<GrantId> {
         let stopping = self.stopping.load(Ordering::Acquire);
         let idle = now > budget_grants.demand.last_request() + self.policy.idle_timeout;
@@ -269,7 +270,8 @@
         let grants = budget_grants.grants.load();
         let newest = grants.last().map(|grant| grant.id);
         let should_close = |grant: &&Arc<OpenGrant>| {
-            let too_small = ask.is_some_and(|ask| grant.free() < ask.least);
+            let too_small =
+                grant_request.is_some_and(|grant_request| grant.free() < grant_request.least);
             let used_up = grant.free() < largest && Some(grant.id) != newest;
             stopping || idle || grant.is_recalled() || too_small || used_up
         };
@@ -307,8 +309,8 @@
             })));
     }
 
-    /// Adds a new grant. `still_short` means that a larger ask for its budget was refused in the
-    /// same answer, so that the ledger's refusal remains valid.
+    /// Adds a new grant. `still_short` means that a larger request for its budget was refused in
+    /// the same answer, so that the ledger's refusal remains valid.
     fn add_grant(
         &self,
         batches: &mut BatchState,
--- a/crates/anvilreel/src/money/budget_grants.rs
+++ b/crates/anvilreel/src/money/budget_grants.rs
@@ -9,7 +9,7 @@
 use super::OpenGrant;
 use super::demand::Demand;
 
-/// The ledger's last refusal of an ask.
+/// The ledger's last refusal of a grant request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct LedgerRefusal {
     pub(super) at: Now,
--- a/crates/anvilreel/src/money/sizing.rs
+++ b/crates/anvilreel/src/money/sizing.rs
@@ -17,7 +17,7 @@
     /// its grant is refused to other routers, and lost if the router dies. Averaging suits a ledger
     /// that answers within a few milliseconds, which a burst can wait for.
     pub smoothing_window: Option<Duration>,
-    /// Longest time that a request waits for the ledger's answer to an ask.
+    /// Longest time that a request waits for the ledger's answer to a grant request.
     pub max_ledger_wait: Duration,
     /// Longest time that a request waits for unspent tokens of other routers' grants: recalling
     /// them takes up to three batches.
@@ -37,7 +37,7 @@
     /// for yet. A tenth of a second keeps the wait for a budget's first grant far below the 0.41 s
     /// allowed for a first token, at no more than 10 batches a second and router.
     pub urgent_batch_interval: Duration,
-    /// How long the ledger's refusal of an ask remains valid.
+    /// How long the ledger's refusal of a grant request remains valid.
     pub refusal_lifetime: Duration,
     /// Number of largest requests that a grant holds beyond the demand of its horizon, so that a
     /// request does not wait for the ledger. If the ledger answers within a few milliseconds and
@@ -54,7 +54,7 @@
     pub min_expected_requests: f64,
     /// Maximum number of reports in one batch: keeps a batch within 4 KB.
     pub max_reports: usize,
-    /// Maximum number of asks in one batch.
+    /// Maximum number of grant requests in one batch.
     pub max_asks: usize,
 }
 
--- a/crates/anvilreel/src/operator/losses.rs
+++ b/crates/anvilreel/src/operator/losses.rs
@@ -1,7 +1,7 @@
 //! Aggregates failed requests and spent tokens from the logs of several processes.
 //!
-//! While [`super::explain`] shows one request, this reports which decisions made how many requests
-//! fail, in which seconds, and what each budget's tokens were spent on.
+//! While [`super::explain()`] shows one request, this reports which decisions made how many
+//! requests fail, in which seconds, and what each budget's tokens were spent on.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
--- a/crates/anvilreel/src/router/call.rs
+++ b/crates/anvilreel/src/router/call.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// A call in flight. Dropping it tells the sidecar that its replies are no longer wanted.
+/// A call in flight. Dropping it notifies the sidecar that its replies are no longer wanted.
 pub struct Call {
     /// The call's number within its exchange.
     pub dispatch: Dispatch,
--- a/crates/anvilreel/src/router/follow.rs
+++ b/crates/anvilreel/src/router/follow.rs
@@ -32,8 +32,8 @@
     pub view: ArcSwap<View>,
     /// Notified after each change of the view, with its version.
     pub changes: watch::Sender<LogIndex>,
-    /// When a replica last confirmed that it is connected, in milliseconds of [`Lifecycle::now`] plus 1;
-    /// 0 for never.
+    /// When a replica last confirmed that it is connected, in milliseconds of [`Lifecycle::now`]
+    /// plus 1; 0 for never.
     last_contact: AtomicU64,
     lifecycle: Lifecycle,
 }
--- a/crates/anvilreel/src/router/pool_queue.rs
+++ b/crates/anvilreel/src/router/pool_queue.rs
@@ -194,12 +194,12 @@
         let pool = self.pool.load();
         let mut queue = self.queue();
         let cached = cached_tokens(queue.prefixes.holders(now, &hashes));
-        let ask = ChoiceRequest {
+        let choice_request = ChoiceRequest {
             prompt: job.expected().0,
             cached: &cached,
             avoid,
         };
-        let choice = self.chooser.choose(&pool, &ask, &mut queue.rng);
+        let choice = self.chooser.choose(&pool, &choice_request, &mut queue.rng);
         if let Choice::Endpoint(endpoint) = &choice {
             queue.prefixes.record_sent(now, &endpoint.id, &hashes);
         }
--- a/crates/anvilreel/src/runs/engine.rs
+++ b/crates/anvilreel/src/runs/engine.rs
@@ -153,7 +153,7 @@
 
     /// Ends a run that another endpoint is to continue: without a charge and without its output. A
     /// caller that reconnects is led to the continuation. The key is remembered, so that no router
-    /// is told that it never ran.
+    /// receives the answer that it never ran.
     fn hand_back(&mut self, now: Now, id: RunId) {
         let Some(run) = self.table.get_mut(&id) else {
             return;
--- a/crates/anvilreel/src/runs/event.rs
+++ b/crates/anvilreel/src/runs/event.rs
@@ -157,8 +157,8 @@
 /// An output of [`Runs::handle`](super::Runs::handle), to be performed by its caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Sends a reply to a reader. After a `Head` or `Frame` was sent, [`Event::ReaderReady`] is to be
-    /// fed.
+    /// Sends a reply to a reader. After a `Head` or `Frame` was sent, [`Event::ReaderReady`] is to
+    /// be fed.
     Reply {
         /// The reader.
         reader: ReaderId,
--- a/crates/anvilreel/src/runs/retention.rs
+++ b/crates/anvilreel/src/runs/retention.rs
@@ -44,7 +44,7 @@
     }
 
     /// Drops the output of ended runs that some reader received completely, oldest first. The key
-    /// stays: a retry is told that its answer was dropped, and nothing is run or charged again.
+    /// stays: a retry learns that its answer was dropped, and nothing is run or charged again.
     fn drop_delivered(&mut self) {
         for run in self.table.values_mut() {
             if self.kept_bytes <= self.cfg.buffer_bytes {
--- a/crates/anvilreel/src/watcher.rs
+++ b/crates/anvilreel/src/watcher.rs
@@ -1,7 +1,7 @@
 //! Keeps a ledger client's list of replicas up to date.
 //!
-//! A [`ReplicaWatcher`] follows the ledger's membership at one replica at a time and moves on to the
-//! next one when the stream ends or the replica becomes unresponsive.
+//! A [`ReplicaWatcher`] follows the ledger's membership at one replica at a time and moves on to
+//! the next one when the stream ends or the replica becomes unresponsive.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/anvilreel/tests/ledger_heartbeats.rs
+++ b/crates/anvilreel/tests/ledger_heartbeats.rs
@@ -1,4 +1,4 @@
-//! When the leader marks an instance silent and when it declares it gone.
+//! When the leader reports an instance as unresponsive and when it declares it gone.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 use anvil_world::prelude::*;
 use anvilreel::ledger_service::heartbeats::{HeartbeatAction, HeartbeatTracker, PresenceTimeouts};
 
-const SILENT_AFTER: Duration = Duration::from_secs(10);
+const UNRESPONSIVE_AFTER: Duration = Duration::from_secs(10);
 const TIMEOUTS: PresenceTimeouts = PresenceTimeouts {
-    silent: SILENT_AFTER,
+    silent: UNRESPONSIVE_AFTER,
     gone: Duration::from_mins(11),
 };
 
@@ -59,7 +59,7 @@
         );
         assert_eq!(
             tracker
-                .presence_changes(now + SILENT_AFTER, TIMEOUTS, &machine)
+                .presence_changes(now + UNRESPONSIVE_AFTER, TIMEOUTS, &machine)
                 .len(),
             1
         );
--- a/crates/anvilreel/tests/ledger_service/presence.rs
+++ b/crates/anvilreel/tests/ledger_service/presence.rs
@@ -63,7 +63,7 @@
     assert_eq!(joined.presence, Presence::Live);
     wait_for_presence(&cluster, Presence::Silent).await?;
     let LedgerReply::Alive(returned) = cluster.request(&heartbeat).await? else {
-        return Err("a heartbeat of a silent instance was not answered".into());
+        return Err("a heartbeat of an unresponsive instance was not answered".into());
     };
     assert_eq!(returned.presence, Presence::Live);
     assert_eq!(presence_of_all(&cluster).await?, [Presence::Live]);
--- a/crates/anvilreel/tests/money/grant_account.rs
+++ b/crates/anvilreel/tests/money/grant_account.rs
@@ -17,7 +17,9 @@
 fn funded(ledger: &mut Ledger) -> GrantAccount {
     let account = new_account();
     assert!(account.reserve(at(0), &split(), 100).is_err());
-    let batch = account.next_batch(at(1)).expect("a batch with an ask");
+    let batch = account
+        .next_batch(at(1))
+        .expect("a batch with a grant request");
     let answer = ledger.answer(batch);
     account
         .apply_answer(at(2), &answer)
@@ -32,7 +34,9 @@
     let mut ledger = Ledger::with(10_000);
     let account = new_account();
     assert!(account.reserve(at(0), &split(), 100).is_err());
-    let first = account.next_batch(at(1)).expect("a batch with an ask");
+    let first = account
+        .next_batch(at(1))
+        .expect("a batch with a grant request");
     let lost = ledger.answer(first.clone());
     let again = account
         .next_batch(at(1_100))
@@ -112,7 +116,7 @@
     assert_eq!(refusal.reason, Reason::LedgerUnreachable);
 }
 
-/// All tokens of a budget are unspent in another router's grant. The first refused ask recalls
+/// All tokens of a budget are unspent in another router's grant. The first refused request recalls
 /// them, and the next one gets them; without the recall, a caller is refused although tokens are
 /// available.
 #[test]
@@ -180,7 +184,9 @@
     let mut ledger = Ledger::with(1_000);
     let dead = GrantAccount::new("dead".into(), 1, fast_ledger_policy());
     assert!(dead.reserve(at(1), &split(), 900).is_err());
-    let batch = dead.next_batch(at(1)).expect("a batch with an ask");
+    let batch = dead
+        .next_batch(at(1))
+        .expect("a batch with a grant request");
     dead.apply_answer(at(2), &ledger.answer(batch))
         .expect("the answer to this batch");
     assert!(dead.reserve(at(3), &split(), 900).is_ok());
--- a/crates/anvilreel/tests/money_quiet.rs
+++ b/crates/anvilreel/tests/money_quiet.rs
@@ -54,7 +54,7 @@
     assert!(first.is_err());
     let batch = account
         .next_batch(start)
-        .expect("a batch with an ask for nairobi");
+        .expect("a batch with a grant request for nairobi");
     let answer = GrantBatchAnswer {
         seq: batch.seq,
         ..GrantBatchAnswer::default()
@@ -66,7 +66,12 @@
     let second = account.reserve(soon, &Split::single_payer("mombasa".into()), 10);
     assert!(second.is_err());
     let batch = account.next_batch(soon).expect("an urgent batch");
-    assert!(batch.asks.iter().any(|ask| &*ask.budget == "mombasa"));
+    assert!(
+        batch
+            .asks
+            .iter()
+            .any(|grant_request| &*grant_request.budget == "mombasa")
+    );
 }
 
 /// A request waits for tokens held by other routers. Asking for them twenty times a second returns
@@ -77,7 +82,9 @@
     let start = Duration::from_hours(9);
     let split = Split::single_payer("nairobi".into());
     assert!(account.reserve(start, &split, 10).is_err());
-    let batch = account.next_batch(start).expect("a batch with an ask");
+    let batch = account
+        .next_batch(start)
+        .expect("a batch with a grant request");
     let answer = GrantBatchAnswer {
         seq: batch.seq,
         refused: vec![GrantRefusal {
--- a/crates/anvilreel/tests/request_refused.rs
+++ b/crates/anvilreel/tests/request_refused.rs
@@ -46,7 +46,10 @@
 fn new_account() -> GrantAccount {
     let account = GrantAccount::new("router-0".into(), 1, GrantPolicy::default());
     assert!(account.reserve(NOW, &split(), BOUND).is_err());
-    let seq = account.next_batch(NOW).expect("a batch with an ask").seq;
+    let seq = account
+        .next_batch(NOW)
+        .expect("a batch with a grant request")
+        .seq;
     let grant = Grant {
         id: 1,
         budget: "nairobi".into(),
