--- a/crates/anvilreel/src/ledger_client.rs
+++ b/crates/anvilreel/src/ledger_client.rs
@@ -31,13 +31,13 @@
 #[derive(Debug, Snafu)]
 pub enum LedgerError {
     /// No replica accepted the request, so nothing was appended to the log.
-    #[snafu(display("no replica of the ledger accepted the request"))]
+    #[snafu(display("no replica of the ledger took it"))]
     Unreachable,
     /// A replica accepted the request and its answer was lost. Resending it returns the outcome.
-    #[snafu(display("the ledger's answer was lost: the request may have been carried out"))]
+    #[snafu(display("the ledger's answer was lost"))]
     InDoubt,
     /// The answer is not of the kind that the request expects.
-    #[snafu(display("unexpected kind of answer from the ledger"))]
+    #[snafu(display("an answer of the wrong kind"))]
     UnexpectedAnswer,
 }
 
