--- a/crates/anvil_world/src/contract.rs
+++ b/crates/anvil_world/src/contract.rs
@@ -49,6 +49,6 @@
     #[snafu(display("token amount overflow: the sum does not fit in 64 bits"))]
     Overflow,
     /// A split without payers, with a duplicate payer or with a weight of 0.
-    #[snafu(display("invalid split: distinct payers with weights above 0 are required"))]
+    #[snafu(display("a split needs distinct payers with weights above 0"))]
     BadSplit,
 }
